--- a/src/main/java/madderrudder/bookkeeping/HistoryCodec.java
+++ b/src/main/java/madderrudder/bookkeeping/HistoryCodec.java
@@ -12,51 +12,80 @@
 
 /** The words of a history of runs, in a controller's answer as in files. Times are in seconds. */
 public final class HistoryCodec {
-    /** The fields in the order of a table's columns. */
-    public static final List<String> FIELDS = List.of("at_s", "job", "task", "attempt", "class", "team", "image", "cpus",
-            "gpus", "memory_gb", "type", "machine", "guess_s", "took_s", "end");
-    private static final String DONE = "done";
-    /** Stopped, or resumed what an earlier attempt had saved. */
-    private static final String PART = "part";
-
-    private HistoryCodec() {
-    }
+  /** The fields in the order of a table's columns. */
+  public static final List<String> FIELDS =
+      List.of(
+          "at_s",
+          "job",
+          "task",
+          "attempt",
+          "class",
+          "team",
+          "image",
+          "cpus",
+          "gpus",
+          "memory_gb",
+          "type",
+          "machine",
+          "guess_s",
+          "took_s",
+          "end");
 
-    public static void write(JsonGenerator out, Ended ended) throws IOException {
-        Run run = ended.run();
-        Likeness like = run.like();
-        out.writeNumberField("at_s", ended.atWallMicros() / 1e6);
-        out.writeStringField("job", like.job());
-        out.writeNumberField("task", run.task());
-        out.writeNumberField("attempt", run.attempt());
-        out.writeStringField("class", like.jobClass());
-        out.writeStringField("team", like.team());
-        out.writeStringField("image", like.image());
-        out.writeNumberField("cpus", like.takes().milliCpus() / 1e3);
-        out.writeNumberField("gpus", like.takes().milliGpus() / 1e3);
-        out.writeNumberField("memory_gb", like.takes().memoryMb() / 1e3);
-        out.writeStringField("type", run.type());
-        out.writeStringField("machine", run.machine());
-        out.writeNumberField("guess_s", run.guessMicros() / 1e6);
-        out.writeNumberField("took_s", run.tookMicros() / 1e6);
-        out.writeStringField("end", run.complete() ? DONE : PART);
-    }
+  private static final String DONE = "done";
 
-    public static Ended read(Fields in) throws MalformedMessage {
-        Likeness like = new Likeness(in.text("job"), in.text("class"), in.text("team", ""), in.text("image", ""),
-                new Resources(thousandths(in, "cpus"), thousandths(in, "gpus"), thousandths(in, "memory_gb")));
-        String end = in.text("end");
-        if (!end.equals(DONE) && !end.equals(PART)) {
-            throw new MalformedMessage("field end is neither " + DONE + " nor " + PART);
-        }
-        Run run = new Run(like, in.smallCount("task"), in.count("attempt", 0), in.text("type", ""),
-                in.text("machine", ""), in.secondsAsMicros("guess_s", 0), in.secondsAsMicros("took_s"),
-                end.equals(DONE));
-        // A time of day is more seconds than any duration may be.
-        return new Ended(Math.round(1e6 * in.amount("at_s", 0)), run);
-    }
+  /** Stopped, or resumed what an earlier attempt had saved. */
+  private static final String PART = "part";
 
-    private static long thousandths(Fields in, String name) throws MalformedMessage {
-        return Math.round(1e3 * in.amount(name, 0));
+  private HistoryCodec() {}
+
+  public static void write(JsonGenerator out, Ended ended) throws IOException {
+    Run run = ended.run();
+    Likeness like = run.like();
+    out.writeNumberField("at_s", ended.atWallMicros() / 1e6);
+    out.writeStringField("job", like.job());
+    out.writeNumberField("task", run.task());
+    out.writeNumberField("attempt", run.attempt());
+    out.writeStringField("class", like.jobClass());
+    out.writeStringField("team", like.team());
+    out.writeStringField("image", like.image());
+    out.writeNumberField("cpus", like.takes().milliCpus() / 1e3);
+    out.writeNumberField("gpus", like.takes().milliGpus() / 1e3);
+    out.writeNumberField("memory_gb", like.takes().memoryMb() / 1e3);
+    out.writeStringField("type", run.type());
+    out.writeStringField("machine", run.machine());
+    out.writeNumberField("guess_s", run.guessMicros() / 1e6);
+    out.writeNumberField("took_s", run.tookMicros() / 1e6);
+    out.writeStringField("end", run.complete() ? DONE : PART);
+  }
+
+  public static Ended read(Fields in) throws MalformedMessage {
+    Likeness like =
+        new Likeness(
+            in.text("job"),
+            in.text("class"),
+            in.text("team", ""),
+            in.text("image", ""),
+            new Resources(
+                thousandths(in, "cpus"), thousandths(in, "gpus"), thousandths(in, "memory_gb")));
+    String end = in.text("end");
+    if (!end.equals(DONE) && !end.equals(PART)) {
+      throw new MalformedMessage("field end is neither " + DONE + " nor " + PART);
     }
+    Run run =
+        new Run(
+            like,
+            in.smallCount("task"),
+            in.count("attempt", 0),
+            in.text("type", ""),
+            in.text("machine", ""),
+            in.secondsAsMicros("guess_s", 0),
+            in.secondsAsMicros("took_s"),
+            end.equals(DONE));
+    // A time of day is more seconds than any duration may be.
+    return new Ended(Math.round(1e6 * in.amount("at_s", 0)), run);
+  }
+
+  private static long thousandths(Fields in, String name) throws MalformedMessage {
+    return Math.round(1e3 * in.amount(name, 0));
+  }
 }
--- a/src/main/java/madderrudder/cli/Main.java
+++ b/src/main/java/madderrudder/cli/Main.java
@@ -18,8 +18,9 @@
 
 /** The command line: {@code serve} runs a controller, {@code check} judges settings and ends. */
 public final class Main {
-    private static final int USAGE = 2;
-    private static final String HELP = """
+  private static final int USAGE = 2;
+  private static final String HELP =
+      """
             usage: madderrudder COMMAND [OPTIONS]
 
             commands:
@@ -37,103 +38,106 @@
             LOG_LEVEL in the environment is error, info (default) or debug.
             """;
 
-    private Main() {
-    }
+  private Main() {}
 
-    public static void main(String[] args) {
-        int status = run(args, System.out, System.err);
-        if (status != 0) {
-            System.exit(status);
-        }
+  public static void main(String[] args) {
+    int status = run(args, System.out, System.err);
+    if (status != 0) {
+      System.exit(status);
     }
+  }
 
-    static int run(String[] args, PrintStream out, PrintStream err) {
-        if (args.length == 0) {
-            err.print(HELP);
-            return USAGE;
-        }
-        switch (args[0]) {
-            case "--help", "-h", "help" -> {
-                out.print(HELP);
-                return 0;
-            }
-            case "--version" -> {
-                String version = Main.class.getPackage().getImplementationVersion();
-                out.println("madderrudder " + (version == null ? "(development)" : version));
-                return 0;
-            }
-            case "rehearse" -> {
-                return Rehearsal.run(err);
-            }
-            case "serve", "check" -> {
-                return withSettings(args, out, err);
-            }
-            default -> {
-                err.println("madderrudder: unknown command " + args[0] + "; see --help");
-                return USAGE;
-            }
-        }
+  static int run(String[] args, PrintStream out, PrintStream err) {
+    if (args.length == 0) {
+      err.print(HELP);
+      return USAGE;
+    }
+    switch (args[0]) {
+      case "--help", "-h", "help" -> {
+        out.print(HELP);
+        return 0;
+      }
+      case "--version" -> {
+        String version = Main.class.getPackage().getImplementationVersion();
+        out.println("madderrudder " + (version == null ? "(development)" : version));
+        return 0;
+      }
+      case "rehearse" -> {
+        return Rehearsal.run(err);
+      }
+      case "serve", "check" -> {
+        return withSettings(args, out, err);
+      }
+      default -> {
+        err.println("madderrudder: unknown command " + args[0] + "; see --help");
+        return USAGE;
+      }
     }
+  }
 
-    private static int withSettings(String[] args, PrintStream out, PrintStream err) {
-        Options options = new Options();
-        options.addOption(Option.builder().longOpt("config").hasArg().required().get());
-        options.addOption(Option.builder().longOpt("operator").hasArg().get());
-        CommandLine line;
-        try {
-            line = DefaultParser.builder().setAllowPartialMatching(false).get()
-                    .parse(options, Arrays.copyOfRange(args, 1, args.length));
-        } catch (ParseException e) {
-            err.println("madderrudder: " + e.getMessage());
-            return USAGE;
-        }
-        if (!line.getArgList().isEmpty()) {
-            err.println("madderrudder: unexpected " + line.getArgList().get(0));
-            return USAGE;
-        }
-        String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
-        if (!List.of("error", "info", "debug").contains(level)) {
-            err.println("madderrudder: LOG_LEVEL must be error, info or debug");
-            return USAGE;
-        }
-        Settings settings;
-        Policy policy;
-        try {
-            settings = readSettings(line.getOptionValue("config"));
-            policy = readPolicy(line.getOptionValue("operator"));
-        } catch (Settings.Invalid e) {
-            e.problems().forEach(problem -> err.println("madderrudder: " + problem));
-            return 1;
-        }
-        if (args[0].equals("check")) {
-            out.println("the settings of " + settings.member() + " are good");
-            return 0;
-        }
-        // Has to stand before the first logger is made.
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
-        return new Serve(settings, policy).run();
+  private static int withSettings(String[] args, PrintStream out, PrintStream err) {
+    Options options = new Options();
+    options.addOption(Option.builder().longOpt("config").hasArg().required().get());
+    options.addOption(Option.builder().longOpt("operator").hasArg().get());
+    CommandLine line;
+    try {
+      line =
+          DefaultParser.builder()
+              .setAllowPartialMatching(false)
+              .get()
+              .parse(options, Arrays.copyOfRange(args, 1, args.length));
+    } catch (ParseException e) {
+      err.println("madderrudder: " + e.getMessage());
+      return USAGE;
+    }
+    if (!line.getArgList().isEmpty()) {
+      err.println("madderrudder: unexpected " + line.getArgList().get(0));
+      return USAGE;
+    }
+    String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
+    if (!List.of("error", "info", "debug").contains(level)) {
+      err.println("madderrudder: LOG_LEVEL must be error, info or debug");
+      return USAGE;
     }
+    Settings settings;
+    Policy policy;
+    try {
+      settings = readSettings(line.getOptionValue("config"));
+      policy = readPolicy(line.getOptionValue("operator"));
+    } catch (Settings.Invalid e) {
+      e.problems().forEach(problem -> err.println("madderrudder: " + problem));
+      return 1;
+    }
+    if (args[0].equals("check")) {
+      out.println("the settings of " + settings.member() + " are good");
+      return 0;
+    }
+    // Has to stand before the first logger is made.
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
+    return new Serve(settings, policy).run();
+  }
 
-    private static Settings readSettings(String file) throws Settings.Invalid {
-        try {
-            return Settings.parse(Files.readAllBytes(Path.of(file)));
-        } catch (IOException e) {
-            throw new Settings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-        } catch (Settings.Invalid e) {
-            throw new Settings.Invalid(e.problems().stream().map(problem -> file + ": " + problem).toList());
-        }
+  private static Settings readSettings(String file) throws Settings.Invalid {
+    try {
+      return Settings.parse(Files.readAllBytes(Path.of(file)));
+    } catch (IOException e) {
+      throw new Settings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
+    } catch (Settings.Invalid e) {
+      throw new Settings.Invalid(
+          e.problems().stream().map(problem -> file + ": " + problem).toList());
     }
+  }
 
-    private static Policy readPolicy(String file) throws Settings.Invalid {
-        if (file == null) {
-            return Policy.defaults();
-        }
-        try {
-            return OperatorSettings.parse(Files.readString(Path.of(file)));
-        } catch (IOException e) {
-            throw new Settings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-        } catch (SExpression.Malformed e) {
-            throw new Settings.Invalid(List.of(file + ": " + e.getMessage()));
-        }
+  private static Policy readPolicy(String file) throws Settings.Invalid {
+    if (file == null) {
+      return Policy.defaults();
+    }
+    try {
+      return OperatorSettings.parse(Files.readString(Path.of(file)));
+    } catch (IOException e) {
+      throw new Settings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
+    } catch (SExpression.Malformed e) {
+      throw new Settings.Invalid(List.of(file + ": " + e.getMessage()));
     }
+  }
 }
--- a/src/main/java/madderrudder/cli/Rehearsal.java
+++ b/src/main/java/madderrudder/cli/Rehearsal.java
@@ -21,64 +21,77 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Loads every class of the program and sends itself one request over loopback, so that the archive made
- * of the run holds all that a controller needs to start. On a third of a core this saves most of the start.
+ * Loads every class of the program and sends itself one request over loopback, so that the archive
+ * made of the run holds all that a controller needs to start. On a third of a core this saves most
+ * of the start.
  */
 final class Rehearsal {
-    private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
-    private static final long PATIENCE_MICROS = 5_000_000;
-    private static final List<String> PACKAGES =
-            List.of("madderrudder/", "com/fasterxml/jackson/core/", "org/slf4j/", "org/HdrHistogram/");
+  private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
+  private static final long PATIENCE_MICROS = 5_000_000;
+  private static final List<String> PACKAGES =
+      List.of("madderrudder/", "com/fasterxml/jackson/core/", "org/slf4j/", "org/HdrHistogram/");
 
-    private Rehearsal() {
-    }
+  private Rehearsal() {}
 
-    static int run(PrintStream err) {
-        try {
-            loadClasses();
-            talkToItself();
-            return 0;
-        } catch (IOException | URISyntaxException | MalformedMessage e) {
-            err.println("madderrudder: rehearsal failed: " + e);
-            return 1;
-        }
+  static int run(PrintStream err) {
+    try {
+      loadClasses();
+      talkToItself();
+      return 0;
+    } catch (IOException | URISyntaxException | MalformedMessage e) {
+      err.println("madderrudder: rehearsal failed: " + e);
+      return 1;
     }
+  }
 
-    private static void loadClasses() throws IOException, URISyntaxException {
-        Path self = Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        try (JarFile jar = new JarFile(self.toFile())) {
-            long loaded = jar.stream().map(entry -> entry.getName())
-                    .filter(name -> name.endsWith(".class") && PACKAGES.stream().anyMatch(name::startsWith))
-                    .filter(name -> load(name.substring(0, name.length() - 6).replace('/', '.')))
-                    .count();
-            LOG.debug("{} classes loaded", loaded);
-        }
+  private static void loadClasses() throws IOException, URISyntaxException {
+    Path self =
+        Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    try (JarFile jar = new JarFile(self.toFile())) {
+      long loaded =
+          jar.stream()
+              .map(entry -> entry.getName())
+              .filter(
+                  name -> name.endsWith(".class") && PACKAGES.stream().anyMatch(name::startsWith))
+              .filter(name -> load(name.substring(0, name.length() - 6).replace('/', '.')))
+              .count();
+      LOG.debug("{} classes loaded", loaded);
     }
+  }
 
-    private static boolean load(String name) {
-        try {
-            Class.forName(name, false, Rehearsal.class.getClassLoader());
-            return true;
-        } catch (ClassNotFoundException | LinkageError e) {
-            // Optional parts of a library may lack what they build on; a controller does not use them.
-            return false;
-        }
+  private static boolean load(String name) {
+    try {
+      Class.forName(name, false, Rehearsal.class.getClassLoader());
+      return true;
+    } catch (ClassNotFoundException | LinkageError e) {
+      // Optional parts of a library may lack what they build on; a controller does not use them.
+      return false;
     }
+  }
 
-    private static void talkToItself() throws IOException, MalformedMessage {
-        Json.readObject("{\"a\":[1,2.5,\"b\",true,null]}".getBytes(StandardCharsets.UTF_8)).render();
-        Loop loop = new Loop();
-        AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
-        HttpServer server = new HttpServer(loop, group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4,
-                (request, answer) -> answer.accept(HttpResponse.of(200, request.body())));
-        String address = "127.0.0.1:" + server.port();
-        HttpClient client = new HttpClient(loop, group, 4);
-        loop.execute(() -> {
-            server.start();
-            client.call(address, HttpRequest.post("/", Json.error("none")), PATIENCE_MICROS,
-                    response -> loop.shutdown());
+  private static void talkToItself() throws IOException, MalformedMessage {
+    Json.readObject("{\"a\":[1,2.5,\"b\",true,null]}".getBytes(StandardCharsets.UTF_8)).render();
+    Loop loop = new Loop();
+    AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
+    HttpServer server =
+        new HttpServer(
+            loop,
+            group,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            4,
+            (request, answer) -> answer.accept(HttpResponse.of(200, request.body())));
+    String address = "127.0.0.1:" + server.port();
+    HttpClient client = new HttpClient(loop, group, 4);
+    loop.execute(
+        () -> {
+          server.start();
+          client.call(
+              address,
+              HttpRequest.post("/", Json.error("none")),
+              PATIENCE_MICROS,
+              response -> loop.shutdown());
         });
-        loop.run();
-        group.shutdownNow();
-    }
+    loop.run();
+    group.shutdownNow();
+  }
 }
--- a/src/main/java/madderrudder/coordination/dealings/Catalog.java
+++ b/src/main/java/madderrudder/coordination/dealings/Catalog.java
@@ -20,82 +20,86 @@
  * node that starts while the cloud is down reads that one.
  */
 public final class Catalog {
-    private static final Logger LOG = LoggerFactory.getLogger(Catalog.class);
-    private static final long RETRY_MICROS = 1_000_000;
-    private static final long REFRESH_MICROS = 60_000_000;
+  private static final Logger LOG = LoggerFactory.getLogger(Catalog.class);
+  private static final long RETRY_MICROS = 1_000_000;
+  private static final long REFRESH_MICROS = 60_000_000;
 
-    private final Scheduler scheduler;
-    private final StoreClient store;
-    private final CloudClient cloud;
-    private Map<String, MachineType> types = Map.of();
-    private byte[] text;
-    private Runnable onRefresh = () -> { };
+  private final Scheduler scheduler;
+  private final StoreClient store;
+  private final CloudClient cloud;
+  private Map<String, MachineType> types = Map.of();
+  private byte[] text;
+  private Runnable onRefresh = () -> {};
 
-    public Catalog(Scheduler scheduler, StoreClient store, CloudClient cloud) {
-        this.scheduler = scheduler;
-        this.store = store;
-        this.cloud = cloud;
-    }
+  public Catalog(Scheduler scheduler, StoreClient store, CloudClient cloud) {
+    this.scheduler = scheduler;
+    this.store = store;
+    this.cloud = cloud;
+  }
 
-    public void start() {
-        fromStore();
-    }
+  public void start() {
+    fromStore();
+  }
 
-    public boolean known() {
-        return !types.isEmpty();
-    }
+  public boolean known() {
+    return !types.isEmpty();
+  }
 
-    public Map<String, MachineType> types() {
-        return types;
-    }
+  public Map<String, MachineType> types() {
+    return types;
+  }
 
-    /** What the cloud last said, or null. */
-    byte[] text() {
-        return text;
-    }
+  /** What the cloud last said, or null. */
+  byte[] text() {
+    return text;
+  }
 
-    void onRefresh(Runnable action) {
-        onRefresh = action;
-    }
+  void onRefresh(Runnable action) {
+    onRefresh = action;
+  }
 
-    private void fromStore() {
-        store.get(Keys.CATALOG, reply -> {
-            if (reply.is(Outcome.OK)) {
-                accept(reply.value().value());
-            }
-            fromCloud();
+  private void fromStore() {
+    store.get(
+        Keys.CATALOG,
+        reply -> {
+          if (reply.is(Outcome.OK)) {
+            accept(reply.value().value());
+          }
+          fromCloud();
         });
-    }
+  }
 
-    private void fromCloud() {
-        cloud.catalog(response -> {
-            boolean fresh = false;
-            if (response.ok()) {
-                try {
-                    Fields fields = Json.readObject(response.body());
-                    fresh = accept(fields);
-                    text = response.body();
-                    onRefresh.run();
-                } catch (MalformedMessage e) {
-                    LOG.info("the catalogue is unreadable: {}", e.getMessage());
-                }
+  private void fromCloud() {
+    cloud.catalog(
+        response -> {
+          boolean fresh = false;
+          if (response.ok()) {
+            try {
+              Fields fields = Json.readObject(response.body());
+              fresh = accept(fields);
+              text = response.body();
+              onRefresh.run();
+            } catch (MalformedMessage e) {
+              LOG.info("the catalogue is unreadable: {}", e.getMessage());
             }
-            scheduler.after(fresh ? REFRESH_MICROS : RETRY_MICROS, known() ? this::fromCloud : this::fromStore);
+          }
+          scheduler.after(
+              fresh ? REFRESH_MICROS : RETRY_MICROS, known() ? this::fromCloud : this::fromStore);
         });
-    }
+  }
 
-    private boolean accept(Fields fields) {
-        try {
-            List<MachineType> read = CloudCodec.readCatalog(fields);
-            Map<String, MachineType> named = new LinkedHashMap<>();
-            for (MachineType type : read) {
-                named.put(type.name(), type);
-            }
-            types = named;
-            return !named.isEmpty();
-        } catch (MalformedMessage e) {
-            LOG.info("the catalogue is unreadable: {}", e.getMessage());
-            return false;
-        }
+  private boolean accept(Fields fields) {
+    try {
+      List<MachineType> read = CloudCodec.readCatalog(fields);
+      Map<String, MachineType> named = new LinkedHashMap<>();
+      for (MachineType type : read) {
+        named.put(type.name(), type);
+      }
+      types = named;
+      return !named.isEmpty();
+    } catch (MalformedMessage e) {
+      LOG.info("the catalogue is unreadable: {}", e.getMessage());
+      return false;
     }
+  }
 }
--- a/src/main/java/madderrudder/coordination/dealings/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/dealings/CloudClient.java
@@ -12,39 +12,46 @@
 
 /** Calls to the cloud, kept under its rate. */
 public final class CloudClient {
-    private static final long CALL_MICROS = 4_000_000;
-    private static final int PAGE = 500;
-
-    private final HttpCalls calls;
-    private final String address;
-    private final Pace pace;
-
-    public CloudClient(Scheduler scheduler, HttpCalls calls, String address, double requestsPerSecond) {
-        this.calls = calls;
-        this.address = address;
-        pace = new Pace(scheduler, requestsPerSecond * 0.8, requestsPerSecond);
-    }
-
-    void rent(String request, Rental rental, Consumer<HttpResponse> answer) {
-        call(HttpRequest.post("/machines", CloudCodec.rent(request, rental.type().name(), rental.zone(),
-                rental.spot(), rental.count())), answer);
-    }
-
-    void delete(List<String> machines, Consumer<HttpResponse> answer) {
-        call(HttpRequest.post("/machines/delete", CloudCodec.delete(machines)), answer);
-    }
-
-    void list(String since, Consumer<HttpResponse> answer) {
-        call(HttpRequest.get("/machines?most=" + PAGE + (since.isEmpty() ? "" : "&since=" + since)), answer);
-    }
-
-    void catalog(Consumer<HttpResponse> answer) {
-        call(HttpRequest.get("/catalog"), answer);
-    }
-
-    private void call(HttpRequest request, Consumer<HttpResponse> answer) {
-        if (!pace.run(1, () -> calls.call(address, request, CALL_MICROS, answer))) {
-            answer.accept(HttpResponse.notSent());
-        }
+  private static final long CALL_MICROS = 4_000_000;
+  private static final int PAGE = 500;
+
+  private final HttpCalls calls;
+  private final String address;
+  private final Pace pace;
+
+  public CloudClient(
+      Scheduler scheduler, HttpCalls calls, String address, double requestsPerSecond) {
+    this.calls = calls;
+    this.address = address;
+    pace = new Pace(scheduler, requestsPerSecond * 0.8, requestsPerSecond);
+  }
+
+  void rent(String request, Rental rental, Consumer<HttpResponse> answer) {
+    call(
+        HttpRequest.post(
+            "/machines",
+            CloudCodec.rent(
+                request, rental.type().name(), rental.zone(), rental.spot(), rental.count())),
+        answer);
+  }
+
+  void delete(List<String> machines, Consumer<HttpResponse> answer) {
+    call(HttpRequest.post("/machines/delete", CloudCodec.delete(machines)), answer);
+  }
+
+  void list(String since, Consumer<HttpResponse> answer) {
+    call(
+        HttpRequest.get("/machines?most=" + PAGE + (since.isEmpty() ? "" : "&since=" + since)),
+        answer);
+  }
+
+  void catalog(Consumer<HttpResponse> answer) {
+    call(HttpRequest.get("/catalog"), answer);
+  }
+
+  private void call(HttpRequest request, Consumer<HttpResponse> answer) {
+    if (!pace.run(1, () -> calls.call(address, request, CALL_MICROS, answer))) {
+      answer.accept(HttpResponse.notSent());
     }
+  }
 }
--- a/src/main/java/madderrudder/coordination/dealings/JobBook.java
+++ b/src/main/java/madderrudder/coordination/dealings/JobBook.java
@@ -27,264 +27,280 @@
 
 /** Follows the live jobs in the store, and writes down what becomes of them. */
 final class JobBook {
-    private static final Logger LOG = LoggerFactory.getLogger(JobBook.class);
-    private static final long RETRY_MICROS = 200_000;
-    private static final long FOLLOW_MICROS = 2_000_000;
+  private static final Logger LOG = LoggerFactory.getLogger(JobBook.class);
+  private static final long RETRY_MICROS = 200_000;
+  private static final long FOLLOW_MICROS = 2_000_000;
 
-    private final Term term;
-    private final Fleet fleet;
-    private final Runnable onChange;
-    private long freshMicros;
+  private final Term term;
+  private final Fleet fleet;
+  private final Runnable onChange;
+  private long freshMicros;
 
-    JobBook(Term term, Fleet fleet, Runnable onChange) {
-        this.term = term;
-        this.fleet = fleet;
-        this.onChange = onChange;
-    }
+  JobBook(Term term, Fleet fleet, Runnable onChange) {
+    this.term = term;
+    this.fleet = fleet;
+    this.onChange = onChange;
+  }
 
-    /** Every submission and cancellation accepted before this moment is known here. */
-    long freshMicros() {
-        return freshMicros;
-    }
+  /** Every submission and cancellation accepted before this moment is known here. */
+  long freshMicros() {
+    return freshMicros;
+  }
 
-    void load(TakeOver.Found found, long readMicros) {
-        freshMicros = readMicros;
-        for (Item item : found.under(Keys.LIVE)) {
-            add(item);
-        }
-        term.cluster.jobs.values().forEach(job -> job.found = true);
-        for (Item item : found.under(Keys.PROGRESS)) {
-            loadProgress(item);
-        }
-        follow(found.liveRevision());
+  void load(TakeOver.Found found, long readMicros) {
+    freshMicros = readMicros;
+    for (Item item : found.under(Keys.LIVE)) {
+      add(item);
     }
-
-    private void loadProgress(Item item) {
-        String rest = item.key().substring(Keys.PROGRESS.length());
-        int slash = rest.lastIndexOf('/');
-        Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
-        if (job == null) {
-            term.journal.add(new DropChange(item.key()), Lane.LATER);
-            return;
-        }
-        try {
-            JobRecords.readProgress(item.value(), Integer.parseInt(rest.substring(slash + 1)), job.done);
-            if (JobRecords.readFaulty(item.value())) {
-                job.foundFaulty(term.scheduler.nowMicros());
-            }
-            job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
-            if (job.complete()) {
-                save(job);
-            }
-        } catch (MalformedMessage | NumberFormatException e) {
-            LOG.error("{} is unreadable: {}", item.key(), e.getMessage());
-        }
+    term.cluster.jobs.values().forEach(job -> job.found = true);
+    for (Item item : found.under(Keys.PROGRESS)) {
+      loadProgress(item);
     }
+    follow(found.liveRevision());
+  }
 
-    private void follow(long revision) {
-        long sentMicros = term.scheduler.nowMicros();
-        term.store.follow(Keys.LIVE, revision, FOLLOW_MICROS, reply -> {
-            if (term.closed()) {
-                return;
-            }
-            if (reply.is(Outcome.OK)) {
-                long beforeMicros = freshMicros;
-                freshMicros = sentMicros;
-                for (Item item : reply.value().items()) {
-                    if (item.value() != null) {
-                        add(item);
-                    } else {
-                        dropped(item.key().substring(Keys.LIVE.length()), beforeMicros);
-                    }
-                }
-                if (!reply.value().items().isEmpty()) {
-                    onChange.run();
-                }
-                follow(reply.value().revision());
-            } else if (reply.is(Outcome.GONE)) {
-                term.election.stepDown("the watch of jobs has fallen too far behind");
-            } else {
-                term.after(RETRY_MICROS, () -> follow(revision));
-            }
-        });
+  private void loadProgress(Item item) {
+    String rest = item.key().substring(Keys.PROGRESS.length());
+    int slash = rest.lastIndexOf('/');
+    Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
+    if (job == null) {
+      term.journal.add(new DropChange(item.key()), Lane.LATER);
+      return;
     }
-
-    private void add(Item item) {
-        String id = item.key().substring(Keys.LIVE.length());
-        if (term.cluster.jobs.containsKey(id)) {
-            return;
-        }
-        try {
-            JobRecords.Live live = JobRecords.readLive(item.value());
-            JobSpec spec = live.spec();
-            Team team = term.deployment.teams().get(spec.team());
-            if (team == null) {
-                // Accepted under other settings: it may not run now, and may again after a change back.
-                team = new Team(spec.team(), Resources.NONE, Resources.NONE);
-            }
-            term.cluster.jobs.put(id, new Job(spec, team, item.version(), live.acceptedWallMicros(),
-                    term.scheduler.nowMicros()));
-        } catch (MalformedMessage e) {
-            LOG.error("job {} is unreadable: {}", id, e.getMessage());
-        }
+    try {
+      JobRecords.readProgress(item.value(), Integer.parseInt(rest.substring(slash + 1)), job.done);
+      if (JobRecords.readFaulty(item.value())) {
+        job.foundFaulty(term.scheduler.nowMicros());
+      }
+      job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
+      if (job.complete()) {
+        save(job);
+      }
+    } catch (MalformedMessage | NumberFormatException e) {
+      LOG.error("{} is unreadable: {}", item.key(), e.getMessage());
     }
+  }
 
-    /** A live job's key is gone: either this leader moved it, or its user cancelled it, after the moment given. */
-    private void dropped(String id, long beforeMicros) {
-        Job job = term.cluster.jobs.get(id);
-        if (job == null || job.over) {
+  private void follow(long revision) {
+    long sentMicros = term.scheduler.nowMicros();
+    term.store.follow(
+        Keys.LIVE,
+        revision,
+        FOLLOW_MICROS,
+        reply -> {
+          if (term.closed()) {
             return;
-        }
-        LOG.debug("{} cancelled", id);
-        for (Assignment assignment : job.assignments) {
-            if (!assignment.completed) {
-                term.cluster.doom(assignment, beforeMicros);
+          }
+          if (reply.is(Outcome.OK)) {
+            long beforeMicros = freshMicros;
+            freshMicros = sentMicros;
+            for (Item item : reply.value().items()) {
+              if (item.value() != null) {
+                add(item);
+              } else {
+                dropped(item.key().substring(Keys.LIVE.length()), beforeMicros);
+              }
             }
-        }
-        end(job);
-        for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
-            if (!job.done.isEmpty() || job.faulty()) {
-                term.journal.add(new DropChange(Keys.progress(id, chunk)), Lane.LATER);
+            if (!reply.value().items().isEmpty()) {
+              onChange.run();
             }
-        }
-    }
+            follow(reply.value().revision());
+          } else if (reply.is(Outcome.GONE)) {
+            term.election.stepDown("the watch of jobs has fallen too far behind");
+          } else {
+            term.after(RETRY_MICROS, () -> follow(revision));
+          }
+        });
+  }
 
-    private void end(Job job) {
-        job.over = true;
-        term.cluster.jobs.remove(job.spec.id());
-        for (Assignment assignment : List.copyOf(job.assignments)) {
-            fleet.unwant(assignment);
-            if (assignment.completed) {
-                fleet.release(assignment);
-            }
-        }
+  private void add(Item item) {
+    String id = item.key().substring(Keys.LIVE.length());
+    if (term.cluster.jobs.containsKey(id)) {
+      return;
     }
-
-    /** A task has completed; a gang's tasks complete together. */
-    void completed(Assignment assignment) {
-        Job job = assignment.job;
-        if (job == null || job.over || job.spec.kind() == Kind.SERVICE) {
-            fleet.release(assignment);
-            return;
-        }
-        term.cluster.complete(assignment);
-        job.completed();
-        if (job.spec.kind() == Kind.GANG) {
-            job.done.set(0, job.spec.tasks());
-        } else {
-            job.done.set(assignment.task.index());
-        }
-        job.unwritten.set(chunkOf(assignment));
-        save(job);
+    try {
+      JobRecords.Live live = JobRecords.readLive(item.value());
+      JobSpec spec = live.spec();
+      Team team = term.deployment.teams().get(spec.team());
+      if (team == null) {
+        // Accepted under other settings: it may not run now, and may again after a change back.
+        team = new Team(spec.team(), Resources.NONE, Resources.NONE);
+      }
+      term.cluster.jobs.put(
+          id,
+          new Job(
+              spec, team, item.version(), live.acceptedWallMicros(), term.scheduler.nowMicros()));
+    } catch (MalformedMessage e) {
+      LOG.error("job {} is unreadable: {}", id, e.getMessage());
     }
+  }
 
-    /** Kept, so that the next leader does not try all of its tasks again at once. */
-    void foundFaulty(Job job) {
-        job.unwritten.set(0);
-        save(job);
+  /**
+   * A live job's key is gone: either this leader moved it, or its user cancelled it, after the
+   * moment given.
+   */
+  private void dropped(String id, long beforeMicros) {
+    Job job = term.cluster.jobs.get(id);
+    if (job == null || job.over) {
+      return;
+    }
+    LOG.debug("{} cancelled", id);
+    for (Assignment assignment : job.assignments) {
+      if (!assignment.completed) {
+        term.cluster.doom(assignment, beforeMicros);
+      }
+    }
+    end(job);
+    for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
+      if (!job.done.isEmpty() || job.faulty()) {
+        term.journal.add(new DropChange(Keys.progress(id, chunk)), Lane.LATER);
+      }
     }
+  }
 
-    private static int chunkOf(Assignment assignment) {
-        return assignment.task.index() / JobRecords.CHUNK;
+  private void end(Job job) {
+    job.over = true;
+    term.cluster.jobs.remove(job.spec.id());
+    for (Assignment assignment : List.copyOf(job.assignments)) {
+      fleet.unwant(assignment);
+      if (assignment.completed) {
+        fleet.release(assignment);
+      }
     }
+  }
 
-    /** A job's user waits for its end; until then its workers keep what they have completed. */
-    private void save(Job job) {
-        term.journal.add(new JobChange(job), job.complete() ? Lane.SOON : Lane.LATER);
+  /** A task has completed; a gang's tasks complete together. */
+  void completed(Assignment assignment) {
+    Job job = assignment.job;
+    if (job == null || job.over || job.spec.kind() == Kind.SERVICE) {
+      fleet.release(assignment);
+      return;
     }
+    term.cluster.complete(assignment);
+    job.completed();
+    if (job.spec.kind() == Kind.GANG) {
+      job.done.set(0, job.spec.tasks());
+    } else {
+      job.done.set(assignment.task.index());
+    }
+    job.unwritten.set(chunkOf(assignment));
+    save(job);
+  }
 
-    /** Writes a job's progress, or moves it to the finished ones once all of it is done. */
-    private final class JobChange implements Change {
-        private final Job job;
-        private Set<Assignment> written = Set.of();
-        private BitSet chunks = new BitSet();
-        private boolean finishing;
+  /** Kept, so that the next leader does not try all of its tasks again at once. */
+  void foundFaulty(Job job) {
+    job.unwritten.set(0);
+    save(job);
+  }
 
-        JobChange(Job job) {
-            this.job = job;
-        }
+  private static int chunkOf(Assignment assignment) {
+    return assignment.task.index() / JobRecords.CHUNK;
+  }
 
-        @Override
-        public String name() {
-            return Keys.live(job.spec.id());
-        }
+  /** A job's user waits for its end; until then its workers keep what they have completed. */
+  private void save(Job job) {
+    term.journal.add(new JobChange(job), job.complete() ? Lane.SOON : Lane.LATER);
+  }
 
-        @Override
-        public List<Condition> conditions() {
-            return List.of(new Condition(Keys.live(job.spec.id()), job.version));
-        }
+  /** Writes a job's progress, or moves it to the finished ones once all of it is done. */
+  private final class JobChange implements Change {
+    private final Job job;
+    private Set<Assignment> written = Set.of();
+    private BitSet chunks = new BitSet();
+    private boolean finishing;
 
-        @Override
-        public List<Write> writes() {
-            String id = job.spec.id();
-            written = new LinkedHashSet<>();
-            chunks = (BitSet) job.unwritten.clone();
-            finishing = job.complete();
-            for (Assignment assignment : job.assignments) {
-                if (assignment.completed && (finishing || chunks.get(chunkOf(assignment)))) {
-                    written.add(assignment);
-                }
-            }
-            List<Write> writes = new ArrayList<>();
-            if (finishing) {
-                writes.add(Write.drop(Keys.live(id)));
-                writes.add(Write.put(Keys.finished(id), JobRecords.finished(JobState.DONE, job.spec.tasks())));
-                for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
-                    writes.add(Write.drop(Keys.progress(id, chunk)));
-                }
-            } else {
-                chunks.stream().forEach(chunk ->
-                        writes.add(Write.put(Keys.progress(id, chunk), JobRecords.progress(job.done, chunk, job.faulty()))));
-            }
-            return writes;
-        }
+    JobChange(Job job) {
+      this.job = job;
+    }
 
-        @Override
-        public void committed() {
-            job.unwritten.andNot(chunks);
-            // What completed while this was on its way is not in what was written. It once passed for written: its worker
-            // was told to forget it, and a new leader started it again, beyond its team's limit.
-            for (Assignment assignment : job.assignments) {
-                if (assignment.completed && !written.contains(assignment)) {
-                    job.unwritten.set(chunkOf(assignment));
-                }
-            }
-            if (finishing) {
-                end(job);
-            }
-            if (!job.unwritten.isEmpty()) {
-                save(job);
-            }
-            Set<Machine> settled = new LinkedHashSet<>();
-            for (Assignment assignment : written) {
-                fleet.release(assignment);
-                settled.add(assignment.machine);
-            }
-            settled.forEach(fleet::settled);
-        }
+    @Override
+    public String name() {
+      return Keys.live(job.spec.id());
+    }
 
-        /** Its user cancelled it first; the watch brings that. */
-        @Override
-        public void rejected() {
-            LOG.debug("{} was over before its progress was written", job.spec.id());
-        }
+    @Override
+    public List<Condition> conditions() {
+      return List.of(new Condition(Keys.live(job.spec.id()), job.version));
     }
 
-    /** Removes what a job that is over has left behind. */
-    private record DropChange(String key) implements Change {
-        @Override
-        public String name() {
-            return key;
+    @Override
+    public List<Write> writes() {
+      String id = job.spec.id();
+      written = new LinkedHashSet<>();
+      chunks = (BitSet) job.unwritten.clone();
+      finishing = job.complete();
+      for (Assignment assignment : job.assignments) {
+        if (assignment.completed && (finishing || chunks.get(chunkOf(assignment)))) {
+          written.add(assignment);
         }
-
-        @Override
-        public List<Write> writes() {
-            return List.of(Write.drop(key));
+      }
+      List<Write> writes = new ArrayList<>();
+      if (finishing) {
+        writes.add(Write.drop(Keys.live(id)));
+        writes.add(
+            Write.put(Keys.finished(id), JobRecords.finished(JobState.DONE, job.spec.tasks())));
+        for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
+          writes.add(Write.drop(Keys.progress(id, chunk)));
         }
+      } else {
+        chunks.stream()
+            .forEach(
+                chunk ->
+                    writes.add(
+                        Write.put(
+                            Keys.progress(id, chunk),
+                            JobRecords.progress(job.done, chunk, job.faulty()))));
+      }
+      return writes;
+    }
 
-        @Override
-        public void committed() {
-            LOG.debug("dropped {}", key);
+    @Override
+    public void committed() {
+      job.unwritten.andNot(chunks);
+      // What completed while this was on its way is not in what was written. It once passed for
+      // written: its worker
+      // was told to forget it, and a new leader started it again, beyond its team's limit.
+      for (Assignment assignment : job.assignments) {
+        if (assignment.completed && !written.contains(assignment)) {
+          job.unwritten.set(chunkOf(assignment));
         }
+      }
+      if (finishing) {
+        end(job);
+      }
+      if (!job.unwritten.isEmpty()) {
+        save(job);
+      }
+      Set<Machine> settled = new LinkedHashSet<>();
+      for (Assignment assignment : written) {
+        fleet.release(assignment);
+        settled.add(assignment.machine);
+      }
+      settled.forEach(fleet::settled);
+    }
+
+    /** Its user cancelled it first; the watch brings that. */
+    @Override
+    public void rejected() {
+      LOG.debug("{} was over before its progress was written", job.spec.id());
+    }
+  }
+
+  /** Removes what a job that is over has left behind. */
+  private record DropChange(String key) implements Change {
+    @Override
+    public String name() {
+      return key;
+    }
+
+    @Override
+    public List<Write> writes() {
+      return List.of(Write.drop(key));
+    }
+
+    @Override
+    public void committed() {
+      LOG.debug("dropped {}", key);
     }
+  }
 }
--- a/src/main/java/madderrudder/coordination/dealings/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/dealings/LearnedRunTimes.java
@@ -11,10 +11,10 @@
 import madderrudder.coordination.picture.Job;
 import madderrudder.coordination.picture.RunTimes;
 import madderrudder.estimates.Estimate;
-import madderrudder.estimates.EstimatePages.Refused;
 import madderrudder.estimates.EstimatePages;
-import madderrudder.estimates.Estimator.ClassSummary;
+import madderrudder.estimates.EstimatePages.Refused;
 import madderrudder.estimates.Estimator;
+import madderrudder.estimates.Estimator.ClassSummary;
 import madderrudder.estimates.Question;
 import madderrudder.estimates.Run;
 import madderrudder.protocol.JobSpec;
@@ -26,167 +26,200 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Run times learned from what has run, kept in the store so that the next leader goes on from there. */
+/**
+ * Run times learned from what has run, kept in the store so that the next leader goes on from
+ * there.
+ */
 final class LearnedRunTimes implements RunTimes {
-    private static final Logger LOG = LoggerFactory.getLogger(LearnedRunTimes.class);
-    /** Memory: with as many jobs and the names of 1,500 machines about 5 MB of the smallest controller's 64 MB heap. */
-    private static final int MOST_KINDS = 500;
-    private static final int MOST_JOBS = 500;
-    /**
-     * Few enough that all are written within a minute, one at a time: a new leader lacks no more than that, and the
-     * store sees one write in ten seconds of the dozens it takes in each.
-     */
-    private static final int PAGES = 6;
-    private static final long PAGE_MICROS = 10_000_000;
-    private static final int PAGE_TEXT_BYTES = 15 * 1024;
-    /** Of a page, beside its text. */
-    private static final int PAGE_HEAD_BYTES = 64;
-    /** For so long an answer is good; the picture asks for each job that waits at each plan. */
-    private static final long ANSWER_MICROS = 2_000_000;
-    private static final double SHARE = 0.8;
-    private static final int MOST_CLASSES = 50;
-
-    private final Term term;
-    private final Estimator estimator = new Estimator(MOST_KINDS, MOST_JOBS);
-    private final EstimatePages pages;
-    private int next;
-
-    LearnedRunTimes(Term term) {
-        this.term = term;
-        int most = Math.min(PAGE_TEXT_BYTES, term.deployment.state().valueBytes()) - PAGE_HEAD_BYTES;
-        pages = new EstimatePages(estimator, PAGES, most);
+  private static final Logger LOG = LoggerFactory.getLogger(LearnedRunTimes.class);
+
+  /**
+   * Memory: with as many jobs and the names of 1,500 machines about 5 MB of the smallest
+   * controller's 64 MB heap.
+   */
+  private static final int MOST_KINDS = 500;
+
+  private static final int MOST_JOBS = 500;
+
+  /**
+   * Few enough that all are written within a minute, one at a time: a new leader lacks no more than
+   * that, and the store sees one write in ten seconds of the dozens it takes in each.
+   */
+  private static final int PAGES = 6;
+
+  private static final long PAGE_MICROS = 10_000_000;
+  private static final int PAGE_TEXT_BYTES = 15 * 1024;
+
+  /** Of a page, beside its text. */
+  private static final int PAGE_HEAD_BYTES = 64;
+
+  /** For so long an answer is good; the picture asks for each job that waits at each plan. */
+  private static final long ANSWER_MICROS = 2_000_000;
+
+  private static final double SHARE = 0.8;
+  private static final int MOST_CLASSES = 50;
+
+  private final Term term;
+  private final Estimator estimator = new Estimator(MOST_KINDS, MOST_JOBS);
+  private final EstimatePages pages;
+  private int next;
+
+  LearnedRunTimes(Term term) {
+    this.term = term;
+    int most = Math.min(PAGE_TEXT_BYTES, term.deployment.state().valueBytes()) - PAGE_HEAD_BYTES;
+    pages = new EstimatePages(estimator, PAGES, most);
+  }
+
+  /**
+   * Takes over what earlier leaders have learned. A page that can't be read is left out: learning
+   * afresh costs precision for a while, a failed take-over would cost everything.
+   */
+  void load(List<Item> items) {
+    for (Item item : items) {
+      try {
+        pages.read(item.value().text("d"));
+      } catch (MalformedMessage | Refused e) {
+        LOG.info(
+            "{} of run times is left out, they are learned afresh: {}", item.key(), e.getMessage());
+      }
     }
+    LOG.info("run times of {} kinds of tasks are known", estimator.size());
+  }
+
+  /** Begins to keep in the store what is learned. */
+  void keep() {
+    term.every(
+        PAGE_MICROS,
+        () -> {
+          int page = pages.nextChanged(next);
+          if (page >= 0) {
+            next = (page + 1) % PAGES;
+            term.journal.add(new PageChange(page), Lane.LATER);
+          }
+        });
+  }
 
-    /**
-     * Takes over what earlier leaders have learned. A page that can't be read is left out: learning afresh costs
-     * precision for a while, a failed take-over would cost everything.
-     */
-    void load(List<Item> items) {
-        for (Item item : items) {
-            try {
-                pages.read(item.value().text("d"));
-            } catch (MalformedMessage | Refused e) {
-                LOG.info("{} of run times is left out, they are learned afresh: {}", item.key(), e.getMessage());
-            }
-        }
-        LOG.info("run times of {} kinds of tasks are known", estimator.size());
+  @Override
+  public void ran(Run run) {
+    if (estimator.observe(run)) {
+      pages.changed(run.like());
     }
-
-    /** Begins to keep in the store what is learned. */
-    void keep() {
-        term.every(PAGE_MICROS, () -> {
-            int page = pages.nextChanged(next);
-            if (page >= 0) {
-                next = (page + 1) % PAGES;
-                term.journal.add(new PageChange(page), Lane.LATER);
-            }
-        });
+  }
+
+  private Estimate of(Job job) {
+    long now = term.scheduler.nowMicros();
+    if (job.expected == null || now - job.expected.askedMicros() >= ANSWER_MICROS) {
+      Question question = new Question(job.like, job.spec.estimateMicros(), "", 0, SHARE);
+      Estimate estimate = estimator.estimate(question);
+      if (job.expected == null && LOG.isDebugEnabled()) {
+        LOG.debug(
+            "{} of {} is expected to take {} ms ({} to {}): {}",
+            job.spec.id(),
+            job.spec.jobClass(),
+            estimate.medianMicros() / 1000,
+            estimate.lowMicros() / 1000,
+            estimate.highMicros() / 1000,
+            estimator.explain(question));
+      }
+      job.expected = new Expected(estimate, now);
     }
-
-    @Override
-    public void ran(Run run) {
-        if (estimator.observe(run)) {
-            pages.changed(run.like());
-        }
+    return job.expected.estimate();
+  }
+
+  @Override
+  public long expectedMicros(Job job) {
+    return of(job).medianMicros();
+  }
+
+  @Override
+  public long mostMicros(Job job) {
+    return of(job).highMicros();
+  }
+
+  @Override
+  public long leftMicros(Assignment assignment, long nowMicros) {
+    long ran = RunTimes.ranMicros(assignment, nowMicros);
+    JobSpec spec = assignment.job.spec;
+    long whole =
+        estimator
+            .estimate(
+                new Question(
+                    assignment.job.like,
+                    spec.estimateMicros(),
+                    assignment.machine.type.name(),
+                    ran,
+                    SHARE))
+            .medianMicros();
+    // Of one that runs for longer than anything like it nothing is known.
+    return whole > ran ? whole - ran : ran;
+  }
+
+  @Override
+  public boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros) {
+    if (assignment.runningMicros < 0 || assignment.job.spec.kind() == Kind.SERVICE) {
+      return false;
     }
-
-    private Estimate of(Job job) {
-        long now = term.scheduler.nowMicros();
-        if (job.expected == null || now - job.expected.askedMicros() >= ANSWER_MICROS) {
-            Question question = new Question(job.like, job.spec.estimateMicros(), "", 0, SHARE);
-            Estimate estimate = estimator.estimate(question);
-            if (job.expected == null && LOG.isDebugEnabled()) {
-                LOG.debug("{} of {} is expected to take {} ms ({} to {}): {}", job.spec.id(), job.spec.jobClass(),
-                        estimate.medianMicros() / 1000, estimate.lowMicros() / 1000, estimate.highMicros() / 1000,
-                        estimator.explain(question));
-            }
-            job.expected = new Expected(estimate, now);
-        }
-        return job.expected.estimate();
+    // Only of what has not come to its lower bound yet: what runs on just below its upper one
+    // mostly outlasts it.
+    long ran = RunTimes.ranMicros(assignment, nowMicros);
+    Estimate estimate = of(assignment.job);
+    return ran <= estimate.lowMicros() && estimate.highMicros() - ran <= withinMicros;
+  }
+
+  /** For operators: what is known of each class, and how well it held. */
+  void write(JsonGenerator out) throws IOException {
+    out.writeObjectFieldStart("run_times");
+    out.writeNumberField("kinds", estimator.size());
+    List<IOException> failed = new ArrayList<>();
+    estimator
+        .counts()
+        .each(
+            (name, count) -> {
+              try {
+                out.writeNumberField(name, count);
+              } catch (IOException e) {
+                failed.add(e);
+              }
+            });
+    if (!failed.isEmpty()) {
+      throw failed.get(0);
     }
-
-    @Override
-    public long expectedMicros(Job job) {
-        return of(job).medianMicros();
+    out.writeObjectFieldStart("ratio_to_guess");
+    for (ClassSummary known : estimator.classes(MOST_CLASSES)) {
+      out.writeObjectFieldStart(known.jobClass());
+      out.writeNumberField("runs", known.runs());
+      out.writeNumberField("low", known.low());
+      out.writeNumberField("median", known.median());
+      out.writeNumberField("high", known.high());
+      out.writeNumberField("share", known.share());
+      out.writeEndObject();
     }
+    out.writeEndObject();
+    out.writeEndObject();
+  }
 
-    @Override
-    public long mostMicros(Job job) {
-        return of(job).highMicros();
-    }
+  /** Rendered when it is written, so that it says what is known then. */
+  private final class PageChange implements Change {
+    private final int page;
 
-    @Override
-    public long leftMicros(Assignment assignment, long nowMicros) {
-        long ran = RunTimes.ranMicros(assignment, nowMicros);
-        JobSpec spec = assignment.job.spec;
-        long whole = estimator.estimate(new Question(assignment.job.like, spec.estimateMicros(),
-                assignment.machine.type.name(), ran, SHARE)).medianMicros();
-        // Of one that runs for longer than anything like it nothing is known.
-        return whole > ran ? whole - ran : ran;
+    PageChange(int page) {
+      this.page = page;
     }
 
     @Override
-    public boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros) {
-        if (assignment.runningMicros < 0 || assignment.job.spec.kind() == Kind.SERVICE) {
-            return false;
-        }
-        // Only of what has not come to its lower bound yet: what runs on just below its upper one mostly outlasts it.
-        long ran = RunTimes.ranMicros(assignment, nowMicros);
-        Estimate estimate = of(assignment.job);
-        return ran <= estimate.lowMicros() && estimate.highMicros() - ran <= withinMicros;
+    public String name() {
+      return Keys.runTimes(page);
     }
 
-    /** For operators: what is known of each class, and how well it held. */
-    void write(JsonGenerator out) throws IOException {
-        out.writeObjectFieldStart("run_times");
-        out.writeNumberField("kinds", estimator.size());
-        List<IOException> failed = new ArrayList<>();
-        estimator.counts().each((name, count) -> {
-            try {
-                out.writeNumberField(name, count);
-            } catch (IOException e) {
-                failed.add(e);
-            }
-        });
-        if (!failed.isEmpty()) {
-            throw failed.get(0);
-        }
-        out.writeObjectFieldStart("ratio_to_guess");
-        for (ClassSummary known : estimator.classes(MOST_CLASSES)) {
-            out.writeObjectFieldStart(known.jobClass());
-            out.writeNumberField("runs", known.runs());
-            out.writeNumberField("low", known.low());
-            out.writeNumberField("median", known.median());
-            out.writeNumberField("high", known.high());
-            out.writeNumberField("share", known.share());
-            out.writeEndObject();
-        }
-        out.writeEndObject();
-        out.writeEndObject();
+    @Override
+    public List<Write> writes() {
+      String text = pages.write(page);
+      return List.of(Write.put(name(), Json.object(out -> out.writeStringField("d", text))));
     }
 
-    /** Rendered when it is written, so that it says what is known then. */
-    private final class PageChange implements Change {
-        private final int page;
-
-        PageChange(int page) {
-            this.page = page;
-        }
-
-        @Override
-        public String name() {
-            return Keys.runTimes(page);
-        }
-
-        @Override
-        public List<Write> writes() {
-            String text = pages.write(page);
-            return List.of(Write.put(name(), Json.object(out -> out.writeStringField("d", text))));
-        }
-
-        @Override
-        public void committed() {
-            LOG.debug("{} kept", name());
-        }
+    @Override
+    public void committed() {
+      LOG.debug("{} kept", name());
     }
+  }
 }
--- a/src/main/java/madderrudder/coordination/dealings/Rentals.java
+++ b/src/main/java/madderrudder/coordination/dealings/Rentals.java
@@ -40,394 +40,497 @@
  * cloud is called, and the call is repeated under the same name until its fate is known.
  */
 final class Rentals {
-    private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
-    private static final long RETRY_MICROS = 1_000_000;
-    private static final int BOOT_FACTOR = 4;
-    private static final int MOST_DELETED = 100;
-    /** A list lags by up to twice what it usually does, and a request may take as long again until it shows. */
-    private static final int LONGEST_LAG = 4;
-
-    private final Term term;
-    private final Fleet fleet;
-    private final CloudClient cloud;
-    private final Budget budget;
-    private final Map<String, RentalRecord> open = new LinkedHashMap<>();
-    private final Shelves shelves = new Shelves();
-    private final Map<String, Long> unexpectedSince = new HashMap<>();
-    /** The machines that the last whole list did not have, though it must have had them were they there. */
-    private final Set<String> missing = new HashSet<>();
-    private boolean ownedSealed;
-    private boolean listed;
-    private boolean deleting;
-    private long nextPollMicros;
-    /** Since when work could be placed, as far as that was interrupted in this term. */
-    private long placingSinceMicros = Long.MIN_VALUE / 2;
-
-    Rentals(Term term, Fleet fleet, CloudClient cloud) {
-        this.term = term;
-        this.fleet = fleet;
-        this.cloud = cloud;
-        budget = new Budget(term.policy.budget(), term.policy.budgetWindowMicros(), term.deployment.clockOffMicros());
+  private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+  private static final long RETRY_MICROS = 1_000_000;
+  private static final int BOOT_FACTOR = 4;
+  private static final int MOST_DELETED = 100;
+
+  /**
+   * A list lags by up to twice what it usually does, and a request may take as long again until it
+   * shows.
+   */
+  private static final int LONGEST_LAG = 4;
+
+  private final Term term;
+  private final Fleet fleet;
+  private final CloudClient cloud;
+  private final Budget budget;
+  private final Map<String, RentalRecord> open = new LinkedHashMap<>();
+  private final Shelves shelves = new Shelves();
+  private final Map<String, Long> unexpectedSince = new HashMap<>();
+
+  /**
+   * The machines that the last whole list did not have, though it must have had them were they
+   * there.
+   */
+  private final Set<String> missing = new HashSet<>();
+
+  private boolean ownedSealed;
+  private boolean listed;
+  private boolean deleting;
+  private long nextPollMicros;
+
+  /** Since when work could be placed, as far as that was interrupted in this term. */
+  private long placingSinceMicros = Long.MIN_VALUE / 2;
+
+  Rentals(Term term, Fleet fleet, CloudClient cloud) {
+    this.term = term;
+    this.fleet = fleet;
+    this.cloud = cloud;
+    budget =
+        new Budget(
+            term.policy.budget(),
+            term.policy.budgetWindowMicros(),
+            term.deployment.clockOffMicros());
+  }
+
+  void load(TakeOver.Found found) throws MalformedMessage {
+    Item spent = found.singles().get(Keys.BUDGET);
+    if (spent != null) {
+      budget.load(spent.value());
     }
-
-    void load(TakeOver.Found found) throws MalformedMessage {
-        Item spent = found.singles().get(Keys.BUDGET);
-        if (spent != null) {
-            budget.load(spent.value());
-        }
-        ownedSealed = found.singles().containsKey(Keys.OWNED);
-        for (Item item : found.under(Keys.RENTALS)) {
-            String request = item.key().substring(Keys.RENTALS.length());
-            RentalRecord rental = RentalRecord.read(request, item.value());
-            open.put(request, rental);
-            call(rental);
-        }
-        list("", new TreeSet<>());
-        term.every(term.policy.pollMicros() / 5, this::deleteRetired);
+    ownedSealed = found.singles().containsKey(Keys.OWNED);
+    for (Item item : found.under(Keys.RENTALS)) {
+      String request = item.key().substring(Keys.RENTALS.length());
+      RentalRecord rental = RentalRecord.read(request, item.value());
+      open.put(request, rental);
+      call(rental);
     }
-
-    /** Machines found before the first rental are the owned ones. */
-    boolean ownedStillOpen() {
-        return !ownedSealed;
+    list("", new TreeSet<>());
+    term.every(term.policy.pollMicros() / 5, this::deleteRetired);
+  }
+
+  /** Machines found before the first rental are the owned ones. */
+  boolean ownedStillOpen() {
+    return !ownedSealed;
+  }
+
+  int underWay() {
+    return open.size();
+  }
+
+  /** A machine has reported for the first time. */
+  void up(Machine machine) {
+    shelves.booted(machine.shelf());
+  }
+
+  int budgetLeft() {
+    return budget.left(term.scheduler.wallMicros());
+  }
+
+  /** Rents what the plan asks for. */
+  void reconcile(Demand demand, long nowMicros) {
+    if (!listed || term.cluster.types.isEmpty()) {
+      return;
     }
-
-    int underWay() {
-        return open.size();
+    boolean poll = nowMicros >= nextPollMicros;
+    if (poll) {
+      nextPollMicros = nowMicros + term.policy.pollMicros();
     }
-
-    /** A machine has reported for the first time. */
-    void up(Machine machine) {
-        shelves.booted(machine.shelf());
+    List<Rental> underWay = new ArrayList<>();
+    for (RentalRecord record : open.values()) {
+      if (term.cluster.types.containsKey(record.type())) {
+        underWay.add(rental(record));
+      }
     }
-
-    int budgetLeft() {
-        return budget.left(term.scheduler.wallMicros());
+    List<Rental> wanted =
+        RentalPlanner.plan(
+            term.cluster,
+            term.policy,
+            demand,
+            nowMicros,
+            poll ? budgetLeft() : 0,
+            shelf -> asked(shelf) ? 0 : shelves.most(shelf, nowMicros),
+            underWay);
+    for (Rental rental : wanted) {
+      begin(rental);
     }
-
-    /** Rents what the plan asks for. */
-    void reconcile(Demand demand, long nowMicros) {
-        if (!listed || term.cluster.types.isEmpty()) {
-            return;
-        }
-        boolean poll = nowMicros >= nextPollMicros;
-        if (poll) {
-            nextPollMicros = nowMicros + term.policy.pollMicros();
-        }
-        List<Rental> underWay = new ArrayList<>();
-        for (RentalRecord record : open.values()) {
-            if (term.cluster.types.containsKey(record.type())) {
-                underWay.add(rental(record));
-            }
-        }
-        List<Rental> wanted = RentalPlanner.plan(term.cluster, term.policy, demand, nowMicros, poll ? budgetLeft() : 0,
-                shelf -> asked(shelf) ? 0 : shelves.most(shelf, nowMicros), underWay);
-        for (Rental rental : wanted) {
-            begin(rental);
-        }
+  }
+
+  /** One request at a time for what may run out, so that its answer is known before the next. */
+  private boolean asked(Rental.Shelf shelf) {
+    return open.values().stream()
+        .anyMatch(
+            r ->
+                r.type().equals(shelf.type())
+                    && r.zone().equals(shelf.zone())
+                    && r.spot() == shelf.spot());
+  }
+
+  private Rental rental(RentalRecord record) {
+    return new Rental(
+        term.cluster.types.get(record.type()),
+        record.zone(),
+        record.spot(),
+        record.count(),
+        record.counted());
+  }
+
+  private void begin(Rental rental) {
+    if (rental.counted() && !budget.reserve(rental.count(), term.scheduler.wallMicros())) {
+      return;
     }
-
-    /** One request at a time for what may run out, so that its answer is known before the next. */
-    private boolean asked(Rental.Shelf shelf) {
-        return open.values().stream().anyMatch(
-                r -> r.type().equals(shelf.type()) && r.zone().equals(shelf.zone()) && r.spot() == shelf.spot());
+    String request = term.nextCharter();
+    RentalRecord record =
+        new RentalRecord(
+            request,
+            rental.type().name(),
+            rental.zone(),
+            rental.spot(),
+            rental.count(),
+            rental.counted());
+    open.put(request, record);
+    LOG.info(
+        "renting {} {} in {}{}{} as {}",
+        rental.count(),
+        rental.type().name(),
+        rental.zone(),
+        rental.spot() ? " spot" : "",
+        rental.counted() ? ", counted" : "",
+        request);
+    term.journal.add(new IntentChange(record), Lane.FIRST);
+  }
+
+  private void call(RentalRecord record) {
+    if (!term.cluster.types.containsKey(record.type())) {
+      term.after(RETRY_MICROS, () -> call(record));
+      return;
     }
-
-    private Rental rental(RentalRecord record) {
-        return new Rental(term.cluster.types.get(record.type()), record.zone(), record.spot(), record.count(),
-                record.counted());
+    cloud.rent(
+        record.request(),
+        rental(record),
+        response -> {
+          if (!term.closed()) {
+            answered(record, response);
+          }
+        });
+  }
+
+  private void answered(RentalRecord record, HttpResponse response) {
+    Rental.Shelf shelf = new Rental.Shelf(record.type(), record.zone(), record.spot());
+    if (response.ok()) {
+      try {
+        List<String> machines = CloudCodec.readRented(response.body());
+        LOG.info("rented {} for {}", machines, record.request());
+        shelves.answered(shelf, record.count(), machines.size(), term.scheduler.nowMicros());
+        settle(record, machines);
+        return;
+      } catch (MalformedMessage e) {
+        LOG.info("the answer to {} is unreadable: {}", record.request(), e.getMessage());
+      }
+    } else if (response.status() == 503
+        && new String(response.body(), StandardCharsets.UTF_8).contains("no capacity")) {
+      LOG.info("no capacity for {}", record.request());
+      shelves.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
+      settle(record, List.of());
+      return;
+    } else if (response.status() == 400) {
+      LOG.error("the cloud calls {} malformed", record.request());
+      shelves.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
+      settle(record, List.of());
+      return;
     }
-
-    private void begin(Rental rental) {
-        if (rental.counted() && !budget.reserve(rental.count(), term.scheduler.wallMicros())) {
-            return;
-        }
-        String request = term.nextCharter();
-        RentalRecord record = new RentalRecord(request, rental.type().name(), rental.zone(), rental.spot(),
-                rental.count(), rental.counted());
-        open.put(request, record);
-        LOG.info("renting {} {} in {}{}{} as {}", rental.count(), rental.type().name(), rental.zone(),
-                rental.spot() ? " spot" : "", rental.counted() ? ", counted" : "", request);
-        term.journal.add(new IntentChange(record), Lane.FIRST);
+    term.after(RETRY_MICROS, () -> call(record));
+  }
+
+  private void settle(RentalRecord record, List<String> machines) {
+    open.remove(record.request());
+    for (String id : machines) {
+      if (!term.cluster.machines.containsKey(id) && !fleet.wasRemoved(id)) {
+        Machine machine =
+            fleet.add(
+                id,
+                record.type(),
+                record.zone(),
+                record.spot(),
+                false,
+                term.scheduler.wallMicros());
+        fleet.save(machine);
+      }
     }
-
-    private void call(RentalRecord record) {
-        if (!term.cluster.types.containsKey(record.type())) {
-            term.after(RETRY_MICROS, () -> call(record));
-            return;
-        }
-        cloud.rent(record.request(), rental(record), response -> {
-            if (!term.closed()) {
-                answered(record, response);
-            }
-        });
+    term.journal.add(new SettledChange(record.request()), Lane.SOON);
+  }
+
+  /**
+   * Squares log, list and reports: gives back what nobody needs and what does not work, and lets go
+   * of what is gone.
+   */
+  void square(long nowMicros, Confidence confidence) {
+    // An outage of the store that outlasts leases empties all machines, and has them unheard, since
+    // their reports are not
+    // answered. They once went back during it, and those who had waited through it waited for boots
+    // and images as well.
+    if (!term.election.entitled()) {
+      placingSinceMicros = nowMicros;
     }
-
-    private void answered(RentalRecord record, HttpResponse response) {
-        Rental.Shelf shelf = new Rental.Shelf(record.type(), record.zone(), record.spot());
-        if (response.ok()) {
-            try {
-                List<String> machines = CloudCodec.readRented(response.body());
-                LOG.info("rented {} for {}", machines, record.request());
-                shelves.answered(shelf, record.count(), machines.size(), term.scheduler.nowMicros());
-                settle(record, machines);
-                return;
-            } catch (MalformedMessage e) {
-                LOG.info("the answer to {} is unreadable: {}", record.request(), e.getMessage());
-            }
-        } else if (response.status() == 503
-                && new String(response.body(), StandardCharsets.UTF_8).contains("no capacity")) {
-            LOG.info("no capacity for {}", record.request());
-            shelves.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
-            settle(record, List.of());
-            return;
-        } else if (response.status() == 400) {
-            LOG.error("the cloud calls {} malformed", record.request());
-            shelves.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
-            settle(record, List.of());
-            return;
-        }
-        term.after(RETRY_MICROS, () -> call(record));
+    boolean settled = nowMicros - placingSinceMicros > term.policy.idleMicros();
+    int up = 0;
+    int silent = 0;
+    for (Machine machine : term.cluster.machines.values()) {
+      if (machine.lapsed) {
+        silent++;
+      } else if (machine.reported) {
+        up++;
+      }
     }
-
-    private void settle(RentalRecord record, List<String> machines) {
-        open.remove(record.request());
-        for (String id : machines) {
-            if (!term.cluster.machines.containsKey(id) && !fleet.wasRemoved(id)) {
-                Machine machine = fleet.add(id, record.type(), record.zone(), record.spot(), false,
-                        term.scheduler.wallMicros());
-                fleet.save(machine);
-            }
+    for (Machine machine : List.copyOf(term.cluster.machines.values())) {
+      MachineFinding finding =
+          MachineSquaring.of(facts(machine, nowMicros, up <= silent), ownedStillOpen());
+      boolean idle = machine.reported && !machine.lapsed && !machine.failed;
+      // Idle is what nobody needs, which is known only once the picture is good.
+      if (finding.verdict() == MachineFinding.Verdict.RETURN
+          && settled
+          && (!idle || confidence.suffices())) {
+        // One that an earlier leader has rented may have come up, and died since.
+        if (machine.booting() && !machine.takenOver) {
+          shelves.bootFailed(machine.shelf(), nowMicros);
         }
-        term.journal.add(new SettledChange(record.request()), Lane.SOON);
+        fleet.retire(machine, finding.reason());
+      } else if (finding.verdict() == MachineFinding.Verdict.GONE) {
+        LOG.info("{} is gone: {}", machine.id, finding.reason());
+        fleet.remove(machine);
+      }
     }
-
-    /** Squares log, list and reports: gives back what nobody needs and what does not work, and lets go of what is gone. */
-    void square(long nowMicros, Confidence confidence) {
-        // An outage of the store that outlasts leases empties all machines, and has them unheard, since their reports are not
-        // answered. They once went back during it, and those who had waited through it waited for boots and images as well.
-        if (!term.election.entitled()) {
-            placingSinceMicros = nowMicros;
-        }
-        boolean settled = nowMicros - placingSinceMicros > term.policy.idleMicros();
-        int up = 0;
-        int silent = 0;
-        for (Machine machine : term.cluster.machines.values()) {
-            if (machine.lapsed) {
-                silent++;
-            } else if (machine.reported) {
-                up++;
-            }
-        }
-        for (Machine machine : List.copyOf(term.cluster.machines.values())) {
-            MachineFinding finding = MachineSquaring.of(facts(machine, nowMicros, up <= silent), ownedStillOpen());
-            boolean idle = machine.reported && !machine.lapsed && !machine.failed;
-            // Idle is what nobody needs, which is known only once the picture is good.
-            if (finding.verdict() == MachineFinding.Verdict.RETURN && settled && (!idle || confidence.suffices())) {
-                // One that an earlier leader has rented may have come up, and died since.
-                if (machine.booting() && !machine.takenOver) {
-                    shelves.bootFailed(machine.shelf(), nowMicros);
-                }
-                fleet.retire(machine, finding.reason());
-            } else if (finding.verdict() == MachineFinding.Verdict.GONE) {
-                LOG.info("{} is gone: {}", machine.id, finding.reason());
-                fleet.remove(machine);
-            }
-        }
+  }
+
+  private MachineFacts facts(Machine machine, long nowMicros, boolean mostSilent) {
+    Listed listed =
+        machine.failed
+            ? Listed.FAILED
+            : missing.contains(machine.id) ? Listed.MISSING : Listed.UNKNOWN;
+    return new MachineFacts(
+        Logged.YES,
+        machine.owned,
+        machine.retiring,
+        listed,
+        worker(machine, nowMicros),
+        machine.empty(),
+        mostSilent);
+  }
+
+  private Worker worker(Machine machine, long nowMicros) {
+    if (machine.lapsed) {
+      return Worker.LAPSED;
     }
-
-    private MachineFacts facts(Machine machine, long nowMicros, boolean mostSilent) {
-        Listed listed = machine.failed ? Listed.FAILED : missing.contains(machine.id) ? Listed.MISSING : Listed.UNKNOWN;
-        return new MachineFacts(Logged.YES, machine.owned, machine.retiring, listed, worker(machine, nowMicros),
-                machine.empty(), mostSilent);
+    if (machine.deafFor(nowMicros, term.safety.leaseMicros())
+        && !machine.late(nowMicros, term.deployment.workers().reportMicros())) {
+      return Worker.DEAF;
     }
-
-    private Worker worker(Machine machine, long nowMicros) {
-        if (machine.lapsed) {
-            return Worker.LAPSED;
-        }
-        if (machine.deafFor(nowMicros, term.safety.leaseMicros())
-                && !machine.late(nowMicros, term.deployment.workers().reportMicros())) {
-            return Worker.DEAF;
-        }
-        if (machine.reported) {
-            return machine.empty() && nowMicros - machine.idleSinceMicros > term.policy.idleMicros() ? Worker.IDLE
-                    : machine.late(nowMicros, term.deployment.workers().reportMicros()) ? Worker.SILENT : Worker.REPORTS;
-        }
-        long age = term.scheduler.wallMicros() - machine.rentedWallMicros;
-        // One that has been up for long may not have found its way to a new leader yet.
-        return nowMicros - machine.knownMicros > 2 * term.safety.leaseMicros()
-                && age > Math.max(BOOT_FACTOR * machine.type.bootMicros(), term.policy.idleMicros())
-                ? Worker.OVERDUE : Worker.EXPECTED;
+    if (machine.reported) {
+      return machine.empty() && nowMicros - machine.idleSinceMicros > term.policy.idleMicros()
+          ? Worker.IDLE
+          : machine.late(nowMicros, term.deployment.workers().reportMicros())
+              ? Worker.SILENT
+              : Worker.REPORTS;
     }
-
-    private void deleteRetired() {
-        if (deleting) {
-            return;
-        }
-        List<Machine> batch = new ArrayList<>();
-        List<String> names = new ArrayList<>();
-        for (Machine machine : term.cluster.machines.values()) {
-            if (machine.retiring && machine.retiringDurable && batch.size() < MOST_DELETED) {
-                batch.add(machine);
-                names.add(machine.id);
-            }
-        }
-        if (batch.isEmpty()) {
-            return;
-        }
-        deleting = true;
-        cloud.delete(names, response -> {
-            if (term.closed()) {
-                return;
-            }
-            deleting = false;
-            if (response.ok()) {
-                batch.forEach(fleet::remove);
-            }
-        });
+    long age = term.scheduler.wallMicros() - machine.rentedWallMicros;
+    // One that has been up for long may not have found its way to a new leader yet.
+    return nowMicros - machine.knownMicros > 2 * term.safety.leaseMicros()
+            && age > Math.max(BOOT_FACTOR * machine.type.bootMicros(), term.policy.idleMicros())
+        ? Worker.OVERDUE
+        : Worker.EXPECTED;
+  }
+
+  private void deleteRetired() {
+    if (deleting) {
+      return;
     }
-
-    private void list(String since, Set<String> seen) {
-        cloud.list(since, response -> {
-            if (term.closed()) {
-                return;
-            }
-            CloudCodec.Page page = null;
-            if (response.ok()) {
-                try {
-                    page = CloudCodec.readPage(response.body());
-                } catch (MalformedMessage e) {
-                    LOG.info("the machine list is unreadable: {}", e.getMessage());
-                }
-            }
-            if (page == null) {
-                term.after(RETRY_MICROS, () -> list("", new TreeSet<>()));
-                return;
-            }
-            for (CloudCodec.Listed machine : page.machines()) {
-                seen.add(machine.id());
-                note(machine);
-            }
-            if (page.more() && !page.machines().isEmpty()) {
-                list(page.machines().get(page.machines().size() - 1).id(), seen);
-                return;
-            }
-            listed = true;
-            unexpectedSince.keySet().retainAll(seen);
-            noteMissing(seen);
-            term.after(term.deployment.cloud().listLagMicros(), () -> list("", new TreeSet<>()));
-        });
+    List<Machine> batch = new ArrayList<>();
+    List<String> names = new ArrayList<>();
+    for (Machine machine : term.cluster.machines.values()) {
+      if (machine.retiring && machine.retiringDurable && batch.size() < MOST_DELETED) {
+        batch.add(machine);
+        names.add(machine.id);
+      }
     }
-
-    /**
-     * A list lags by twice the usual lag at most, and a machine once listed stays listed until it is gone. One that is
-     * older than any lag and not in the list is gone, with all that was on it: its tasks need not wait for the end of a
-     * lease.
-     */
-    private void noteMissing(Set<String> seen) {
-        missing.clear();
-        long lagMicros = LONGEST_LAG * term.deployment.cloud().listLagMicros() + 2 * term.deployment.clockOffMicros();
-        for (Machine machine : term.cluster.machines.values()) {
-            if (!seen.contains(machine.id) && term.scheduler.wallMicros() - machine.rentedWallMicros > lagMicros) {
-                missing.add(machine.id);
-            }
-        }
+    if (batch.isEmpty()) {
+      return;
     }
+    deleting = true;
+    cloud.delete(
+        names,
+        response -> {
+          if (term.closed()) {
+            return;
+          }
+          deleting = false;
+          if (response.ok()) {
+            batch.forEach(fleet::remove);
+          }
+        });
+  }
 
-    private void note(CloudCodec.Listed listed) {
-        Machine machine = term.cluster.machines.get(listed.id());
-        if (machine != null) {
-            if (machine.addr.isEmpty()) {
-                machine.addr = listed.addr();
+  private void list(String since, Set<String> seen) {
+    cloud.list(
+        since,
+        response -> {
+          if (term.closed()) {
+            return;
+          }
+          CloudCodec.Page page = null;
+          if (response.ok()) {
+            try {
+              page = CloudCodec.readPage(response.body());
+            } catch (MalformedMessage e) {
+              LOG.info("the machine list is unreadable: {}", e.getMessage());
             }
-            machine.failed |= listed.state() == CloudCodec.State.FAILED;
+          }
+          if (page == null) {
+            term.after(RETRY_MICROS, () -> list("", new TreeSet<>()));
             return;
-        }
-        if (term.cluster.types.isEmpty()) {
+          }
+          for (CloudCodec.Listed machine : page.machines()) {
+            seen.add(machine.id());
+            note(machine);
+          }
+          if (page.more() && !page.machines().isEmpty()) {
+            list(page.machines().get(page.machines().size() - 1).id(), seen);
             return;
-        }
-        // A machine that this leader just rented may be listed before the answer names it, and one that an
-        // earlier leader returned is listed for a while. What stays is unexpected, and is used or returned.
-        boolean ownedOpen = ownedStillOpen() && open.isEmpty();
-        long now = term.scheduler.nowMicros();
-        long since = ownedOpen ? now : unexpectedSince.computeIfAbsent(listed.id(), id -> now);
-        boolean lasting = now - since > LONGEST_LAG * term.deployment.cloud().listLagMicros();
-        MachineFinding finding = MachineSquaring.of(new MachineFacts(
-                fleet.wasRemoved(listed.id()) ? Logged.GONE : Logged.NO, false, false,
-                lasting ? Listed.LASTING : Listed.THERE, Worker.EXPECTED, true, false), ownedOpen);
-        switch (finding.verdict()) {
-            case ADOPT_OWNED -> fleet.save(adopt(listed, true));
-            case ADOPT -> fleet.save(adopt(listed, false));
-            default -> { }
-        }
+          }
+          listed = true;
+          unexpectedSince.keySet().retainAll(seen);
+          noteMissing(seen);
+          term.after(term.deployment.cloud().listLagMicros(), () -> list("", new TreeSet<>()));
+        });
+  }
+
+  /**
+   * A list lags by twice the usual lag at most, and a machine once listed stays listed until it is
+   * gone. One that is older than any lag and not in the list is gone, with all that was on it: its
+   * tasks need not wait for the end of a lease.
+   */
+  private void noteMissing(Set<String> seen) {
+    missing.clear();
+    long lagMicros =
+        LONGEST_LAG * term.deployment.cloud().listLagMicros()
+            + 2 * term.deployment.clockOffMicros();
+    for (Machine machine : term.cluster.machines.values()) {
+      if (!seen.contains(machine.id)
+          && term.scheduler.wallMicros() - machine.rentedWallMicros > lagMicros) {
+        missing.add(machine.id);
+      }
     }
+  }
 
-    private Machine adopt(CloudCodec.Listed listed, boolean owned) {
-        LOG.info("found {} ({} {}), {}", listed.id(), listed.type(), listed.zone(), owned ? "owned" : "unexpected");
-        Machine machine = fleet.add(listed.id(), listed.type(), listed.zone(), listed.spot(), owned,
-                term.scheduler.wallMicros() - listed.ageMicros());
+  private void note(CloudCodec.Listed listed) {
+    Machine machine = term.cluster.machines.get(listed.id());
+    if (machine != null) {
+      if (machine.addr.isEmpty()) {
         machine.addr = listed.addr();
-        return machine;
+      }
+      machine.failed |= listed.state() == CloudCodec.State.FAILED;
+      return;
+    }
+    if (term.cluster.types.isEmpty()) {
+      return;
+    }
+    // A machine that this leader just rented may be listed before the answer names it, and one that
+    // an
+    // earlier leader returned is listed for a while. What stays is unexpected, and is used or
+    // returned.
+    boolean ownedOpen = ownedStillOpen() && open.isEmpty();
+    long now = term.scheduler.nowMicros();
+    long since = ownedOpen ? now : unexpectedSince.computeIfAbsent(listed.id(), id -> now);
+    boolean lasting = now - since > LONGEST_LAG * term.deployment.cloud().listLagMicros();
+    MachineFinding finding =
+        MachineSquaring.of(
+            new MachineFacts(
+                fleet.wasRemoved(listed.id()) ? Logged.GONE : Logged.NO,
+                false,
+                false,
+                lasting ? Listed.LASTING : Listed.THERE,
+                Worker.EXPECTED,
+                true,
+                false),
+            ownedOpen);
+    switch (finding.verdict()) {
+      case ADOPT_OWNED -> fleet.save(adopt(listed, true));
+      case ADOPT -> fleet.save(adopt(listed, false));
+      default -> {}
+    }
+  }
+
+  private Machine adopt(CloudCodec.Listed listed, boolean owned) {
+    LOG.info(
+        "found {} ({} {}), {}",
+        listed.id(),
+        listed.type(),
+        listed.zone(),
+        owned ? "owned" : "unexpected");
+    Machine machine =
+        fleet.add(
+            listed.id(),
+            listed.type(),
+            listed.zone(),
+            listed.spot(),
+            owned,
+            term.scheduler.wallMicros() - listed.ageMicros());
+    machine.addr = listed.addr();
+    return machine;
+  }
+
+  /** The intent, its reservation, and the owned machines if this is the first rental of all. */
+  private final class IntentChange implements Change {
+    private final RentalRecord record;
+    private boolean sealing;
+
+    IntentChange(RentalRecord record) {
+      this.record = record;
     }
 
-    /** The intent, its reservation, and the owned machines if this is the first rental of all. */
-    private final class IntentChange implements Change {
-        private final RentalRecord record;
-        private boolean sealing;
-
-        IntentChange(RentalRecord record) {
-            this.record = record;
-        }
-
-        @Override
-        public String name() {
-            return Keys.rental(record.request());
-        }
+    @Override
+    public String name() {
+      return Keys.rental(record.request());
+    }
 
-        @Override
-        public List<Write> writes() {
-            List<Write> writes = new ArrayList<>();
-            writes.add(Write.put(Keys.rental(record.request()), record.render()));
-            if (record.counted()) {
-                writes.add(Write.put(Keys.BUDGET, budget.render()));
-            }
-            sealing = !ownedSealed;
-            if (sealing) {
-                writes.add(Write.put(Keys.OWNED, Json.object(out -> {
-                    out.writeArrayFieldStart("machines");
-                    for (Machine machine : term.cluster.machines.values()) {
+    @Override
+    public List<Write> writes() {
+      List<Write> writes = new ArrayList<>();
+      writes.add(Write.put(Keys.rental(record.request()), record.render()));
+      if (record.counted()) {
+        writes.add(Write.put(Keys.BUDGET, budget.render()));
+      }
+      sealing = !ownedSealed;
+      if (sealing) {
+        writes.add(
+            Write.put(
+                Keys.OWNED,
+                Json.object(
+                    out -> {
+                      out.writeArrayFieldStart("machines");
+                      for (Machine machine : term.cluster.machines.values()) {
                         if (machine.owned) {
-                            out.writeString(machine.id);
+                          out.writeString(machine.id);
                         }
-                    }
-                    out.writeEndArray();
-                })));
-            }
-            return writes;
-        }
+                      }
+                      out.writeEndArray();
+                    })));
+      }
+      return writes;
+    }
 
-        @Override
-        public void committed() {
-            ownedSealed |= sealing;
-            call(record);
-        }
+    @Override
+    public void committed() {
+      ownedSealed |= sealing;
+      call(record);
     }
+  }
 
-    /** The rental's answer is in the machines' own records, written before or with this. */
-    private record SettledChange(String request) implements Change {
-        @Override
-        public String name() {
-            return Keys.rental(request);
-        }
+  /** The rental's answer is in the machines' own records, written before or with this. */
+  private record SettledChange(String request) implements Change {
+    @Override
+    public String name() {
+      return Keys.rental(request);
+    }
 
-        @Override
-        public List<Write> writes() {
-            return List.of(Write.drop(Keys.rental(request)));
-        }
+    @Override
+    public List<Write> writes() {
+      return List.of(Write.drop(Keys.rental(request)));
+    }
 
-        @Override
-        public void committed() {
-            LOG.debug("rental {} settled", request);
-        }
+    @Override
+    public void committed() {
+      LOG.debug("rental {} settled", request);
     }
+  }
 }
--- a/src/main/java/madderrudder/coordination/dealings/WorkerDesk.java
+++ b/src/main/java/madderrudder/coordination/dealings/WorkerDesk.java
@@ -21,9 +21,9 @@
 import madderrudder.protocol.MalformedMessage;
 import madderrudder.protocol.Order;
 import madderrudder.protocol.Resources;
+import madderrudder.protocol.TaskReport;
 import madderrudder.protocol.TaskReport.Phase;
 import madderrudder.protocol.TaskReport.Why;
-import madderrudder.protocol.TaskReport;
 import madderrudder.protocol.WorkerCodec;
 import madderrudder.protocol.WorkerReport;
 import madderrudder.transport.HttpRequest;
@@ -36,562 +36,673 @@
  * records; a record goes only when the worker can no longer come to have the task.
  */
 final class WorkerDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(WorkerDesk.class);
-    private static final long DIRECT_MICROS = 2_500_000;
-    private static final long DIRECT_PAUSE_MICROS = 10_000_000;
-    /** Errors so far apart have nothing to do with one another. */
-    private static final long FAULT_MICROS = 120_000_000;
-    /** A machine is passed over for so long: nobody is to wait for 90 s beside its room, and one more error tells. */
-    private static final long PASSED_OVER_MICROS = 60_000_000;
-    private static final long STOP_AGAIN_MICROS = 1_000_000;
-    /** The time within which a worker heeds an answer. */
-    private static final long ANSWER_MICROS = 4_000_000;
-    /** Each takes some 110 bytes, and what a worker is told in one line, or takes as a request, 64 KiB at most. */
-    private static final int MOST_ORDERS = 400;
-
-    private final Term term;
-    private final Fleet fleet;
-    private final JobBook jobs;
-    private final Rentals rentals;
-    private final Runnable onRoom;
-    private final Predicate<Job> undecided;
-
-    /** {@code undecided}: what comes before the job is not known yet, so that nothing of it is to be started anew. */
-    WorkerDesk(Term term, Fleet fleet, JobBook jobs, Rentals rentals, Runnable onRoom, Predicate<Job> undecided) {
-        this.term = term;
-        this.fleet = fleet;
-        this.jobs = jobs;
-        this.rentals = rentals;
-        this.onRoom = onRoom;
-        this.undecided = undecided;
-    }
-
-    /** What a report is worth. */
-    enum Worth {
-        /** It says something new. */
-        NEW,
-        /** A direct command's answer has overtaken it: it says nothing new, and its worker waits for an answer. */
-        OVERTAKEN,
-        /** Its worker has gone on since, and heeds no answer to it. */
-        LATE
-    }
-
-    /** Takes a report in. */
-    Worth take(WorkerReport report) {
-        Machine machine = term.cluster.machines.get(report.machine());
-        if (machine == null) {
-            if (fleet.wasRemoved(report.machine())) {
-                return Worth.LATE;
-            }
-            machine = fleet.add(report.machine(), report.type(), report.zone(), report.spot(),
-                    rentals.ownedStillOpen(), term.scheduler.wallMicros());
-            LOG.info("{} reports ({} {}{}), {}", machine.id, report.type(), report.zone(),
-                    report.spot() ? " spot" : "", machine.owned ? "owned" : "rented");
-            fleet.save(machine);
-            // It may have been returned long ago, and this be a late copy: nothing goes there before its worker has answered.
-            if (!machine.owned) {
-                doubtUnlessHeard(machine, report, term.scheduler.nowMicros());
-            }
-        } else if (machine.reported && !report.newerThan(machine.session, machine.seq)) {
-            return old(machine, report);
-        }
-        long now = term.scheduler.nowMicros();
-        if (machine.reported && report.session() > machine.session) {
-            newSession(machine);
-            machine.doubt(now);
-        } else if (machine.reported && machine.told) {
-            // The answer to a report before carried this term's token, and did not reach it.
-            doubtUnlessHeard(machine, report, machine.heardMicros);
-        }
-        if (machine.heeds(report.token())) {
-            LOG.debug("answers reach {}", machine.id);
-        }
-        boolean first = !machine.reported;
-        if (first || machine.lapsed) {
-            machine.idleSinceMicros = now;
-            rentals.up(machine);
-            LOG.info("{} is here", machine.id);
-        }
-        machine.reported = true;
-        machine.lapsed = false;
-        machine.failed = false;
-        machine.session = report.session();
-        machine.seq = report.seq();
-        machine.token = report.token();
-        machine.current |= Token.term(report.token()) >= term.number;
-        machine.helloSeq = report.seq();
-        machine.helloMicros = now;
-        machine.addr = report.addr().isEmpty() ? machine.addr : report.addr();
-        machine.recallMicros = report.noticeMicros() < 0 ? -1 : now + report.noticeMicros();
-        boolean room = apply(machine, report, now);
-        room |= vanish(machine);
-        if (room || first) {
-            onRoom.run();
-        }
-        return Worth.NEW;
-    }
-
-    /** Takes in a report that was answered while the state was being read. */
-    void takeAnswered(WorkerReport report) {
-        take(report);
-        Machine machine = term.cluster.machines.get(report.machine());
-        if (machine != null) {
-            machine.told = true;
-        }
-    }
-
-    private void doubtUnlessHeard(Machine machine, WorkerReport report, long sinceMicros) {
-        if (Token.term(report.token()) < term.number) {
-            machine.doubt(sinceMicros);
-        }
-    }
-
-    /**
-     * A worker has one report under way at a time, and drops what it is answered after four seconds: an answer to an older
-     * one than the last it has sent by itself reaches nobody, and must not be counted for its lease.
-     */
-    private Worth old(Machine machine, WorkerReport report) {
-        boolean last = report.session() == machine.session && (report.seq() > machine.helloSeq
-                || report.seq() == machine.helloSeq && term.scheduler.nowMicros() - machine.helloMicros < ANSWER_MICROS);
-        if (!last) {
-            return Worth.LATE;
-        }
-        if (report.seq() > machine.helloSeq) {
-            machine.helloSeq = report.seq();
-            machine.helloMicros = term.scheduler.nowMicros();
-        }
-        return Worth.OVERTAKEN;
-    }
-
-    /**
-     * A machine that has not heard anything for a lease, though it reports, has dropped what it had if its reports are fresh;
-     * if they are late copies, no answer to them reaches anybody. Either way nothing is lost by giving none, and once none was
-     * given for a lease, what earlier leaders have placed there is surely gone: its worker can't show that by this term's token.
-     */
-    boolean withholds(WorkerReport report) {
-        Machine machine = term.cluster.machines.get(report.machine());
-        return machine != null && !machine.empty()
-                && machine.deafFor(term.scheduler.nowMicros(), term.safety.leaseMicros());
-    }
-
-    /**
-     * The worker's lease ran out in between: it forgot what this leader had started, and old commands no longer fit.
-     * What an earlier leader started may belong to the new session: both reports may be older than that, held on their
-     * way. Such tasks once were taken for gone and ran twice; they go only with a report that knows this term.
-     */
-    private void newSession(Machine machine) {
-        LOG.info("{} begins a new session", machine.id);
-        fleet.releaseOwn(machine);
-        machine.helloSeq = -1;
-    }
-
-    /** Follows the states of the tasks that the worker has; true if room came free. */
-    private boolean apply(Machine machine, WorkerReport report, long now) {
-        boolean room = !machine.strays.isEmpty();
-        List<Machine.Stray> strays = List.of();
-        for (TaskReport task : report.tasks()) {
-            Machine.Key key = new Machine.Key(task.task(), task.attempt());
-            Assignment assignment = machine.assignments.get(key);
-            if (assignment != null) {
-                assignment.reportedSeq = report.seq();
-            }
-            if (assignment == null) {
-                if (task.phase() != Phase.EXITED) {
-                    strays = strays.isEmpty() ? new ArrayList<>() : strays;
-                    strays.add(stray(key));
-                }
-            } else if (task.phase() == Phase.EXITED) {
-                room |= ended(assignment, task, report.token()) && exited(assignment, task, now);
-            } else {
-                progressed(assignment, task.phase(), now);
-            }
-        }
-        if (room || !strays.isEmpty()) {
-            term.cluster.strays(machine, strays);
-        }
-        return room;
-    }
-
-    /** Whether the exit is to be recorded: an earlier leader's start of the same attempt may have come after it. */
-    private boolean ended(Assignment assignment, TaskReport task, long token) {
-        Told told = task.why() == Why.DONE ? Told.DONE : Told.EXITED;
-        boolean mayCome = assignment.inherited && Token.term(token) < term.number;
-        Verdict verdict = Squaring.of(new TaskFacts(assignment.inherited ? Record.EARLIER : Record.OWN, wish(assignment), told,
-                mayCome, true, assignment.durable, mates(assignment.job))).verdict();
-        return verdict == Verdict.RECORD_DONE || verdict == Verdict.RECORD_EXIT;
-    }
-
-    private Machine.Stray stray(Machine.Key key) {
-        Job job = term.cluster.jobs.get(key.task().job());
-        return new Machine.Stray(key, job == null ? "" : job.spec.team(),
-                job == null ? Resources.NONE : job.spec.perTask());
-    }
-
-    private void progressed(Assignment assignment, Phase phase, long now) {
-        if (phase != Phase.FETCHING && assignment.phase != phase && assignment.job != null) {
-            fleet.usedImage(assignment.machine, assignment.job.spec);
-        }
-        if (phase == Phase.RUNNING && assignment.runningMicros < 0) {
-            assignment.runningMicros = now;
-            started(assignment, now);
-            if (assignment.job != null) {
-                assignment.job.gangRan = true;
-            }
-        }
-        assignment.phase = phase;
-    }
-
-    private void started(Assignment assignment, long now) {
-        if (assignment.inherited) {
-            return;
-        }
-        term.metrics.record(Timing.STARTING, assignment.waitedMicros + now - assignment.placedMicros);
-        if (LOG.isDebugEnabled()) {
-            LOG.debug("{} of {} runs on {} ({} {}): waited {} ms, recorded {} ms, told {} ms, fetched {} ms{}",
-                    assignment.task, assignment.job == null ? "?" : assignment.job.spec.jobClass(),
-                    assignment.machine.id, assignment.machine.type.name(),
-                    assignment.machine.spot ? "spot" : assignment.machine.owned ? "owned" : "steady",
-                    assignment.waitedMicros / 1000, (assignment.durableMicros - assignment.placedMicros) / 1000,
-                    (assignment.toldMicros - assignment.durableMicros) / 1000, (now - assignment.toldMicros) / 1000,
-                    assignment.hadImage ? "" : ", no image");
-        }
-    }
-
-    private boolean exited(Assignment assignment, TaskReport task, long now) {
-        if (assignment.completed) {
-            return false;
-        }
-        assignment.phase = Phase.EXITED;
-        Machine machine = assignment.machine;
-        Job job = assignment.job;
-        LOG.debug("{} attempt {} exited on {}: {}", task.task(), task.attempt(), machine.id, task.why());
-        if (task.why() == Why.DONE) {
-            if (job != null) {
-                fleet.usedImage(machine, job.spec);
-                ran(assignment, now, !job.mayHaveResumed(task.task().index()));
-            }
-            jobs.completed(assignment);
-            return true;
-        }
-        if (job != null && (task.why() == Why.STOPPED || task.why() == Why.PEERS)) {
-            ran(assignment, now, false);
-            job.gangRan |= task.why() == Why.PEERS;
-        }
-        fleet.release(assignment);
-        if (job != null && !job.over) {
-            switch (task.why()) {
-                case ERROR -> failed(job, task, machine, now);
-                case NO_ROOM, BUSY, UNKNOWN -> job.refused(task.task().index(), now);
-                default -> { }
-            }
-        }
-        return true;
-    }
-
-    /** A mistake in a job is told apart from a fault of a machine by who else fails: on several machines, or of several jobs. */
-    private void failed(Job job, TaskReport task, Machine machine, long now) {
-        boolean before = job.faulty();
-        job.failed(task.task().index(), machine.id, now);
-        if (!job.faulty()) {
-            machine.fault(job.spec.id(), now, FAULT_MICROS, PASSED_OVER_MICROS);
-        } else if (!before) {
-            LOG.info("{} fails wherever it runs: one task at a time is tried from now on", job.spec.id());
-            jobs.foundFaulty(job);
-            for (String id : job.erredOn()) {
-                Machine blamed = term.cluster.machines.get(id);
-                if (blamed != null) {
-                    blamed.forgive(job.spec.id());
-                }
-            }
-        }
-    }
-
-    /**
-     * A task has run: all of it if {@code complete}, and else at least so long. What earlier leaders started began at a
-     * time that is not known here.
-     */
-    private void ran(Assignment assignment, long now, boolean complete) {
-        if (assignment.runningMicros >= 0 && !assignment.inherited) {
-            Run run = new Run(assignment.job.like, assignment.task.index(), assignment.attempt,
-                    assignment.machine.type.name(), assignment.machine.id, assignment.job.spec.estimateMicros(),
-                    now - assignment.runningMicros, complete);
-            term.cluster.runTimes.ran(run);
-            term.history.add(term.scheduler.wallMicros(), run);
-        }
-    }
-
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerDesk.class);
+  private static final long DIRECT_MICROS = 2_500_000;
+  private static final long DIRECT_PAUSE_MICROS = 10_000_000;
+
+  /** Errors so far apart have nothing to do with one another. */
+  private static final long FAULT_MICROS = 120_000_000;
+
+  /**
+   * A machine is passed over for so long: nobody is to wait for 90 s beside its room, and one more
+   * error tells.
+   */
+  private static final long PASSED_OVER_MICROS = 60_000_000;
+
+  private static final long STOP_AGAIN_MICROS = 1_000_000;
+
+  /** The time within which a worker heeds an answer. */
+  private static final long ANSWER_MICROS = 4_000_000;
+
+  /**
+   * Each takes some 110 bytes, and what a worker is told in one line, or takes as a request, 64 KiB
+   * at most.
+   */
+  private static final int MOST_ORDERS = 400;
+
+  private final Term term;
+  private final Fleet fleet;
+  private final JobBook jobs;
+  private final Rentals rentals;
+  private final Runnable onRoom;
+  private final Predicate<Job> undecided;
+
+  /**
+   * {@code undecided}: what comes before the job is not known yet, so that nothing of it is to be
+   * started anew.
+   */
+  WorkerDesk(
+      Term term,
+      Fleet fleet,
+      JobBook jobs,
+      Rentals rentals,
+      Runnable onRoom,
+      Predicate<Job> undecided) {
+    this.term = term;
+    this.fleet = fleet;
+    this.jobs = jobs;
+    this.rentals = rentals;
+    this.onRoom = onRoom;
+    this.undecided = undecided;
+  }
+
+  /** What a report is worth. */
+  enum Worth {
+    /** It says something new. */
+    NEW,
     /**
-     * Drops records of tasks that the worker neither has nor can still be told to start. A start that went with the answer to
-     * an earlier report and does not show has not reached it.
+     * A direct command's answer has overtaken it: it says nothing new, and its worker waits for an
+     * answer.
      */
-    private boolean vanish(Machine machine) {
-        List<Assignment> gone = new ArrayList<>();
-        for (Assignment assignment : machine.assignments.values()) {
-            if (!assignment.seen() && assignment.startSeq >= 0 && assignment.startSeq < machine.seq) {
-                machine.doubt(term.scheduler.nowMicros());
-            }
-            if (finding(assignment).verdict() == Verdict.GONE) {
-                gone.add(assignment);
-            }
-        }
-        gone.forEach(fleet::release);
-        return !gone.isEmpty();
-    }
-
-    private Finding finding(Assignment assignment) {
-        return Squaring.of(facts(assignment));
-    }
-
-    private TaskFacts facts(Assignment assignment) {
-        Machine machine = assignment.machine;
-        Told told = !machine.reported ? Told.NOTHING : assignment.reportedSeq == machine.seq ? Told.HELD : Told.ABSENT;
-        // A worker that has seen this term's token takes no command of an earlier leader any more. Answers to reports
-        // are dropped once the next report is under way, so a newer one settles an unseen start.
-        boolean mayCome = assignment.directToken >= machine.token || assignment.startSeq >= machine.seq
-                || assignment.inherited && Token.term(machine.token) < term.number;
-        return new TaskFacts(assignment.inherited ? Record.EARLIER : Record.OWN, wish(assignment), told, mayCome,
-                assignment.seen(), assignment.durable, mates(assignment.job));
-    }
-
-    /** What a lease that ended has stopped needs no order to stay so, if its room is wanted for what comes before it. */
-    private Wish wish(Assignment assignment) {
-        if (assignment.completed) {
-            return Wish.KEPT_DONE;
-        }
-        if (assignment.unwanted || assignment.job == null || assignment.job.over) {
-            return Wish.GO;
-        }
-        return assignment.inherited && !assignment.seen() && undecided.test(assignment.job) ? Wish.MAY_STAY : Wish.RUN;
-    }
-
-    private static Mates mates(Job job) {
-        if (job == null || job.spec.kind() != Kind.GANG) {
-            return Mates.GATHER;
-        }
-        return job.gangRan ? Mates.RAN : job.gangHeard() ? Mates.GATHER : Mates.UNHEARD;
-    }
-
-    /** What a worker has that no record names there. */
-    private static Finding unrecorded(TaskReport task) {
-        Told told = task.phase() != Phase.EXITED ? Told.HELD : task.why() == Why.DONE ? Told.DONE : Told.EXITED;
-        return Squaring.of(new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER));
-    }
-
-    /** Whether the machine waits for a record to become durable that an answer could then carry. */
-    boolean unsettled(String id) {
-        Machine machine = term.cluster.machines.get(id);
-        if (machine != null) {
-            for (Assignment assignment : machine.assignments.values()) {
-                if (!assignment.durable && !assignment.unwanted) {
-                    return true;
-                }
-            }
-        }
-        return false;
-    }
-
-    /**
-     * A report that a direct command's answer has overtaken is answered too, and that renews the worker's
-     * lease. Such answers once were not counted, so that the machine was taken for empty up to a report's interval before it was;
-     * and they carried no stops, so that what was cancelled lived on with them.
-     */
-    List<Order> ordersForOvertaken(WorkerReport report) {
-        Machine machine = term.cluster.machines.get(report.machine());
-        if (machine == null) {
-            return List.of();
-        }
-        machine.answeredMicros = Math.max(machine.answeredMicros, term.scheduler.nowMicros());
-        machine.told = true;
-        return stops(machine, report);
-    }
-
-    /**
-     * Stops for all that the report shows and that shall not be there. They name attempts, and are right however old the report
-     * is; no answer that renews a lease goes without them.
-     */
-    private List<Order> stops(Machine machine, WorkerReport report) {
-        List<Order> stops = new ArrayList<>();
-        for (TaskReport task : report.tasks()) {
-            Assignment assignment = machine.assignments.get(new Machine.Key(task.task(), task.attempt()));
-            if (task.phase() != Phase.EXITED && assignment == null) {
-                stops.add(Order.stop(task.task(), task.attempt(), 0));
-            } else if (task.phase() != Phase.EXITED && wish(assignment) == Wish.GO) {
-                stops.add(stop(assignment, term.scheduler.nowMicros()));
-            }
-        }
-        return stops;
-    }
-
-    /** The commands for the report's answer. To be called when the answer is sent. */
-    List<Order> ordersFor(WorkerReport report) {
-        Machine machine = term.cluster.machines.get(report.machine());
-        if (machine == null) {
-            return List.of();
-        }
-        long now = term.scheduler.nowMicros();
-        machine.answeredMicros = Math.max(machine.answeredMicros, now);
-        machine.heardMicros = now;
-        machine.told = true;
-        if (machine.session != report.session() || machine.seq != report.seq()) {
-            return stops(machine, report);
-        }
-        List<Order> orders = new ArrayList<>();
-        boolean raise = false;
-        for (TaskReport task : report.tasks()) {
-            Machine.Key key = new Machine.Key(task.task(), task.attempt());
-            Assignment assignment = machine.assignments.get(key);
-            if (assignment == null) {
-                switch (unrecorded(task).verdict()) {
-                    case FORGET -> {
-                        orders.add(Order.forget(key.task(), key.attempt()));
-                        raise = true;
-                    }
-                    case STOP -> orders.add(Order.stop(key.task(), key.attempt(), 0));
-                    default -> { }
-                }
-            } else if (finding(assignment).verdict() == Verdict.STOP) {
-                orders.add(stop(assignment, now));
-            }
-        }
-        for (Assignment assignment : machine.assignments.values()) {
-            Finding finding = finding(assignment);
-            raise |= finding.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
-            if (orders.size() < MOST_ORDERS && startable(assignment, finding)) {
-                orders.add(Order.start(assignment.task, assignment.attempt));
-                if (!assignment.startSent) {
-                    assignment.toldMicros = now;
-                }
-                assignment.startSent = true;
-                assignment.startSeq = report.seq();
-            }
-        }
-        // A copy of a direct start could start again what its worker has forgotten: it must be too old by then. What waits for
-        // a direct start of unknown fate is settled in the same way.
-        if (raise && machine.directToken >= machine.given) {
-            machine.raise();
-        }
-        return orders;
-    }
-
-    /** The token that goes with what the worker is told now. */
-    long token(WorkerReport report) {
-        Machine machine = term.cluster.machines.get(report.machine());
-        return machine == null ? Token.echo(report.token(), term.number) : token(machine, report.token());
-    }
-
-    private long token(Machine machine, long seen) {
-        machine.given = Math.max(machine.given, Token.echo(seen, term.number));
-        return machine.given;
-    }
-
-    private boolean startable(Assignment assignment, Finding finding) {
-        return finding.verdict() == Verdict.START && !assignment.machine.retiring && term.election.entitled();
-    }
-
-    private Order stop(Assignment assignment, long now) {
-        if (assignment.stopSentMicros < 0) {
-            assignment.stopSentMicros = now;
-        }
-        Job job = assignment.job;
-        boolean saves = job != null && !job.over && job.spec.checkpointMicros() > 0;
-        long grace = saves ? job.spec.saveMicros() + term.deployment.workers().gangPeerMicros() : 0;
-        return Order.stop(assignment.task, assignment.attempt, grace);
-    }
-
-    /** Sends what can't wait for the next report straight to the worker; whether there was anything. */
-    boolean push(Machine machine) {
-        long now = term.scheduler.nowMicros();
-        if (machine.directInFlight || machine.addr.isEmpty() || now < machine.directBlockedUntilMicros
-                || !machine.usable(now, term.deployment.workers().reportMicros()) || term.closed()) {
-            return false;
-        }
-        List<Order> orders = new ArrayList<>(2);
-        List<Assignment> starts = new ArrayList<>(2);
-        for (Assignment assignment : machine.assignments.values()) {
-            if (orders.size() >= MOST_ORDERS) {
-                break;
-            }
-            if (!assignment.startSent && assignment.reportedSeq != machine.seq && Token.canRise(machine.given)
-                    && startable(assignment, finding(assignment))) {
-                orders.add(Order.start(assignment.task, assignment.attempt));
-                starts.add(assignment);
-            } else if (assignment.unwanted && assignment.seen() && !assignment.completed
-                    && assignment.phase != Phase.EXITED
-                    && (assignment.stopSentMicros < 0 || now - assignment.stopSentMicros > STOP_AGAIN_MICROS)) {
-                assignment.stopSentMicros = now;
-                orders.add(stop(assignment, now));
-            }
-        }
-        if (orders.isEmpty() || !madderrudder.transport.Addresses.valid(machine.addr)) {
-            return false;
-        }
-        long token = token(machine, machine.token);
-        for (Assignment start : starts) {
-            start.startSent = true;
-            start.toldMicros = now;
-            start.directToken = token;
-            machine.directToken = token;
-        }
-        machine.directInFlight = true;
-        long session = machine.session;
-        HttpRequest request = HttpRequest.post("/orders", WorkerCodec.direct(token, session, orders));
-        term.calls.call(machine.addr, request, DIRECT_MICROS, response -> {
-            machine.directInFlight = false;
-            if (!term.closed()) {
-                answered(machine, session, starts, response);
-            }
+    OVERTAKEN,
+    /** Its worker has gone on since, and heeds no answer to it. */
+    LATE
+  }
+
+  /** Takes a report in. */
+  Worth take(WorkerReport report) {
+    Machine machine = term.cluster.machines.get(report.machine());
+    if (machine == null) {
+      if (fleet.wasRemoved(report.machine())) {
+        return Worth.LATE;
+      }
+      machine =
+          fleet.add(
+              report.machine(),
+              report.type(),
+              report.zone(),
+              report.spot(),
+              rentals.ownedStillOpen(),
+              term.scheduler.wallMicros());
+      LOG.info(
+          "{} reports ({} {}{}), {}",
+          machine.id,
+          report.type(),
+          report.zone(),
+          report.spot() ? " spot" : "",
+          machine.owned ? "owned" : "rented");
+      fleet.save(machine);
+      // It may have been returned long ago, and this be a late copy: nothing goes there before its
+      // worker has answered.
+      if (!machine.owned) {
+        doubtUnlessHeard(machine, report, term.scheduler.nowMicros());
+      }
+    } else if (machine.reported && !report.newerThan(machine.session, machine.seq)) {
+      return old(machine, report);
+    }
+    long now = term.scheduler.nowMicros();
+    if (machine.reported && report.session() > machine.session) {
+      newSession(machine);
+      machine.doubt(now);
+    } else if (machine.reported && machine.told) {
+      // The answer to a report before carried this term's token, and did not reach it.
+      doubtUnlessHeard(machine, report, machine.heardMicros);
+    }
+    if (machine.heeds(report.token())) {
+      LOG.debug("answers reach {}", machine.id);
+    }
+    boolean first = !machine.reported;
+    if (first || machine.lapsed) {
+      machine.idleSinceMicros = now;
+      rentals.up(machine);
+      LOG.info("{} is here", machine.id);
+    }
+    machine.reported = true;
+    machine.lapsed = false;
+    machine.failed = false;
+    machine.session = report.session();
+    machine.seq = report.seq();
+    machine.token = report.token();
+    machine.current |= Token.term(report.token()) >= term.number;
+    machine.helloSeq = report.seq();
+    machine.helloMicros = now;
+    machine.addr = report.addr().isEmpty() ? machine.addr : report.addr();
+    machine.recallMicros = report.noticeMicros() < 0 ? -1 : now + report.noticeMicros();
+    boolean room = apply(machine, report, now);
+    room |= vanish(machine);
+    if (room || first) {
+      onRoom.run();
+    }
+    return Worth.NEW;
+  }
+
+  /** Takes in a report that was answered while the state was being read. */
+  void takeAnswered(WorkerReport report) {
+    take(report);
+    Machine machine = term.cluster.machines.get(report.machine());
+    if (machine != null) {
+      machine.told = true;
+    }
+  }
+
+  private void doubtUnlessHeard(Machine machine, WorkerReport report, long sinceMicros) {
+    if (Token.term(report.token()) < term.number) {
+      machine.doubt(sinceMicros);
+    }
+  }
+
+  /**
+   * A worker has one report under way at a time, and drops what it is answered after four seconds:
+   * an answer to an older one than the last it has sent by itself reaches nobody, and must not be
+   * counted for its lease.
+   */
+  private Worth old(Machine machine, WorkerReport report) {
+    boolean last =
+        report.session() == machine.session
+            && (report.seq() > machine.helloSeq
+                || report.seq() == machine.helloSeq
+                    && term.scheduler.nowMicros() - machine.helloMicros < ANSWER_MICROS);
+    if (!last) {
+      return Worth.LATE;
+    }
+    if (report.seq() > machine.helloSeq) {
+      machine.helloSeq = report.seq();
+      machine.helloMicros = term.scheduler.nowMicros();
+    }
+    return Worth.OVERTAKEN;
+  }
+
+  /**
+   * A machine that has not heard anything for a lease, though it reports, has dropped what it had
+   * if its reports are fresh; if they are late copies, no answer to them reaches anybody. Either
+   * way nothing is lost by giving none, and once none was given for a lease, what earlier leaders
+   * have placed there is surely gone: its worker can't show that by this term's token.
+   */
+  boolean withholds(WorkerReport report) {
+    Machine machine = term.cluster.machines.get(report.machine());
+    return machine != null
+        && !machine.empty()
+        && machine.deafFor(term.scheduler.nowMicros(), term.safety.leaseMicros());
+  }
+
+  /**
+   * The worker's lease ran out in between: it forgot what this leader had started, and old commands
+   * no longer fit. What an earlier leader started may belong to the new session: both reports may
+   * be older than that, held on their way. Such tasks once were taken for gone and ran twice; they
+   * go only with a report that knows this term.
+   */
+  private void newSession(Machine machine) {
+    LOG.info("{} begins a new session", machine.id);
+    fleet.releaseOwn(machine);
+    machine.helloSeq = -1;
+  }
+
+  /** Follows the states of the tasks that the worker has; true if room came free. */
+  private boolean apply(Machine machine, WorkerReport report, long now) {
+    boolean room = !machine.strays.isEmpty();
+    List<Machine.Stray> strays = List.of();
+    for (TaskReport task : report.tasks()) {
+      Machine.Key key = new Machine.Key(task.task(), task.attempt());
+      Assignment assignment = machine.assignments.get(key);
+      if (assignment != null) {
+        assignment.reportedSeq = report.seq();
+      }
+      if (assignment == null) {
+        if (task.phase() != Phase.EXITED) {
+          strays = strays.isEmpty() ? new ArrayList<>() : strays;
+          strays.add(stray(key));
+        }
+      } else if (task.phase() == Phase.EXITED) {
+        room |= ended(assignment, task, report.token()) && exited(assignment, task, now);
+      } else {
+        progressed(assignment, task.phase(), now);
+      }
+    }
+    if (room || !strays.isEmpty()) {
+      term.cluster.strays(machine, strays);
+    }
+    return room;
+  }
+
+  /**
+   * Whether the exit is to be recorded: an earlier leader's start of the same attempt may have come
+   * after it.
+   */
+  private boolean ended(Assignment assignment, TaskReport task, long token) {
+    Told told = task.why() == Why.DONE ? Told.DONE : Told.EXITED;
+    boolean mayCome = assignment.inherited && Token.term(token) < term.number;
+    Verdict verdict =
+        Squaring.of(
+                new TaskFacts(
+                    assignment.inherited ? Record.EARLIER : Record.OWN,
+                    wish(assignment),
+                    told,
+                    mayCome,
+                    true,
+                    assignment.durable,
+                    mates(assignment.job)))
+            .verdict();
+    return verdict == Verdict.RECORD_DONE || verdict == Verdict.RECORD_EXIT;
+  }
+
+  private Machine.Stray stray(Machine.Key key) {
+    Job job = term.cluster.jobs.get(key.task().job());
+    return new Machine.Stray(
+        key, job == null ? "" : job.spec.team(), job == null ? Resources.NONE : job.spec.perTask());
+  }
+
+  private void progressed(Assignment assignment, Phase phase, long now) {
+    if (phase != Phase.FETCHING && assignment.phase != phase && assignment.job != null) {
+      fleet.usedImage(assignment.machine, assignment.job.spec);
+    }
+    if (phase == Phase.RUNNING && assignment.runningMicros < 0) {
+      assignment.runningMicros = now;
+      started(assignment, now);
+      if (assignment.job != null) {
+        assignment.job.gangRan = true;
+      }
+    }
+    assignment.phase = phase;
+  }
+
+  private void started(Assignment assignment, long now) {
+    if (assignment.inherited) {
+      return;
+    }
+    term.metrics.record(Timing.STARTING, assignment.waitedMicros + now - assignment.placedMicros);
+    if (LOG.isDebugEnabled()) {
+      LOG.debug(
+          "{} of {} runs on {} ({} {}): waited {} ms, recorded {} ms, told {} ms, fetched {} ms{}",
+          assignment.task,
+          assignment.job == null ? "?" : assignment.job.spec.jobClass(),
+          assignment.machine.id,
+          assignment.machine.type.name(),
+          assignment.machine.spot ? "spot" : assignment.machine.owned ? "owned" : "steady",
+          assignment.waitedMicros / 1000,
+          (assignment.durableMicros - assignment.placedMicros) / 1000,
+          (assignment.toldMicros - assignment.durableMicros) / 1000,
+          (now - assignment.toldMicros) / 1000,
+          assignment.hadImage ? "" : ", no image");
+    }
+  }
+
+  private boolean exited(Assignment assignment, TaskReport task, long now) {
+    if (assignment.completed) {
+      return false;
+    }
+    assignment.phase = Phase.EXITED;
+    Machine machine = assignment.machine;
+    Job job = assignment.job;
+    LOG.debug(
+        "{} attempt {} exited on {}: {}", task.task(), task.attempt(), machine.id, task.why());
+    if (task.why() == Why.DONE) {
+      if (job != null) {
+        fleet.usedImage(machine, job.spec);
+        ran(assignment, now, !job.mayHaveResumed(task.task().index()));
+      }
+      jobs.completed(assignment);
+      return true;
+    }
+    if (job != null && (task.why() == Why.STOPPED || task.why() == Why.PEERS)) {
+      ran(assignment, now, false);
+      job.gangRan |= task.why() == Why.PEERS;
+    }
+    fleet.release(assignment);
+    if (job != null && !job.over) {
+      switch (task.why()) {
+        case ERROR -> failed(job, task, machine, now);
+        case NO_ROOM, BUSY, UNKNOWN -> job.refused(task.task().index(), now);
+        default -> {}
+      }
+    }
+    return true;
+  }
+
+  /**
+   * A mistake in a job is told apart from a fault of a machine by who else fails: on several
+   * machines, or of several jobs.
+   */
+  private void failed(Job job, TaskReport task, Machine machine, long now) {
+    boolean before = job.faulty();
+    job.failed(task.task().index(), machine.id, now);
+    if (!job.faulty()) {
+      machine.fault(job.spec.id(), now, FAULT_MICROS, PASSED_OVER_MICROS);
+    } else if (!before) {
+      LOG.info("{} fails wherever it runs: one task at a time is tried from now on", job.spec.id());
+      jobs.foundFaulty(job);
+      for (String id : job.erredOn()) {
+        Machine blamed = term.cluster.machines.get(id);
+        if (blamed != null) {
+          blamed.forgive(job.spec.id());
+        }
+      }
+    }
+  }
+
+  /**
+   * A task has run: all of it if {@code complete}, and else at least so long. What earlier leaders
+   * started began at a time that is not known here.
+   */
+  private void ran(Assignment assignment, long now, boolean complete) {
+    if (assignment.runningMicros >= 0 && !assignment.inherited) {
+      Run run =
+          new Run(
+              assignment.job.like,
+              assignment.task.index(),
+              assignment.attempt,
+              assignment.machine.type.name(),
+              assignment.machine.id,
+              assignment.job.spec.estimateMicros(),
+              now - assignment.runningMicros,
+              complete);
+      term.cluster.runTimes.ran(run);
+      term.history.add(term.scheduler.wallMicros(), run);
+    }
+  }
+
+  /**
+   * Drops records of tasks that the worker neither has nor can still be told to start. A start that
+   * went with the answer to an earlier report and does not show has not reached it.
+   */
+  private boolean vanish(Machine machine) {
+    List<Assignment> gone = new ArrayList<>();
+    for (Assignment assignment : machine.assignments.values()) {
+      if (!assignment.seen() && assignment.startSeq >= 0 && assignment.startSeq < machine.seq) {
+        machine.doubt(term.scheduler.nowMicros());
+      }
+      if (finding(assignment).verdict() == Verdict.GONE) {
+        gone.add(assignment);
+      }
+    }
+    gone.forEach(fleet::release);
+    return !gone.isEmpty();
+  }
+
+  private Finding finding(Assignment assignment) {
+    return Squaring.of(facts(assignment));
+  }
+
+  private TaskFacts facts(Assignment assignment) {
+    Machine machine = assignment.machine;
+    Told told =
+        !machine.reported
+            ? Told.NOTHING
+            : assignment.reportedSeq == machine.seq ? Told.HELD : Told.ABSENT;
+    // A worker that has seen this term's token takes no command of an earlier leader any more.
+    // Answers to reports
+    // are dropped once the next report is under way, so a newer one settles an unseen start.
+    boolean mayCome =
+        assignment.directToken >= machine.token
+            || assignment.startSeq >= machine.seq
+            || assignment.inherited && Token.term(machine.token) < term.number;
+    return new TaskFacts(
+        assignment.inherited ? Record.EARLIER : Record.OWN,
+        wish(assignment),
+        told,
+        mayCome,
+        assignment.seen(),
+        assignment.durable,
+        mates(assignment.job));
+  }
+
+  /**
+   * What a lease that ended has stopped needs no order to stay so, if its room is wanted for what
+   * comes before it.
+   */
+  private Wish wish(Assignment assignment) {
+    if (assignment.completed) {
+      return Wish.KEPT_DONE;
+    }
+    if (assignment.unwanted || assignment.job == null || assignment.job.over) {
+      return Wish.GO;
+    }
+    return assignment.inherited && !assignment.seen() && undecided.test(assignment.job)
+        ? Wish.MAY_STAY
+        : Wish.RUN;
+  }
+
+  private static Mates mates(Job job) {
+    if (job == null || job.spec.kind() != Kind.GANG) {
+      return Mates.GATHER;
+    }
+    return job.gangRan ? Mates.RAN : job.gangHeard() ? Mates.GATHER : Mates.UNHEARD;
+  }
+
+  /** What a worker has that no record names there. */
+  private static Finding unrecorded(TaskReport task) {
+    Told told =
+        task.phase() != Phase.EXITED ? Told.HELD : task.why() == Why.DONE ? Told.DONE : Told.EXITED;
+    return Squaring.of(new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER));
+  }
+
+  /** Whether the machine waits for a record to become durable that an answer could then carry. */
+  boolean unsettled(String id) {
+    Machine machine = term.cluster.machines.get(id);
+    if (machine != null) {
+      for (Assignment assignment : machine.assignments.values()) {
+        if (!assignment.durable && !assignment.unwanted) {
+          return true;
+        }
+      }
+    }
+    return false;
+  }
+
+  /**
+   * A report that a direct command's answer has overtaken is answered too, and that renews the
+   * worker's lease. Such answers once were not counted, so that the machine was taken for empty up
+   * to a report's interval before it was; and they carried no stops, so that what was cancelled
+   * lived on with them.
+   */
+  List<Order> ordersForOvertaken(WorkerReport report) {
+    Machine machine = term.cluster.machines.get(report.machine());
+    if (machine == null) {
+      return List.of();
+    }
+    machine.answeredMicros = Math.max(machine.answeredMicros, term.scheduler.nowMicros());
+    machine.told = true;
+    return stops(machine, report);
+  }
+
+  /**
+   * Stops for all that the report shows and that shall not be there. They name attempts, and are
+   * right however old the report is; no answer that renews a lease goes without them.
+   */
+  private List<Order> stops(Machine machine, WorkerReport report) {
+    List<Order> stops = new ArrayList<>();
+    for (TaskReport task : report.tasks()) {
+      Assignment assignment = machine.assignments.get(new Machine.Key(task.task(), task.attempt()));
+      if (task.phase() != Phase.EXITED && assignment == null) {
+        stops.add(Order.stop(task.task(), task.attempt(), 0));
+      } else if (task.phase() != Phase.EXITED && wish(assignment) == Wish.GO) {
+        stops.add(stop(assignment, term.scheduler.nowMicros()));
+      }
+    }
+    return stops;
+  }
+
+  /** The commands for the report's answer. To be called when the answer is sent. */
+  List<Order> ordersFor(WorkerReport report) {
+    Machine machine = term.cluster.machines.get(report.machine());
+    if (machine == null) {
+      return List.of();
+    }
+    long now = term.scheduler.nowMicros();
+    machine.answeredMicros = Math.max(machine.answeredMicros, now);
+    machine.heardMicros = now;
+    machine.told = true;
+    if (machine.session != report.session() || machine.seq != report.seq()) {
+      return stops(machine, report);
+    }
+    List<Order> orders = new ArrayList<>();
+    boolean raise = false;
+    for (TaskReport task : report.tasks()) {
+      Machine.Key key = new Machine.Key(task.task(), task.attempt());
+      Assignment assignment = machine.assignments.get(key);
+      if (assignment == null) {
+        switch (unrecorded(task).verdict()) {
+          case FORGET -> {
+            orders.add(Order.forget(key.task(), key.attempt()));
+            raise = true;
+          }
+          case STOP -> orders.add(Order.stop(key.task(), key.attempt(), 0));
+          default -> {}
+        }
+      } else if (finding(assignment).verdict() == Verdict.STOP) {
+        orders.add(stop(assignment, now));
+      }
+    }
+    for (Assignment assignment : machine.assignments.values()) {
+      Finding finding = finding(assignment);
+      raise |= finding.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
+      if (orders.size() < MOST_ORDERS && startable(assignment, finding)) {
+        orders.add(Order.start(assignment.task, assignment.attempt));
+        if (!assignment.startSent) {
+          assignment.toldMicros = now;
+        }
+        assignment.startSent = true;
+        assignment.startSeq = report.seq();
+      }
+    }
+    // A copy of a direct start could start again what its worker has forgotten: it must be too old
+    // by then. What waits for
+    // a direct start of unknown fate is settled in the same way.
+    if (raise && machine.directToken >= machine.given) {
+      machine.raise();
+    }
+    return orders;
+  }
+
+  /** The token that goes with what the worker is told now. */
+  long token(WorkerReport report) {
+    Machine machine = term.cluster.machines.get(report.machine());
+    return machine == null
+        ? Token.echo(report.token(), term.number)
+        : token(machine, report.token());
+  }
+
+  private long token(Machine machine, long seen) {
+    machine.given = Math.max(machine.given, Token.echo(seen, term.number));
+    return machine.given;
+  }
+
+  private boolean startable(Assignment assignment, Finding finding) {
+    return finding.verdict() == Verdict.START
+        && !assignment.machine.retiring
+        && term.election.entitled();
+  }
+
+  private Order stop(Assignment assignment, long now) {
+    if (assignment.stopSentMicros < 0) {
+      assignment.stopSentMicros = now;
+    }
+    Job job = assignment.job;
+    boolean saves = job != null && !job.over && job.spec.checkpointMicros() > 0;
+    long grace = saves ? job.spec.saveMicros() + term.deployment.workers().gangPeerMicros() : 0;
+    return Order.stop(assignment.task, assignment.attempt, grace);
+  }
+
+  /**
+   * Sends what can't wait for the next report straight to the worker; whether there was anything.
+   */
+  boolean push(Machine machine) {
+    long now = term.scheduler.nowMicros();
+    if (machine.directInFlight
+        || machine.addr.isEmpty()
+        || now < machine.directBlockedUntilMicros
+        || !machine.usable(now, term.deployment.workers().reportMicros())
+        || term.closed()) {
+      return false;
+    }
+    List<Order> orders = new ArrayList<>(2);
+    List<Assignment> starts = new ArrayList<>(2);
+    for (Assignment assignment : machine.assignments.values()) {
+      if (orders.size() >= MOST_ORDERS) {
+        break;
+      }
+      if (!assignment.startSent
+          && assignment.reportedSeq != machine.seq
+          && Token.canRise(machine.given)
+          && startable(assignment, finding(assignment))) {
+        orders.add(Order.start(assignment.task, assignment.attempt));
+        starts.add(assignment);
+      } else if (assignment.unwanted
+          && assignment.seen()
+          && !assignment.completed
+          && assignment.phase != Phase.EXITED
+          && (assignment.stopSentMicros < 0
+              || now - assignment.stopSentMicros > STOP_AGAIN_MICROS)) {
+        assignment.stopSentMicros = now;
+        orders.add(stop(assignment, now));
+      }
+    }
+    if (orders.isEmpty() || !madderrudder.transport.Addresses.valid(machine.addr)) {
+      return false;
+    }
+    long token = token(machine, machine.token);
+    for (Assignment start : starts) {
+      start.startSent = true;
+      start.toldMicros = now;
+      start.directToken = token;
+      machine.directToken = token;
+    }
+    machine.directInFlight = true;
+    long session = machine.session;
+    HttpRequest request = HttpRequest.post("/orders", WorkerCodec.direct(token, session, orders));
+    term.calls.call(
+        machine.addr,
+        request,
+        DIRECT_MICROS,
+        response -> {
+          machine.directInFlight = false;
+          if (!term.closed()) {
+            answered(machine, session, starts, response);
+          }
         });
-        return true;
-    }
-
-    private void answered(Machine machine, long session, List<Assignment> starts, HttpResponse response) {
-        int status = response.status();
-        if (status == HttpResponse.NOT_SENT || status == 409 || status == 400) {
-            starts.forEach(Assignment::startRefused);
-        }
-        boolean overtaken = false;
-        if (status == 200 || status == 409) {
-            try {
-                WorkerReport report = WorkerCodec.readReport(response.body());
-                overtaken = Token.term(report.token()) == term.number && report.session() == session;
-                if (Token.term(report.token()) > term.number) {
-                    term.election.heardToken(report.token());
-                } else if (status == 200 && report.machine().equals(machine.id)) {
-                    settle(machine, session, starts, report);
-                }
-            } catch (MalformedMessage e) {
-                LOG.info("{} answered commands unreadably: {}", machine.id, e.getMessage());
-            }
-        }
-        // An answer to a report that carried a higher token may have been quicker; the next command carries that too.
-        if (status != 200 && !overtaken) {
-            machine.directBlockedUntilMicros = term.scheduler.nowMicros() + DIRECT_PAUSE_MICROS;
-        }
-    }
-
-    /** The worker's state after direct commands: it tells what is there, never what is not. */
-    private void settle(Machine machine, long session, List<Assignment> starts, WorkerReport report) {
-        if (machine.session != session || !report.newerThan(machine.session, machine.seq)) {
-            return;
-        }
-        machine.seq = report.seq();
-        machine.token = Math.max(machine.token, report.token());
-        starts.forEach(start -> start.startSeq = Math.max(start.startSeq, report.seq()));
-        if (apply(machine, report, term.scheduler.nowMicros())) {
-            onRoom.run();
-        }
-    }
-
-    /** Gangs that lost a task, or whose stop has begun, go as a whole. */
-    void sweepGangs() {
-        for (Job job : term.cluster.jobs.values()) {
-            if (job.spec.kind() == Kind.GANG && !job.assignments.isEmpty() && !job.complete()) {
-                boolean broken = job.assignments.stream().anyMatch(a -> a.unwanted)
-                        || job.gangRan && job.nextWaiting(0) >= 0;
-                if (broken) {
-                    job.assignments.forEach(fleet::unwant);
-                }
-            }
-        }
-    }
+    return true;
+  }
+
+  private void answered(
+      Machine machine, long session, List<Assignment> starts, HttpResponse response) {
+    int status = response.status();
+    if (status == HttpResponse.NOT_SENT || status == 409 || status == 400) {
+      starts.forEach(Assignment::startRefused);
+    }
+    boolean overtaken = false;
+    if (status == 200 || status == 409) {
+      try {
+        WorkerReport report = WorkerCodec.readReport(response.body());
+        overtaken = Token.term(report.token()) == term.number && report.session() == session;
+        if (Token.term(report.token()) > term.number) {
+          term.election.heardToken(report.token());
+        } else if (status == 200 && report.machine().equals(machine.id)) {
+          settle(machine, session, starts, report);
+        }
+      } catch (MalformedMessage e) {
+        LOG.info("{} answered commands unreadably: {}", machine.id, e.getMessage());
+      }
+    }
+    // An answer to a report that carried a higher token may have been quicker; the next command
+    // carries that too.
+    if (status != 200 && !overtaken) {
+      machine.directBlockedUntilMicros = term.scheduler.nowMicros() + DIRECT_PAUSE_MICROS;
+    }
+  }
+
+  /** The worker's state after direct commands: it tells what is there, never what is not. */
+  private void settle(Machine machine, long session, List<Assignment> starts, WorkerReport report) {
+    if (machine.session != session || !report.newerThan(machine.session, machine.seq)) {
+      return;
+    }
+    machine.seq = report.seq();
+    machine.token = Math.max(machine.token, report.token());
+    starts.forEach(start -> start.startSeq = Math.max(start.startSeq, report.seq()));
+    if (apply(machine, report, term.scheduler.nowMicros())) {
+      onRoom.run();
+    }
+  }
+
+  /** Gangs that lost a task, or whose stop has begun, go as a whole. */
+  void sweepGangs() {
+    for (Job job : term.cluster.jobs.values()) {
+      if (job.spec.kind() == Kind.GANG && !job.assignments.isEmpty() && !job.complete()) {
+        boolean broken =
+            job.assignments.stream().anyMatch(a -> a.unwanted)
+                || job.gangRan && job.nextWaiting(0) >= 0;
+        if (broken) {
+          job.assignments.forEach(fleet::unwant);
+        }
+      }
+    }
+  }
 }
--- a/src/main/java/madderrudder/coordination/decisions/Evacuation.java
+++ b/src/main/java/madderrudder/coordination/decisions/Evacuation.java
@@ -8,28 +8,31 @@
 import madderrudder.protocol.Kind;
 
 /**
- * Decides what is stopped on machines that the cloud is about to take away: what is not expected to end in time. Left
- * there it would be lost as well, and could not be started again elsewhere before the lease of the machine is over; a
- * gang that is told in time saves its progress. A pure function of what it is given.
+ * Decides what is stopped on machines that the cloud is about to take away: what is not expected to
+ * end in time. Left there it would be lost as well, and could not be started again elsewhere before
+ * the lease of the machine is over; a gang that is told in time saves its progress. A pure function
+ * of what it is given.
  */
 public final class Evacuation {
-    private Evacuation() {
-    }
+  private Evacuation() {}
 
-    /** Replicas are left where they serve until the end. */
-    public static List<Assignment> plan(Cluster cluster, long nowMicros) {
-        List<Assignment> stops = new ArrayList<>();
-        for (Machine machine : cluster.machines.values()) {
-            if (machine.recallMicros >= 0 && machine.reported && !machine.lapsed) {
-                for (Assignment assignment : machine.assignments.values()) {
-                    if (assignment.job != null && !assignment.unwanted && !assignment.completed
-                            && assignment.job.spec.kind() != Kind.SERVICE
-                            && cluster.runTimes.leftMicros(assignment, nowMicros) > machine.recallMicros - nowMicros) {
-                        stops.add(assignment);
-                    }
-                }
-            }
+  /** Replicas are left where they serve until the end. */
+  public static List<Assignment> plan(Cluster cluster, long nowMicros) {
+    List<Assignment> stops = new ArrayList<>();
+    for (Machine machine : cluster.machines.values()) {
+      if (machine.recallMicros >= 0 && machine.reported && !machine.lapsed) {
+        for (Assignment assignment : machine.assignments.values()) {
+          if (assignment.job != null
+              && !assignment.unwanted
+              && !assignment.completed
+              && assignment.job.spec.kind() != Kind.SERVICE
+              && cluster.runTimes.leftMicros(assignment, nowMicros)
+                  > machine.recallMicros - nowMicros) {
+            stops.add(assignment);
+          }
         }
-        return stops;
+      }
     }
+    return stops;
+  }
 }
--- a/src/main/java/madderrudder/coordination/decisions/Placement.java
+++ b/src/main/java/madderrudder/coordination/decisions/Placement.java
@@ -4,5 +4,4 @@
 import madderrudder.coordination.picture.Machine;
 
 /** A wish: the task shall run on the machine. The attempt is 0 unless it joins a gang under way. */
-public record Placement(Job job, int task, Machine machine, long attempt) {
-}
+public record Placement(Job job, int task, Machine machine, long attempt) {}
--- a/src/main/java/madderrudder/coordination/picture/GuessedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/picture/GuessedRunTimes.java
@@ -3,35 +3,38 @@
 import madderrudder.estimates.ClassRatios;
 import madderrudder.estimates.Run;
 
-/** The owners' guesses, which are often wrong, on some days mostly one way: what tasks of a class took corrects them. */
+/**
+ * The owners' guesses, which are often wrong, on some days mostly one way: what tasks of a class
+ * took corrects them.
+ */
 public final class GuessedRunTimes implements RunTimes {
-    private final ClassRatios ratios = new ClassRatios();
+  private final ClassRatios ratios = new ClassRatios();
 
-    @Override
-    public void ran(Run run) {
-        ratios.observe(run);
-    }
+  @Override
+  public void ran(Run run) {
+    ratios.observe(run);
+  }
 
-    @Override
-    public long expectedMicros(Job job) {
-        return ratios.expectedMicros(job.spec.jobClass(), job.spec.estimateMicros());
-    }
+  @Override
+  public long expectedMicros(Job job) {
+    return ratios.expectedMicros(job.spec.jobClass(), job.spec.estimateMicros());
+  }
 
-    @Override
-    public long mostMicros(Job job) {
-        return expectedMicros(job);
-    }
+  @Override
+  public long mostMicros(Job job) {
+    return expectedMicros(job);
+  }
 
-    /** Of one that runs for longer than expected nothing is known. */
-    @Override
-    public long leftMicros(Assignment assignment, long nowMicros) {
-        long expected = expectedMicros(assignment.job);
-        long ran = RunTimes.ranMicros(assignment, nowMicros);
-        return ran < expected ? expected - ran : ran;
-    }
+  /** Of one that runs for longer than expected nothing is known. */
+  @Override
+  public long leftMicros(Assignment assignment, long nowMicros) {
+    long expected = expectedMicros(assignment.job);
+    long ran = RunTimes.ranMicros(assignment, nowMicros);
+    return ran < expected ? expected - ran : ran;
+  }
 
-    @Override
-    public boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros) {
-        return false;
-    }
+  @Override
+  public boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros) {
+    return false;
+  }
 }
--- a/src/main/java/madderrudder/coordination/picture/Rental.java
+++ b/src/main/java/madderrudder/coordination/picture/Rental.java
@@ -4,11 +4,10 @@
 
 /** A wish: machines of a type, zone and kind; counted against the budget or not. */
 public record Rental(MachineType type, String zone, boolean spot, int count, boolean counted) {
-    /** What the cloud may have run out of. */
-    public record Shelf(String type, String zone, boolean spot) {
-    }
+  /** What the cloud may have run out of. */
+  public record Shelf(String type, String zone, boolean spot) {}
 
-    public Shelf shelf() {
-        return new Shelf(type.name(), zone, spot);
-    }
+  public Shelf shelf() {
+    return new Shelf(type.name(), zone, spot);
+  }
 }
--- a/src/main/java/madderrudder/coordination/picture/Written.java
+++ b/src/main/java/madderrudder/coordination/picture/Written.java
@@ -1,5 +1,4 @@
 package madderrudder.coordination.picture;
 
 /** Where the store names a machine or a task. */
-public interface Written {
-}
+public interface Written {}
--- a/src/main/java/madderrudder/coordination/recovery/MachineFinding.java
+++ b/src/main/java/madderrudder/coordination/recovery/MachineFinding.java
@@ -7,19 +7,19 @@
  * @param reason why, in words for the log
  */
 public record MachineFinding(Verdict verdict, String reason) {
-    /** What is to be done with a machine. */
-    public enum Verdict {
-        /** It stays as it is. */
-        KEEP,
-        /** Nothing can be said before more is known. */
-        AWAIT,
-        /** It is taken up as one that was there before the first rental. */
-        ADOPT_OWNED,
-        /** It is taken up as rented: used, or returned when idle. */
-        ADOPT,
-        /** It is returned to the cloud. */
-        RETURN,
-        /** It is gone, and all that was on it. */
-        GONE
-    }
+  /** What is to be done with a machine. */
+  public enum Verdict {
+    /** It stays as it is. */
+    KEEP,
+    /** Nothing can be said before more is known. */
+    AWAIT,
+    /** It is taken up as one that was there before the first rental. */
+    ADOPT_OWNED,
+    /** It is taken up as rented: used, or returned when idle. */
+    ADOPT,
+    /** It is returned to the cloud. */
+    RETURN,
+    /** It is gone, and all that was on it. */
+    GONE
+  }
 }
--- a/src/main/java/madderrudder/estimates/Likeness.java
+++ b/src/main/java/madderrudder/estimates/Likeness.java
@@ -5,26 +5,27 @@
 /** What runs have in common, or not. */
 public record Likeness(String job, String jobClass, String team, String image, Resources takes) {
 
-    /** The runs that are alike on a level; which job they belong to is kept apart from these. */
-    record Kind(Level level, String jobClass, String team, String image, int size) {
-    }
+  /** The runs that are alike on a level; which job they belong to is kept apart from these. */
+  record Kind(Level level, String jobClass, String team, String image, int size) {}
 
-    Kind kind(Level level) {
-        return switch (level) {
-            case WORK -> new Kind(level, jobClass, team, image, size());
-            case TEAM -> new Kind(level, jobClass, team, "", 0);
-            case CLASS -> new Kind(level, jobClass, "", "", 0);
-            case ALL -> new Kind(level, "", "", "", 0);
-            default -> throw new IllegalArgumentException("no kind on level " + level);
-        };
-    }
+  Kind kind(Level level) {
+    return switch (level) {
+      case WORK -> new Kind(level, jobClass, team, image, size());
+      case TEAM -> new Kind(level, jobClass, team, "", 0);
+      case CLASS -> new Kind(level, jobClass, "", "", 0);
+      case ALL -> new Kind(level, "", "", "", 0);
+      default -> throw new IllegalArgumentException("no kind on level " + level);
+    };
+  }
 
-    /** Tasks are of one size if each resource is the same but for a factor of less than two. */
-    private int size() {
-        return (doublings(takes.milliCpus()) << 12) | (doublings(takes.milliGpus()) << 6) | doublings(takes.memoryMb());
-    }
+  /** Tasks are of one size if each resource is the same but for a factor of less than two. */
+  private int size() {
+    return (doublings(takes.milliCpus()) << 12)
+        | (doublings(takes.milliGpus()) << 6)
+        | doublings(takes.memoryMb());
+  }
 
-    private static int doublings(long amount) {
-        return 64 - Long.numberOfLeadingZeros(Math.max(0, amount));
-    }
+  private static int doublings(long amount) {
+    return 64 - Long.numberOfLeadingZeros(Math.max(0, amount));
+  }
 }
--- a/src/main/java/madderrudder/protocol/Fields.java
+++ b/src/main/java/madderrudder/protocol/Fields.java
@@ -7,156 +7,162 @@
 
 /** Checked access to the fields of one JSON object; a null field counts as an absent one. */
 public final class Fields {
-    private final Map<?, ?> map;
-
-    Fields(Map<?, ?> map) {
-        this.map = map;
-    }
-
-    /** The names of the fields that are there. */
-    public List<String> names() {
-        return map.keySet().stream().map(Object::toString).toList();
-    }
-
-    public boolean has(String name) {
-        return map.get(name) != null;
-    }
-
-    public String text(String name) throws MalformedMessage {
-        if (map.get(name) instanceof String text) {
-            return text;
-        }
-        throw wrong(name);
-    }
-
-    public String text(String name, String absent) throws MalformedMessage {
-        return has(name) ? text(name) : absent;
-    }
-
-    /** An integer from 0 to 2^63 - 1. */
-    public long count(String name) throws MalformedMessage {
-        return count(map.get(name), name);
-    }
-
-    public long count(String name, long absent) throws MalformedMessage {
-        return has(name) ? count(name) : absent;
+  private final Map<?, ?> map;
+
+  Fields(Map<?, ?> map) {
+    this.map = map;
+  }
+
+  /** The names of the fields that are there. */
+  public List<String> names() {
+    return map.keySet().stream().map(Object::toString).toList();
+  }
+
+  public boolean has(String name) {
+    return map.get(name) != null;
+  }
+
+  public String text(String name) throws MalformedMessage {
+    if (map.get(name) instanceof String text) {
+      return text;
+    }
+    throw wrong(name);
+  }
+
+  public String text(String name, String absent) throws MalformedMessage {
+    return has(name) ? text(name) : absent;
+  }
+
+  /** An integer from 0 to 2^63 - 1. */
+  public long count(String name) throws MalformedMessage {
+    return count(map.get(name), name);
+  }
+
+  public long count(String name, long absent) throws MalformedMessage {
+    return has(name) ? count(name) : absent;
+  }
+
+  public int smallCount(String name) throws MalformedMessage {
+    long value = count(name);
+    if (value > Integer.MAX_VALUE) {
+      throw wrong(name);
+    }
+    return (int) value;
+  }
+
+  private static long count(Object value, String name) throws MalformedMessage {
+    if (value instanceof Long number && number >= 0) {
+      return number;
+    }
+    // A count may also come written as 4.0 or 4e0; a fraction may not.
+    if (value instanceof Double number
+        && number >= 0
+        && number < (1L << 53)
+        && number == Math.rint(number)) {
+      return number.longValue();
+    }
+    throw wrong(name);
+  }
+
+  /** A finite decimal of at least 0. */
+  public double amount(String name) throws MalformedMessage {
+    Object value = map.get(name);
+    double number =
+        value instanceof Long whole
+            ? (double) whole
+            : value instanceof Double decimal
+                ? decimal
+                : value instanceof BigInteger big ? big.doubleValue() : Double.NaN;
+    if (!(number >= 0) || number > 1e15) {
+      throw wrong(name);
     }
+    return number;
+  }
 
-    public int smallCount(String name) throws MalformedMessage {
-        long value = count(name);
-        if (value > Integer.MAX_VALUE) {
-            throw wrong(name);
-        }
-        return (int) value;
-    }
+  public double amount(String name, double absent) throws MalformedMessage {
+    return has(name) ? amount(name) : absent;
+  }
 
-    private static long count(Object value, String name) throws MalformedMessage {
-        if (value instanceof Long number && number >= 0) {
-            return number;
-        }
-        // A count may also come written as 4.0 or 4e0; a fraction may not.
-        if (value instanceof Double number && number >= 0 && number < (1L << 53) && number == Math.rint(number)) {
-            return number.longValue();
-        }
-        throw wrong(name);
+  /** A duration in seconds, as whole microseconds. */
+  public long secondsAsMicros(String name) throws MalformedMessage {
+    double seconds = amount(name);
+    if (seconds > 1e9) {
+      throw wrong(name);
     }
+    return Math.round(seconds * 1e6);
+  }
 
-    /** A finite decimal of at least 0. */
-    public double amount(String name) throws MalformedMessage {
-        Object value = map.get(name);
-        double number = value instanceof Long whole ? (double) whole
-                : value instanceof Double decimal ? decimal
-                : value instanceof BigInteger big ? big.doubleValue() : Double.NaN;
-        if (!(number >= 0) || number > 1e15) {
-            throw wrong(name);
-        }
-        return number;
-    }
+  public long secondsAsMicros(String name, long absent) throws MalformedMessage {
+    return has(name) ? secondsAsMicros(name) : absent;
+  }
 
-    public double amount(String name, double absent) throws MalformedMessage {
-        return has(name) ? amount(name) : absent;
+  public boolean flag(String name) throws MalformedMessage {
+    if (map.get(name) instanceof Boolean flag) {
+      return flag;
     }
+    throw wrong(name);
+  }
 
-    /** A duration in seconds, as whole microseconds. */
-    public long secondsAsMicros(String name) throws MalformedMessage {
-        double seconds = amount(name);
-        if (seconds > 1e9) {
-            throw wrong(name);
-        }
-        return Math.round(seconds * 1e6);
-    }
+  public boolean flag(String name, boolean absent) throws MalformedMessage {
+    return has(name) ? flag(name) : absent;
+  }
 
-    public long secondsAsMicros(String name, long absent) throws MalformedMessage {
-        return has(name) ? secondsAsMicros(name) : absent;
+  public Fields object(String name) throws MalformedMessage {
+    if (map.get(name) instanceof Map<?, ?> object) {
+      return new Fields(object);
     }
+    throw wrong(name);
+  }
 
-    public boolean flag(String name) throws MalformedMessage {
-        if (map.get(name) instanceof Boolean flag) {
-            return flag;
-        }
+  public List<Fields> objects(String name) throws MalformedMessage {
+    List<Fields> objects = new ArrayList<>();
+    for (Object element : list(name)) {
+      if (!(element instanceof Map<?, ?> object)) {
         throw wrong(name);
+      }
+      objects.add(new Fields(object));
     }
+    return objects;
+  }
 
-    public boolean flag(String name, boolean absent) throws MalformedMessage {
-        return has(name) ? flag(name) : absent;
-    }
-
-    public Fields object(String name) throws MalformedMessage {
-        if (map.get(name) instanceof Map<?, ?> object) {
-            return new Fields(object);
-        }
+  public List<String> texts(String name) throws MalformedMessage {
+    List<String> texts = new ArrayList<>();
+    for (Object element : list(name)) {
+      if (!(element instanceof String text)) {
         throw wrong(name);
+      }
+      texts.add(text);
     }
+    return texts;
+  }
 
-    public List<Fields> objects(String name) throws MalformedMessage {
-        List<Fields> objects = new ArrayList<>();
-        for (Object element : list(name)) {
-            if (!(element instanceof Map<?, ?> object)) {
-                throw wrong(name);
-            }
-            objects.add(new Fields(object));
-        }
-        return objects;
+  public List<Long> counts(String name) throws MalformedMessage {
+    List<Long> counts = new ArrayList<>();
+    for (Object element : list(name)) {
+      counts.add(count(element, name));
     }
+    return counts;
+  }
 
-    public List<String> texts(String name) throws MalformedMessage {
-        List<String> texts = new ArrayList<>();
-        for (Object element : list(name)) {
-            if (!(element instanceof String text)) {
-                throw wrong(name);
-            }
-            texts.add(text);
-        }
-        return texts;
+  private List<?> list(String name) throws MalformedMessage {
+    if (map.get(name) instanceof List<?> list) {
+      return list;
     }
+    throw wrong(name);
+  }
 
-    public List<Long> counts(String name) throws MalformedMessage {
-        List<Long> counts = new ArrayList<>();
-        for (Object element : list(name)) {
-            counts.add(count(element, name));
-        }
-        return counts;
-    }
+  /** The field's text or number as text, for tables; empty if it is absent. */
+  public String plain(String name) {
+    Object value = map.get(name);
+    return value == null ? "" : value.toString();
+  }
 
-    private List<?> list(String name) throws MalformedMessage {
-        if (map.get(name) instanceof List<?> list) {
-            return list;
-        }
-        throw wrong(name);
-    }
-
-    /** The field's text or number as text, for tables; empty if it is absent. */
-    public String plain(String name) {
-        Object value = map.get(name);
-        return value == null ? "" : value.toString();
-    }
+  /** This object again as JSON text. */
+  public byte[] render() {
+    return Json.render(out -> Json.writeTree(out, map));
+  }
 
-    /** This object again as JSON text. */
-    public byte[] render() {
-        return Json.render(out -> Json.writeTree(out, map));
-    }
-
-    private static MalformedMessage wrong(String name) {
-        return new MalformedMessage("field " + name + " is missing or invalid");
-    }
+  private static MalformedMessage wrong(String name) {
+    return new MalformedMessage("field " + name + " is missing or invalid");
+  }
 }
--- a/src/main/java/madderrudder/protocol/MalformedMessage.java
+++ b/src/main/java/madderrudder/protocol/MalformedMessage.java
@@ -2,7 +2,7 @@
 
 /** A message whose text or fields are not what the protocol says. */
 public final class MalformedMessage extends Exception {
-    public MalformedMessage(String message) {
-        super(message, null, false, false);
-    }
+  public MalformedMessage(String message) {
+    super(message, null, false, false);
+  }
 }
--- a/src/main/java/madderrudder/protocol/Priority.java
+++ b/src/main/java/madderrudder/protocol/Priority.java
@@ -2,9 +2,12 @@
 
 /** Priorities in falling order, so a smaller ordinal goes first. */
 public enum Priority {
-    PRODUCTION, HIGH, NORMAL, LOW;
+  PRODUCTION,
+  HIGH,
+  NORMAL,
+  LOW;
 
-    public boolean above(Priority other) {
-        return ordinal() < other.ordinal();
-    }
+  public boolean above(Priority other) {
+    return ordinal() < other.ordinal();
+  }
 }
--- a/src/main/java/madderrudder/protocol/TaskReport.java
+++ b/src/main/java/madderrudder/protocol/TaskReport.java
@@ -2,9 +2,24 @@
 
 /** One task as a worker reports it. {@code why} is null unless it exited. */
 public record TaskReport(TaskId task, long attempt, Phase phase, Why why, boolean saved) {
-    /** Where the task stands on its machine. */
-    public enum Phase { FETCHING, WAITING, RUNNING, SAVING, EXITED }
+  /** Where the task stands on its machine. */
+  public enum Phase {
+    FETCHING,
+    WAITING,
+    RUNNING,
+    SAVING,
+    EXITED
+  }
 
-    /** Why a task exited, or why its start was refused. */
-    public enum Why { DONE, STOPPED, PEERS, ALONE, ERROR, NO_ROOM, BUSY, UNKNOWN }
+  /** Why a task exited, or why its start was refused. */
+  public enum Why {
+    DONE,
+    STOPPED,
+    PEERS,
+    ALONE,
+    ERROR,
+    NO_ROOM,
+    BUSY,
+    UNKNOWN
+  }
 }
--- a/src/main/java/madderrudder/replay/Foretelling.java
+++ b/src/main/java/madderrudder/replay/Foretelling.java
@@ -11,88 +11,90 @@
 
 /** A way to foretell run times, asked before each run and told of it afterwards. */
 interface Foretelling {
-    String name();
-
-    /** Whether its bounds promise anything. */
-    default boolean hasBounds() {
-        return false;
-    }
-
-    Estimate before(Run run, double share);
-
-    void after(Run run);
-
-    private static Estimate plain(long micros) {
-        return new Estimate(micros, micros, micros, 0, 0, Level.NONE, Basis.RATIO);
-    }
-
-    /** The owner's guess as it is. */
-    static Foretelling guess() {
-        return new Foretelling() {
-            @Override
-            public String name() {
-                return "guess";
-            }
-
-            @Override
-            public Estimate before(Run run, double share) {
-                return plain(run.guessMicros());
-            }
-
-            @Override
-            public void after(Run run) {
-                // A guess learns nothing.
-            }
-        };
-    }
-
-    /** One ratio a class: what schedulers do with learned run times switched off. */
-    static Foretelling ratio() {
-        ClassRatios ratios = new ClassRatios();
-        return new Foretelling() {
-            @Override
-            public String name() {
-                return "ratio";
-            }
-
-            @Override
-            public Estimate before(Run run, double share) {
-                return plain(ratios.expectedMicros(run.like().jobClass(), run.guessMicros()));
-            }
-
-            @Override
-            public void after(Run run) {
-                ratios.observe(run);
-            }
-        };
-    }
-
-    static Foretelling learned(String name, Estimator estimator) {
-        return new Foretelling() {
-            @Override
-            public String name() {
-                return name;
-            }
-
-            @Override
-            public boolean hasBounds() {
-                return true;
-            }
-
-            @Override
-            public Estimate before(Run run, double share) {
-                return estimator.estimate(new Question(run.like(), run.guessMicros(), run.type(), 0, share));
-            }
-
-            @Override
-            public void after(Run run) {
-                estimator.observe(run);
-            }
-        };
-    }
-
-    static Foretelling learned(Way way, int mostKinds) {
-        return learned(way == Way.BLEND ? "learned" : way.name().toLowerCase(java.util.Locale.ROOT),
-                new Estimator(mostKinds, mostKinds, way));
-    }
+  String name();
+
+  /** Whether its bounds promise anything. */
+  default boolean hasBounds() {
+    return false;
+  }
+
+  Estimate before(Run run, double share);
+
+  void after(Run run);
+
+  private static Estimate plain(long micros) {
+    return new Estimate(micros, micros, micros, 0, 0, Level.NONE, Basis.RATIO);
+  }
+
+  /** The owner's guess as it is. */
+  static Foretelling guess() {
+    return new Foretelling() {
+      @Override
+      public String name() {
+        return "guess";
+      }
+
+      @Override
+      public Estimate before(Run run, double share) {
+        return plain(run.guessMicros());
+      }
+
+      @Override
+      public void after(Run run) {
+        // A guess learns nothing.
+      }
+    };
+  }
+
+  /** One ratio a class: what schedulers do with learned run times switched off. */
+  static Foretelling ratio() {
+    ClassRatios ratios = new ClassRatios();
+    return new Foretelling() {
+      @Override
+      public String name() {
+        return "ratio";
+      }
+
+      @Override
+      public Estimate before(Run run, double share) {
+        return plain(ratios.expectedMicros(run.like().jobClass(), run.guessMicros()));
+      }
+
+      @Override
+      public void after(Run run) {
+        ratios.observe(run);
+      }
+    };
+  }
+
+  static Foretelling learned(String name, Estimator estimator) {
+    return new Foretelling() {
+      @Override
+      public String name() {
+        return name;
+      }
+
+      @Override
+      public boolean hasBounds() {
+        return true;
+      }
+
+      @Override
+      public Estimate before(Run run, double share) {
+        return estimator.estimate(
+            new Question(run.like(), run.guessMicros(), run.type(), 0, share));
+      }
+
+      @Override
+      public void after(Run run) {
+        estimator.observe(run);
+      }
+    };
+  }
+
+  static Foretelling learned(Way way, int mostKinds) {
+    return learned(
+        way == Way.BLEND ? "learned" : way.name().toLowerCase(java.util.Locale.ROOT),
+        new Estimator(mostKinds, mostKinds, way));
+  }
 }
--- a/src/main/java/madderrudder/service/JobRules.java
+++ b/src/main/java/madderrudder/service/JobRules.java
@@ -10,28 +10,28 @@
 
 /** Tells jobs that can never run from those that can. */
 final class JobRules {
-    private JobRules() {
-    }
+  private JobRules() {}
 
-    /** Why the job can never run, or null if it can. */
-    static String impossible(JobSpec job, Map<String, Team> teams, Collection<MachineType> types) {
-        Team team = teams.get(job.team());
-        if (team == null) {
-            return "unknown team";
-        }
-        boolean fits = false;
-        for (MachineType type : types) {
-            fits |= (job.types() == null || job.types().contains(type.name()))
-                    && (job.zone() == null || type.zones().contains(job.zone()))
-                    && job.perTask().fits(type.capacity());
-        }
-        if (!fits) {
-            return "a task fits no allowed machine type";
-        }
-        Resources atOnce = job.kind() == Kind.ARRAY ? job.perTask() : job.perTask().times(job.tasks());
-        if (!team.allows(atOnce)) {
-            return "more than the team's limit";
-        }
-        return null;
+  /** Why the job can never run, or null if it can. */
+  static String impossible(JobSpec job, Map<String, Team> teams, Collection<MachineType> types) {
+    Team team = teams.get(job.team());
+    if (team == null) {
+      return "unknown team";
+    }
+    boolean fits = false;
+    for (MachineType type : types) {
+      fits |=
+          (job.types() == null || job.types().contains(type.name()))
+              && (job.zone() == null || type.zones().contains(job.zone()))
+              && job.perTask().fits(type.capacity());
+    }
+    if (!fits) {
+      return "a task fits no allowed machine type";
+    }
+    Resources atOnce = job.kind() == Kind.ARRAY ? job.perTask() : job.perTask().times(job.tasks());
+    if (!team.allows(atOnce)) {
+      return "more than the team's limit";
     }
+    return null;
+  }
 }
--- a/src/main/java/madderrudder/service/ReportDesk.java
+++ b/src/main/java/madderrudder/service/ReportDesk.java
@@ -17,9 +17,9 @@
 import madderrudder.coordination.policy.Token;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MeshFrame;
 import madderrudder.protocol.MeshFrame.RelayAnswer;
 import madderrudder.protocol.MeshFrame.Relayed;
-import madderrudder.protocol.MeshFrame;
 import madderrudder.protocol.WorkerCodec;
 import madderrudder.protocol.WorkerReport;
 import madderrudder.transport.HttpResponse;
@@ -29,239 +29,278 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Workers' reports at any controller. The leader answers them. Elsewhere a worker is sent to the leader; if it can't reach
- * it, its report is passed on, or, where the leader can't be reached from here either, answered without commands for as
- * long as the leader has granted that.
+ * Workers' reports at any controller. The leader answers them. Elsewhere a worker is sent to the
+ * leader; if it can't reach it, its report is passed on, or, where the leader can't be reached from
+ * here either, answered without commands for as long as the leader has granted that.
  */
 final class ReportDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
-    /** Within the four seconds that a worker waits, with time for what follows. */
-    private static final long HOMELESS_MICROS = 2_500_000;
-    private static final long SETTLE_MICROS = 50_000;
-    /** Well within the four seconds that a worker waits. */
-    private static final long RELAY_MICROS = 1_500_000;
+  private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
 
-    private final Surroundings around;
-    private final Scheduler scheduler;
-    private final Election election;
-    private final Deputy deputy;
-    private final boolean deputies;
-    private final long leaderlessMicros;
-    /** Each holds a connection, and half of them may: users and peers need some too. */
-    private final int mostHomeless;
-    private final Set<Homeless> homeless = new LinkedHashSet<>();
-    private final Map<Long, Consumer<String>> relayed = new HashMap<>();
-    private long relays;
-    private long lastLedMicros;
-    private boolean malformedLogged;
-    private boolean standingIn;
-    private long stoodIn;
+  /** Within the four seconds that a worker waits, with time for what follows. */
+  private static final long HOMELESS_MICROS = 2_500_000;
 
-    /** A report that came while it was not clear who answers it. */
-    private record Homeless(WorkerReport report, byte[] body, Consumer<HttpResponse> answer) {
-    }
+  private static final long SETTLE_MICROS = 50_000;
 
-    /** What a controller has at hand for this. */
-    record Surroundings(Scheduler scheduler, Election election, Deputy deputy, Detours detours, Peers peers,
-            String member, Supplier<Leader> leader, BooleanSupplier storeAnswers) {
-    }
+  /** Well within the four seconds that a worker waits. */
+  private static final long RELAY_MICROS = 1_500_000;
 
-    /** Nobody leading for {@code leaderlessMicros} is more than a change of leader. */
-    ReportDesk(Surroundings around, boolean deputies, long leaderlessMicros, int maxSockets) {
-        this.around = around;
-        scheduler = around.scheduler();
-        election = around.election();
-        deputy = around.deputy();
-        this.deputies = deputies;
-        this.leaderlessMicros = leaderlessMicros;
-        mostHomeless = maxSockets / 2;
-        lastLedMicros = scheduler.nowMicros();
-    }
+  private final Surroundings around;
+  private final Scheduler scheduler;
+  private final Election election;
+  private final Deputy deputy;
+  private final boolean deputies;
+  private final long leaderlessMicros;
 
-    /** How many reports were answered in a leader's stead, and how many were passed on to one, since the start. */
-    void write(JsonGenerator out) throws IOException {
-        out.writeNumberField("reports_stood_in", stoodIn);
-        out.writeNumberField("reports_passed_on", relays);
-    }
+  /** Each holds a connection, and half of them may: users and peers need some too. */
+  private final int mostHomeless;
 
-    void start() {
-        scheduler.every(SETTLE_MICROS, this::settle);
-    }
+  private final Set<Homeless> homeless = new LinkedHashSet<>();
+  private final Map<Long, Consumer<String>> relayed = new HashMap<>();
+  private long relays;
+  private long lastLedMicros;
+  private boolean malformedLogged;
+  private boolean standingIn;
+  private long stoodIn;
 
-    void report(byte[] body, Consumer<HttpResponse> answer) {
-        WorkerReport report;
-        try {
-            report = read(body);
-        } catch (MalformedMessage e) {
-            logMalformed(e);
-            answer.accept(HttpResponse.of(400, Json.error(e.getMessage())));
-            return;
-        }
-        Homeless arrived = new Homeless(report, body, answer);
-        if (!settled() && homeless.size() < mostHomeless) {
-            keep(arrived);
-        } else {
-            decide(arrived);
-        }
-    }
+  /** A report that came while it was not clear who answers it. */
+  private record Homeless(WorkerReport report, byte[] body, Consumer<HttpResponse> answer) {}
 
-    private WorkerReport read(byte[] body) throws MalformedMessage {
-        WorkerReport report = WorkerCodec.readReport(body);
-        if (!election.heardToken(report.token())) {
-            throw new MalformedMessage("no leader has given the token " + report.token());
-        }
-        return report;
-    }
+  /** What a controller has at hand for this. */
+  record Surroundings(
+      Scheduler scheduler,
+      Election election,
+      Deputy deputy,
+      Detours detours,
+      Peers peers,
+      String member,
+      Supplier<Leader> leader,
+      BooleanSupplier storeAnswers) {}
 
-    /**
-     * While nobody leads, or the leader here has not read what there is, a worker sent away comes back a second later at the
-     * earliest, and its lease runs. Its report is kept for a moment instead, and answered once it is clear by whom.
-     */
-    private void keep(Homeless kept) {
-        homeless.add(kept);
-        scheduler.after(HOMELESS_MICROS, () -> {
-            if (homeless.remove(kept)) {
-                decide(kept);
-            }
-        });
-    }
+  /** Nobody leading for {@code leaderlessMicros} is more than a change of leader. */
+  ReportDesk(Surroundings around, boolean deputies, long leaderlessMicros, int maxSockets) {
+    this.around = around;
+    scheduler = around.scheduler();
+    election = around.election();
+    deputy = around.deputy();
+    this.deputies = deputies;
+    this.leaderlessMicros = leaderlessMicros;
+    mostHomeless = maxSockets / 2;
+    lastLedMicros = scheduler.nowMicros();
+  }
+
+  /**
+   * How many reports were answered in a leader's stead, and how many were passed on to one, since
+   * the start.
+   */
+  void write(JsonGenerator out) throws IOException {
+    out.writeNumberField("reports_stood_in", stoodIn);
+    out.writeNumberField("reports_passed_on", relays);
+  }
+
+  void start() {
+    scheduler.every(SETTLE_MICROS, this::settle);
+  }
 
-    /** Whether it is clear who answers reports. */
-    private boolean settled() {
-        Leader here = around.leader().get();
-        return here != null ? here.takesReports() : election.leader() != null;
+  void report(byte[] body, Consumer<HttpResponse> answer) {
+    WorkerReport report;
+    try {
+      report = read(body);
+    } catch (MalformedMessage e) {
+      logMalformed(e);
+      answer.accept(HttpResponse.of(400, Json.error(e.getMessage())));
+      return;
     }
+    Homeless arrived = new Homeless(report, body, answer);
+    if (!settled() && homeless.size() < mostHomeless) {
+      keep(arrived);
+    } else {
+      decide(arrived);
+    }
+  }
 
-    private void settle() {
-        boolean led = settled();
-        if (led) {
-            lastLedMicros = scheduler.nowMicros();
-        }
-        if (!homeless.isEmpty() && led) {
-            List<Homeless> settled = List.copyOf(homeless);
-            homeless.clear();
-            settled.forEach(this::decide);
-        }
+  private WorkerReport read(byte[] body) throws MalformedMessage {
+    WorkerReport report = WorkerCodec.readReport(body);
+    if (!election.heardToken(report.token())) {
+      throw new MalformedMessage("no leader has given the token " + report.token());
     }
+    return report;
+  }
 
-    private void decide(Homeless arrived) {
-        Leader here = around.leader().get();
-        if (here == null) {
-            follow(arrived);
-            return;
-        }
-        here.report(arrived.report(), reply -> {
-            if (reply.orders() == null) {
-                redirect(arrived.answer());
-            } else {
-                arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(reply.token(), reply.orders())));
-            }
+  /**
+   * While nobody leads, or the leader here has not read what there is, a worker sent away comes
+   * back a second later at the earliest, and its lease runs. Its report is kept for a moment
+   * instead, and answered once it is clear by whom.
+   */
+  private void keep(Homeless kept) {
+    homeless.add(kept);
+    scheduler.after(
+        HOMELESS_MICROS,
+        () -> {
+          if (homeless.remove(kept)) {
+            decide(kept);
+          }
         });
+  }
+
+  /** Whether it is clear who answers reports. */
+  private boolean settled() {
+    Leader here = around.leader().get();
+    return here != null ? here.takesReports() : election.leader() != null;
+  }
+
+  private void settle() {
+    boolean led = settled();
+    if (led) {
+      lastLedMicros = scheduler.nowMicros();
     }
+    if (!homeless.isEmpty() && led) {
+      List<Homeless> settled = List.copyOf(homeless);
+      homeless.clear();
+      settled.forEach(this::decide);
+    }
+  }
 
-    /** A report at a controller that does not lead. */
-    private void follow(Homeless arrived) {
-        String name = election.leader();
-        boolean heard = name != null && deputy.hears(name);
-        if (!deputies || heard && !served(arrived)) {
-            redirect(arrived.answer());
-        } else if (heard) {
-            relay(name, arrived);
-        } else if (name == null ? scheduler.nowMicros() - lastLedMicros > leaderlessMicros
-                : !around.storeAnswers().getAsBoolean() || served(arrived)) {
-            standIn(arrived);
-        } else {
-            redirect(arrived.answer());
-        }
+  private void decide(Homeless arrived) {
+    Leader here = around.leader().get();
+    if (here == null) {
+      follow(arrived);
+      return;
     }
+    here.report(
+        arrived.report(),
+        reply -> {
+          if (reply.orders() == null) {
+            redirect(arrived.answer());
+          } else {
+            arrived
+                .answer()
+                .accept(HttpResponse.of(200, WorkerCodec.answer(reply.token(), reply.orders())));
+          }
+        });
+  }
 
-    private boolean served(Homeless arrived) {
-        return around.detours().serves(arrived.report().machine(), arrived.report().zone(), scheduler.nowMicros());
+  /** A report at a controller that does not lead. */
+  private void follow(Homeless arrived) {
+    String name = election.leader();
+    boolean heard = name != null && deputy.hears(name);
+    if (!deputies || heard && !served(arrived)) {
+      redirect(arrived.answer());
+    } else if (heard) {
+      relay(name, arrived);
+    } else if (name == null
+        ? scheduler.nowMicros() - lastLedMicros > leaderlessMicros
+        : !around.storeAnswers().getAsBoolean() || served(arrived)) {
+      standIn(arrived);
+    } else {
+      redirect(arrived.answer());
     }
+  }
 
-    /**
-     * Answers in the leader's stead, with no command, a worker that has something to lose; one without tasks had better
-     * look for the leader.
-     */
-    private void standIn(Homeless arrived) {
-        if (arrived.report().tasks().isEmpty() || !deputy.mayAnswer(election.highestTerm())
-                || !deputy.answers(arrived.report())) {
-            redirect(arrived.answer());
-            return;
-        }
-        if (!standingIn) {
-            standingIn = true;
-            LOG.info("answering workers in the stead of {}", election.leader());
-        }
-        stoodIn++;
-        long token = Token.echo(arrived.report().token(), deputy.term());
-        arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(token, List.of())));
+  private boolean served(Homeless arrived) {
+    return around
+        .detours()
+        .serves(arrived.report().machine(), arrived.report().zone(), scheduler.nowMicros());
+  }
+
+  /**
+   * Answers in the leader's stead, with no command, a worker that has something to lose; one
+   * without tasks had better look for the leader.
+   */
+  private void standIn(Homeless arrived) {
+    if (arrived.report().tasks().isEmpty()
+        || !deputy.mayAnswer(election.highestTerm())
+        || !deputy.answers(arrived.report())) {
+      redirect(arrived.answer());
+      return;
+    }
+    if (!standingIn) {
+      standingIn = true;
+      LOG.info("answering workers in the stead of {}", election.leader());
     }
+    stoodIn++;
+    long token = Token.echo(arrived.report().token(), deputy.term());
+    arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(token, List.of())));
+  }
 
-    private void relay(String name, Homeless arrived) {
-        standingIn = false;
-        if (!MeshFrame.carries(arrived.body().length)) {
-            standIn(arrived);
-            return;
-        }
-        long number = ++relays;
-        relayed.put(number, text -> {
-            if (text.isEmpty()) {
-                redirect(arrived.answer());
-            } else {
-                arrived.answer().accept(HttpResponse.of(200, text.getBytes(StandardCharsets.UTF_8)));
-            }
+  private void relay(String name, Homeless arrived) {
+    standingIn = false;
+    if (!MeshFrame.carries(arrived.body().length)) {
+      standIn(arrived);
+      return;
+    }
+    long number = ++relays;
+    relayed.put(
+        number,
+        text -> {
+          if (text.isEmpty()) {
+            redirect(arrived.answer());
+          } else {
+            arrived.answer().accept(HttpResponse.of(200, text.getBytes(StandardCharsets.UTF_8)));
+          }
         });
-        String body = new String(arrived.body(), StandardCharsets.UTF_8);
-        around.peers().send(name, MeshFrame.encode(new Relayed(around.member(), number, body)));
-        scheduler.after(RELAY_MICROS, () -> {
-            if (relayed.remove(number) != null) {
-                standIn(arrived);
-            }
+    String body = new String(arrived.body(), StandardCharsets.UTF_8);
+    around.peers().send(name, MeshFrame.encode(new Relayed(around.member(), number, body)));
+    scheduler.after(
+        RELAY_MICROS,
+        () -> {
+          if (relayed.remove(number) != null) {
+            standIn(arrived);
+          }
         });
-    }
+  }
 
-    /** A report that another controller passes on, to this one as the leader. */
-    void take(Relayed passed) {
-        try {
-            WorkerReport report = read(passed.report().getBytes(StandardCharsets.UTF_8));
-            Leader here = around.leader().get();
-            if (here == null) {
-                return;
+  /** A report that another controller passes on, to this one as the leader. */
+  void take(Relayed passed) {
+    try {
+      WorkerReport report = read(passed.report().getBytes(StandardCharsets.UTF_8));
+      Leader here = around.leader().get();
+      if (here == null) {
+        return;
+      }
+      here.report(
+          report,
+          reply -> {
+            // Nothing in the answer: the worker is to have none, neither of this controller nor in
+            // its stead.
+            byte[] body =
+                reply.orders() == null
+                    ? new byte[0]
+                    : WorkerCodec.answer(reply.token(), reply.orders());
+            if (MeshFrame.carries(body.length)) {
+              around
+                  .peers()
+                  .send(
+                      passed.member(),
+                      MeshFrame.encode(
+                          new RelayAnswer(
+                              passed.number(), new String(body, StandardCharsets.UTF_8))));
             }
-            here.report(report, reply -> {
-                // Nothing in the answer: the worker is to have none, neither of this controller nor in its stead.
-                byte[] body = reply.orders() == null ? new byte[0] : WorkerCodec.answer(reply.token(), reply.orders());
-                if (MeshFrame.carries(body.length)) {
-                    around.peers().send(passed.member(), MeshFrame.encode(
-                            new RelayAnswer(passed.number(), new String(body, StandardCharsets.UTF_8))));
-                }
-            });
-        } catch (MalformedMessage e) {
-            logMalformed(e);
-        }
+          });
+    } catch (MalformedMessage e) {
+      logMalformed(e);
     }
+  }
 
-    /** The leader's answer to a report that was passed on. */
-    void take(RelayAnswer reply) {
-        Consumer<String> open = relayed.remove(reply.number());
-        if (open != null) {
-            open.accept(reply.answer());
-        }
+  /** The leader's answer to a report that was passed on. */
+  void take(RelayAnswer reply) {
+    Consumer<String> open = relayed.remove(reply.number());
+    if (open != null) {
+      open.accept(reply.answer());
     }
+  }
 
-    private void redirect(Consumer<HttpResponse> answer) {
-        String name = election.leader();
-        boolean other = name != null && !name.equals(around.member());
-        answer.accept(HttpResponse.of(421, WorkerCodec.redirect(other ? name : null)));
-    }
+  private void redirect(Consumer<HttpResponse> answer) {
+    String name = election.leader();
+    boolean other = name != null && !name.equals(around.member());
+    answer.accept(HttpResponse.of(421, WorkerCodec.redirect(other ? name : null)));
+  }
 
-    private void logMalformed(MalformedMessage cause) {
-        if (malformedLogged) {
-            LOG.debug("malformed report: {}", cause.getMessage());
-        } else {
-            malformedLogged = true;
-            LOG.info("malformed report: {} (further ones at level debug)", cause.getMessage());
-        }
+  private void logMalformed(MalformedMessage cause) {
+    if (malformedLogged) {
+      LOG.debug("malformed report: {}", cause.getMessage());
+    } else {
+      malformedLogged = true;
+      LOG.info("malformed report: {} (further ones at level debug)", cause.getMessage());
     }
+  }
 }
--- a/src/main/java/madderrudder/transport/Addresses.java
+++ b/src/main/java/madderrudder/transport/Addresses.java
@@ -8,42 +8,41 @@
 
 /** Addresses of the form {@code 10.0.0.1:8080}. Only numbers: there are no name look-ups. */
 public final class Addresses {
-    private static final Pattern FORM =
-            Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
+  private static final Pattern FORM =
+      Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
 
-    private Addresses() {
-    }
+  private Addresses() {}
 
-    public static boolean valid(String address) {
-        try {
-            parse(address);
-            return true;
-        } catch (IllegalArgumentException e) {
-            return false;
-        }
+  public static boolean valid(String address) {
+    try {
+      parse(address);
+      return true;
+    } catch (IllegalArgumentException e) {
+      return false;
     }
+  }
 
-    public static InetSocketAddress parse(String address) {
-        Matcher match = FORM.matcher(address);
-        if (!match.matches()) {
-            throw new IllegalArgumentException("not an address: " + address);
-        }
-        byte[] ip = new byte[4];
-        for (int i = 0; i < 4; i++) {
-            int part = Integer.parseInt(match.group(i + 1));
-            if (part > 255) {
-                throw new IllegalArgumentException("not an address: " + address);
-            }
-            ip[i] = (byte) part;
-        }
-        int port = Integer.parseInt(match.group(5));
-        if (port > 65535) {
-            throw new IllegalArgumentException("not an address: " + address);
-        }
-        try {
-            return new InetSocketAddress(InetAddress.getByAddress(ip), port);
-        } catch (UnknownHostException e) {
-            throw new IllegalArgumentException(e);
-        }
+  public static InetSocketAddress parse(String address) {
+    Matcher match = FORM.matcher(address);
+    if (!match.matches()) {
+      throw new IllegalArgumentException("not an address: " + address);
+    }
+    byte[] ip = new byte[4];
+    for (int i = 0; i < 4; i++) {
+      int part = Integer.parseInt(match.group(i + 1));
+      if (part > 255) {
+        throw new IllegalArgumentException("not an address: " + address);
+      }
+      ip[i] = (byte) part;
+    }
+    int port = Integer.parseInt(match.group(5));
+    if (port > 65535) {
+      throw new IllegalArgumentException("not an address: " + address);
+    }
+    try {
+      return new InetSocketAddress(InetAddress.getByAddress(ip), port);
+    } catch (UnknownHostException e) {
+      throw new IllegalArgumentException(e);
     }
+  }
 }
--- a/src/main/java/madderrudder/transport/HttpCalls.java
+++ b/src/main/java/madderrudder/transport/HttpCalls.java
@@ -2,7 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** What sends requests to an address and delivers exactly one response, a silent one when time is up. */
+/**
+ * What sends requests to an address and delivers exactly one response, a silent one when time is
+ * up.
+ */
 public interface HttpCalls {
-    void call(String address, HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer);
+  void call(String address, HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer);
 }
--- a/src/main/java/madderrudder/transport/HttpExchange.java
+++ b/src/main/java/madderrudder/transport/HttpExchange.java
@@ -4,5 +4,5 @@
 
 /** What answers requests. The answer may come later, but comes at most once. */
 public interface HttpExchange {
-    void handle(HttpRequest request, Consumer<HttpResponse> answer);
+  void handle(HttpRequest request, Consumer<HttpResponse> answer);
 }
--- a/src/main/java/madderrudder/transport/Peers.java
+++ b/src/main/java/madderrudder/transport/Peers.java
@@ -4,9 +4,9 @@
 
 /** Sends frames to the other controllers; they may be lost, and may come late. */
 public interface Peers {
-    /** To all of them that can be reached. */
-    void broadcast(ByteBuffer frame);
+  /** To all of them that can be reached. */
+  void broadcast(ByteBuffer frame);
 
-    /** To one, by its name; nothing happens if there is none. */
-    void send(String member, ByteBuffer frame);
+  /** To one, by its name; nothing happens if there is none. */
+  void send(String member, ByteBuffer frame);
 }
