--- a/src/main/java/madderrudder/coordination/dealings/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/dealings/CloudClient.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import madderrudder.bookkeeping.Pace;
 import madderrudder.coordination.picture.Rental;
+import madderrudder.persistence.RateLimiter;
 import madderrudder.protocol.CloudCodec;
 import madderrudder.transport.HttpCalls;
 import madderrudder.transport.HttpRequest;
@@ -17,13 +17,13 @@
 
   private final HttpCalls calls;
   private final String address;
-  private final Pace pace;
+  private final RateLimiter pace;
 
   public CloudClient(
       Scheduler scheduler, HttpCalls calls, String address, double requestsPerSecond) {
     this.calls = calls;
     this.address = address;
-    pace = new Pace(scheduler, requestsPerSecond * 0.8, requestsPerSecond);
+    pace = new RateLimiter(scheduler, requestsPerSecond * 0.8, requestsPerSecond);
   }
 
   void rent(String request, Rental rental, Consumer<HttpResponse> answer) {
--- a/src/main/java/madderrudder/coordination/dealings/Fleet.java
+++ b/src/main/java/madderrudder/coordination/dealings/Fleet.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.LogPage;
-import madderrudder.bookkeeping.LogReading;
-import madderrudder.bookkeeping.Metrics.Timing;
 import madderrudder.coordination.picture.Assignment;
 import madderrudder.coordination.picture.Cluster;
 import madderrudder.coordination.picture.Job;
 import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Token;
+import madderrudder.metrics.Metrics.Timing;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.LogSegment;
+import madderrudder.persistence.LogState;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
@@ -88,16 +88,16 @@
   /** Takes over what the log of earlier leaders says. */
   void load(List<Item> items) throws MalformedMessage {
     Map<Long, Integer> slots = new HashMap<>();
-    List<LogPage> pages = new ArrayList<>();
+    List<LogSegment> pages = new ArrayList<>();
     for (Item item : items) {
-      LogPage page = LogPage.read(item.value());
+      LogSegment page = LogSegment.read(item.value());
       pages.add(page);
       slots.put(page.number(), Keys.slot(item.key()));
     }
-    pages.sort(Comparator.comparingLong(LogPage::number));
-    LogReading reading = LogReading.of(pages);
-    for (LogPage.MachineEntry entry : reading.machines()) {
-      LogPage.Kind kind = entry.kind();
+    pages.sort(Comparator.comparingLong(LogSegment::number));
+    LogState reading = LogState.of(pages);
+    for (LogSegment.MachineEntry entry : reading.machines()) {
+      LogSegment.Kind kind = entry.kind();
       Machine machine =
           add(
               entry.id(),
@@ -111,7 +111,7 @@
       machine.retiringDurable = entry.retiring();
     }
     reading.placed().forEach(this::inherit);
-    for (LogPage.Image image : reading.images()) {
+    for (LogSegment.Image image : reading.images()) {
       Machine machine = term.cluster.machines.get(image.machine());
       if (machine != null) {
         machine.usedImage(image.name(), image.gb());
@@ -120,7 +120,7 @@
     pages.forEach(page -> log.load(slots.get(page.number()), page));
   }
 
-  private void inherit(LogPage.Entry entry) {
+  private void inherit(LogSegment.Entry entry) {
     Job job = term.cluster.jobs.get(entry.task().job());
     if (job != null && entry.task().index() >= job.spec.tasks()) {
       job = null;
--- a/src/main/java/madderrudder/coordination/dealings/FleetLog.java
+++ b/src/main/java/madderrudder/coordination/dealings/FleetLog.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import madderrudder.bookkeeping.Change;
-import madderrudder.bookkeeping.Journal.Lane;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.LogPage;
-import madderrudder.bookkeeping.Metrics.Timing;
 import madderrudder.coordination.picture.Assignment;
 import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.picture.Written;
+import madderrudder.metrics.Metrics.Timing;
+import madderrudder.persistence.CommitQueue.Urgency;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.LogSegment;
+import madderrudder.persistence.PendingChange;
 import madderrudder.protocol.StoreCodec.Write;
 
 /**
@@ -54,11 +54,11 @@
   private final Term term;
   private final Consumer<Machine> onDurable;
   private final int pageBytes;
-  private final Change change = new PageChange();
+  private final PendingChange change = new PageChange();
   // What the store lacks.
   private final Set<Machine> machines = new LinkedHashSet<>();
   private final Set<String> gone = new LinkedHashSet<>();
-  private final Set<LogPage.Ended> ended = new LinkedHashSet<>();
+  private final Set<LogSegment.Ended> ended = new LinkedHashSet<>();
   private final Set<Assignment> placed = new LinkedHashSet<>();
   private final Set<Kept> images = new LinkedHashSet<>();
   // What it has, oldest first, and what is on its way there.
@@ -84,7 +84,7 @@
     private final List<Machine> machines = new ArrayList<>();
     private final List<Machine> retiring = new ArrayList<>();
     private final List<String> gone = new ArrayList<>();
-    private final List<LogPage.Ended> ended = new ArrayList<>();
+    private final List<LogSegment.Ended> ended = new ArrayList<>();
     private final List<Assignment> placed = new ArrayList<>();
     private final List<Kept> images = new ArrayList<>();
 
@@ -109,16 +109,16 @@
    * Takes over a page of an earlier leader, in the order of their numbers, with all it says in the
    * picture.
    */
-  void load(int slot, LogPage found) {
+  void load(int slot, LogSegment found) {
     Page page = new Page(slot, found.number(), null);
-    for (LogPage.MachineEntry entry : found.machines()) {
+    for (LogSegment.MachineEntry entry : found.machines()) {
       Machine machine = term.cluster.machines.get(entry.id());
       if (machine != null) {
         page.machines.add(machine);
         machine.page = page;
       }
     }
-    for (LogPage.Entry entry : found.placed()) {
+    for (LogSegment.Entry entry : found.placed()) {
       Machine machine = term.cluster.machines.get(entry.machine());
       Assignment assignment =
           machine == null
@@ -129,7 +129,7 @@
         assignment.page = page;
       }
     }
-    for (LogPage.Image image : found.images()) {
+    for (LogSegment.Image image : found.images()) {
       Machine machine = term.cluster.machines.get(image.machine());
       if (machine != null) {
         Kept kept = new Kept(machine, image.name(), image.gb());
@@ -145,31 +145,31 @@
 
   void machine(Machine machine) {
     machines.add(machine);
-    term.journal.add(change, Lane.SOON);
+    term.journal.add(change, Urgency.SOON);
   }
 
   void gone(Machine machine) {
     machines.remove(machine);
     gone.add(machine.id);
-    term.journal.add(change, Lane.SOON);
+    term.journal.add(change, Urgency.SOON);
   }
 
   void placed(Assignment assignment) {
     placed.add(assignment);
-    term.journal.add(change, Lane.FIRST);
+    term.journal.add(change, Urgency.FIRST);
   }
 
   /** Nobody waits for this: what is placed later carries it along. */
   void ended(Assignment assignment) {
     if (!placed.remove(assignment)) {
-      ended.add(new LogPage.Ended(assignment.task, assignment.attempt, assignment.machine.id));
-      term.journal.add(change, Lane.LATER);
+      ended.add(new LogSegment.Ended(assignment.task, assignment.attempt, assignment.machine.id));
+      term.journal.add(change, Urgency.LATER);
     }
   }
 
   void kept(Machine machine, String image, double gb) {
     images.add(new Kept(machine, image, gb));
-    term.journal.add(change, Lane.LATER);
+    term.journal.add(change, Urgency.LATER);
   }
 
   private static boolean holds(Assignment assignment) {
@@ -190,7 +190,7 @@
 
   /** A page to be filled, and what goes into it. */
   private final class Filling {
-    private final LogPage.Builder text = new LogPage.Builder(pageBytes);
+    private final LogSegment.Builder text = new LogSegment.Builder(pageBytes);
     private Page page;
 
     /** What holds of the page that is written over; false if it does not fit. */
@@ -219,11 +219,11 @@
     }
 
     private boolean add(Machine machine) {
-      LogPage.Kind kind =
-          new LogPage.Kind(machine.type.name(), machine.zone, machine.spot, machine.owned);
+      LogSegment.Kind kind =
+          new LogSegment.Kind(machine.type.name(), machine.zone, machine.spot, machine.owned);
       boolean fits =
           text.add(
-              new LogPage.MachineEntry(
+              new LogSegment.MachineEntry(
                   machine.id, kind, machine.rentedWallMicros, machine.retiring));
       if (fits) {
         page.machines.add(machine);
@@ -236,16 +236,16 @@
 
     private boolean add(Assignment assignment) {
       return text.add(
-              new LogPage.Entry(
+              new LogSegment.Entry(
                   assignment.task,
                   assignment.attempt,
-                  new LogPage.Share(assignment.team, assignment.takes),
+                  new LogSegment.Share(assignment.team, assignment.takes),
                   assignment.machine.id))
           && page.placed.add(assignment);
     }
 
     private boolean add(Kept kept) {
-      return text.add(new LogPage.Image(kept.name(), kept.gb(), kept.machine().id))
+      return text.add(new LogSegment.Image(kept.name(), kept.gb(), kept.machine().id))
           && page.images.add(kept);
     }
 
@@ -359,13 +359,13 @@
       term.journal.add(
           change,
           !placed.isEmpty()
-              ? Lane.FIRST
-              : machines.isEmpty() && gone.isEmpty() ? Lane.LATER : Lane.SOON);
+              ? Urgency.FIRST
+              : machines.isEmpty() && gone.isEmpty() ? Urgency.LATER : Urgency.SOON);
     }
     settled.forEach(onDurable);
   }
 
-  private final class PageChange implements Change {
+  private final class PageChange implements PendingChange {
     @Override
     public String name() {
       return Keys.PAGES;
--- a/src/main/java/madderrudder/coordination/dealings/JobBook.java
+++ b/src/main/java/madderrudder/coordination/dealings/JobBook.java
@@ -5,15 +5,15 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import madderrudder.bookkeeping.Change;
-import madderrudder.bookkeeping.JobRecords;
-import madderrudder.bookkeeping.Journal.Lane;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.StoreReply.Outcome;
 import madderrudder.coordination.picture.Assignment;
 import madderrudder.coordination.picture.Job;
 import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Team;
+import madderrudder.persistence.CommitQueue.Urgency;
+import madderrudder.persistence.JobRecords;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.PendingChange;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
 import madderrudder.protocol.Kind;
@@ -64,7 +64,7 @@
     int slash = rest.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
     if (job == null) {
-      term.journal.add(new DropChange(item.key()), Lane.LATER);
+      term.journal.add(new DropChange(item.key()), Urgency.LATER);
       return;
     }
     try {
@@ -153,7 +153,7 @@
     end(job);
     for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
       if (!job.done.isEmpty() || job.faulty()) {
-        term.journal.add(new DropChange(Keys.progress(id, chunk)), Lane.LATER);
+        term.journal.add(new DropChange(Keys.progress(id, chunk)), Urgency.LATER);
       }
     }
   }
@@ -199,11 +199,11 @@
 
   /** A job's user waits for its end; until then its workers keep what they have completed. */
   private void save(Job job) {
-    term.journal.add(new JobChange(job), job.complete() ? Lane.SOON : Lane.LATER);
+    term.journal.add(new JobChange(job), job.complete() ? Urgency.SOON : Urgency.LATER);
   }
 
   /** Writes a job's progress, or moves it to the finished ones once all of it is done. */
-  private final class JobChange implements Change {
+  private final class JobChange implements PendingChange {
     private final Job job;
     private Set<Assignment> written = Set.of();
     private BitSet chunks = new BitSet();
@@ -287,7 +287,7 @@
   }
 
   /** Removes what a job that is over has left behind. */
-  private record DropChange(String key) implements Change {
+  private record DropChange(String key) implements PendingChange {
     @Override
     public String name() {
       return key;
--- a/src/main/java/madderrudder/coordination/dealings/Leader.java
+++ b/src/main/java/madderrudder/coordination/dealings/Leader.java
@@ -11,12 +11,6 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import madderrudder.bookkeeping.Change;
-import madderrudder.bookkeeping.Journal.Lane;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.Metrics;
-import madderrudder.bookkeeping.Metrics.Timing;
-import madderrudder.bookkeeping.StoreClient;
 import madderrudder.coordination.decisions.Demand;
 import madderrudder.coordination.decisions.Evacuation;
 import madderrudder.coordination.decisions.Placement;
@@ -32,6 +26,12 @@
 import madderrudder.coordination.policy.Policy;
 import madderrudder.coordination.policy.Safety;
 import madderrudder.coordination.recovery.Confidence;
+import madderrudder.metrics.Metrics;
+import madderrudder.metrics.Metrics.Timing;
+import madderrudder.persistence.CommitQueue.Urgency;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.PendingChange;
+import madderrudder.persistence.StoreClient;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.MalformedMessage;
 import madderrudder.protocol.MeshFrame;
@@ -537,7 +537,7 @@
   private void saveCatalog() {
     byte[] text = around.catalog().text();
     if (!term.closed() && text != null && text.length < term.deployment.state().valueBytes()) {
-      term.journal.add(new CatalogChange(text), Lane.LATER);
+      term.journal.add(new CatalogChange(text), Urgency.LATER);
     }
   }
 
@@ -572,7 +572,7 @@
   }
 
   /** Keeps the catalogue for nodes that start while the cloud is down. */
-  private record CatalogChange(byte[] text) implements Change {
+  private record CatalogChange(byte[] text) implements PendingChange {
     @Override
     public String name() {
       return Keys.CATALOG;
--- a/src/main/java/madderrudder/coordination/dealings/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/dealings/LearnedRunTimes.java
@@ -4,9 +4,6 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.bookkeeping.Change;
-import madderrudder.bookkeeping.Journal.Lane;
-import madderrudder.bookkeeping.Keys;
 import madderrudder.coordination.picture.Assignment;
 import madderrudder.coordination.picture.Job;
 import madderrudder.coordination.picture.RunTimes;
@@ -17,6 +14,9 @@
 import madderrudder.estimates.Estimator.ClassSummary;
 import madderrudder.estimates.Question;
 import madderrudder.estimates.Run;
+import madderrudder.persistence.CommitQueue.Urgency;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.PendingChange;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.Kind;
@@ -94,7 +94,7 @@
           int page = pages.nextChanged(next);
           if (page >= 0) {
             next = (page + 1) % PAGES;
-            term.journal.add(new PageChange(page), Lane.LATER);
+            term.journal.add(new PageChange(page), Urgency.LATER);
           }
         });
   }
@@ -199,7 +199,7 @@
   }
 
   /** Rendered when it is written, so that it says what is known then. */
-  private final class PageChange implements Change {
+  private final class PageChange implements PendingChange {
     private final int page;
 
     PageChange(int page) {
--- a/src/main/java/madderrudder/coordination/dealings/Rentals.java
+++ b/src/main/java/madderrudder/coordination/dealings/Rentals.java
@@ -9,11 +9,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import madderrudder.bookkeeping.Budget;
-import madderrudder.bookkeeping.Change;
-import madderrudder.bookkeeping.Journal.Lane;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.RentalRecord;
 import madderrudder.coordination.decisions.Demand;
 import madderrudder.coordination.decisions.RentalPlanner;
 import madderrudder.coordination.picture.Machine;
@@ -26,6 +21,11 @@
 import madderrudder.coordination.recovery.MachineFacts.Worker;
 import madderrudder.coordination.recovery.MachineFinding;
 import madderrudder.coordination.recovery.MachineSquaring;
+import madderrudder.persistence.CommitQueue.Urgency;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.PendingChange;
+import madderrudder.persistence.RentalBudget;
+import madderrudder.persistence.RentalRecord;
 import madderrudder.protocol.CloudCodec;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -54,7 +54,7 @@
   private final Term term;
   private final Fleet fleet;
   private final CloudClient cloud;
-  private final Budget budget;
+  private final RentalBudget budget;
   private final Map<String, RentalRecord> open = new LinkedHashMap<>();
   private final Shelves shelves = new Shelves();
   private final Map<String, Long> unexpectedSince = new HashMap<>();
@@ -78,7 +78,7 @@
     this.fleet = fleet;
     this.cloud = cloud;
     budget =
-        new Budget(
+        new RentalBudget(
             term.policy.budget(),
             term.policy.budgetWindowMicros(),
             term.deployment.clockOffMicros());
@@ -188,7 +188,7 @@
         rental.spot() ? " spot" : "",
         rental.counted() ? ", counted" : "",
         request);
-    term.journal.add(new IntentChange(record), Lane.FIRST);
+    term.journal.add(new IntentChange(record), Urgency.FIRST);
   }
 
   private void call(RentalRecord record) {
@@ -248,7 +248,7 @@
         fleet.save(machine);
       }
     }
-    term.journal.add(new SettledChange(record.request()), Lane.SOON);
+    term.journal.add(new SettledChange(record.request()), Urgency.SOON);
   }
 
   /**
@@ -470,7 +470,7 @@
   }
 
   /** The intent, its reservation, and the owned machines if this is the first rental of all. */
-  private final class IntentChange implements Change {
+  private final class IntentChange implements PendingChange {
     private final RentalRecord record;
     private boolean sealing;
 
@@ -517,7 +517,7 @@
   }
 
   /** The rental's answer is in the machines' own records, written before or with this. */
-  private record SettledChange(String request) implements Change {
+  private record SettledChange(String request) implements PendingChange {
     @Override
     public String name() {
       return Keys.rental(request);
--- a/src/main/java/madderrudder/coordination/dealings/TakeOver.java
+++ b/src/main/java/madderrudder/coordination/dealings/TakeOver.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.StoreClient;
-import madderrudder.bookkeeping.StoreReply.Outcome;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.StoreClient;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.StoreCodec.Item;
 
 /** Reads everything a new leader needs, by ranges, until all of it has been read. */
--- a/src/main/java/madderrudder/coordination/dealings/Term.java
+++ b/src/main/java/madderrudder/coordination/dealings/Term.java
@@ -1,9 +1,5 @@
 package madderrudder.coordination.dealings;
 
-import madderrudder.bookkeeping.Journal;
-import madderrudder.bookkeeping.Metrics;
-import madderrudder.bookkeeping.RunHistory;
-import madderrudder.bookkeeping.StoreClient;
 import madderrudder.coordination.membership.Deputies;
 import madderrudder.coordination.membership.Election;
 import madderrudder.coordination.picture.Cluster;
@@ -11,6 +7,10 @@
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.Policy;
 import madderrudder.coordination.policy.Safety;
+import madderrudder.metrics.Metrics;
+import madderrudder.metrics.RunHistory;
+import madderrudder.persistence.CommitQueue;
+import madderrudder.persistence.StoreClient;
 import madderrudder.transport.HttpCalls;
 import madderrudder.transport.Scheduler;
 
@@ -30,7 +30,7 @@
   final Safety safety;
   final Metrics metrics;
   final long number;
-  final Journal journal;
+  final CommitQueue journal;
   final Cluster cluster;
 
   /** Null where the operators want none. */
@@ -53,7 +53,7 @@
     safety = Safety.of(deployment.workers());
     this.number = number;
     journal =
-        new Journal(
+        new CommitQueue(
             scheduler,
             store,
             around.member(),
--- a/src/main/java/madderrudder/coordination/membership/Election.java
+++ b/src/main/java/madderrudder/coordination/membership/Election.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import madderrudder.bookkeeping.Journal;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.StoreClient;
-import madderrudder.bookkeeping.StoreReply.Outcome;
 import madderrudder.coordination.policy.Safety;
 import madderrudder.coordination.policy.Token;
+import madderrudder.persistence.CommitQueue;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.StoreClient;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
 import madderrudder.protocol.StoreCodec;
@@ -262,14 +262,14 @@
 
   private void readTerm(long newLease, long sentMicros) {
     store.getUrgent(
-        Keys.HELM,
+        Keys.TERM,
         reply -> {
           try {
             if (reply.is(Outcome.OK)) {
               claim(
                   newLease,
                   sentMicros,
-                  Journal.readTerm(reply.value().value()),
+                  CommitQueue.readTerm(reply.value().value()),
                   reply.value().version());
               return;
             }
@@ -295,10 +295,10 @@
     List<Write> writes =
         List.of(
             new Write(Keys.LEAD, lead, newLease),
-            Write.put(Keys.HELM, Journal.helm(newTerm, member, 0)));
+            Write.put(Keys.TERM, CommitQueue.helm(newTerm, member, 0)));
     byte[] body =
         StoreCodec.commit(
-            List.of(new Condition(Keys.LEAD, inherited), new Condition(Keys.HELM, helmVersion)),
+            List.of(new Condition(Keys.LEAD, inherited), new Condition(Keys.TERM, helmVersion)),
             writes);
     store.commitUrgent(
         body,
--- a/src/main/java/madderrudder/bookkeeping/Metrics.java
+++ b/src/main/java/madderrudder/metrics/Metrics.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.metrics;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/madderrudder/bookkeeping/RunHistory.java
+++ b/src/main/java/madderrudder/metrics/RunHistory.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.metrics;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -55,7 +55,7 @@
       }
       if (number > from) {
         out.writeStartObject();
-        HistoryCodec.write(out, ended);
+        RunHistoryCodec.write(out, ended);
         out.writeEndObject();
       }
     }
--- a/src/main/java/madderrudder/bookkeeping/HistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -1,17 +1,17 @@
-package madderrudder.bookkeeping;
+package madderrudder.metrics;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import madderrudder.bookkeeping.RunHistory.Ended;
 import madderrudder.estimates.Likeness;
 import madderrudder.estimates.Run;
+import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.MalformedMessage;
 import madderrudder.protocol.Resources;
 
 /** The words of a history of runs, in a controller's answer as in files. Times are in seconds. */
-public final class HistoryCodec {
+public final class RunHistoryCodec {
   /** The fields in the order of a table's columns. */
   public static final List<String> FIELDS =
       List.of(
@@ -36,7 +36,7 @@
   /** Stopped, or resumed what an earlier attempt had saved. */
   private static final String PART = "part";
 
-  private HistoryCodec() {}
+  private RunHistoryCodec() {}
 
   public static void write(JsonGenerator out, Ended ended) throws IOException {
     Run run = ended.run();
--- a/src/main/java/madderrudder/bookkeeping/Journal.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import madderrudder.bookkeeping.StoreReply.Outcome;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -19,24 +19,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a leader's changes, one transaction at a time. Each transaction is conditioned on the
- * version of the term key and rewrites it, so the leader's transactions form a chain: one that is
- * applied late, or comes from a leader that has been replaced, breaks off and writes nothing.
+ * Queues a leader's changes and commits them to the store, one compare-and-swap transaction at a
+ * time. Each transaction is conditioned on the version of the term key ({@link Keys#TERM}) and
+ * rewrites it, so the leader's transactions form a chain that fences out stale writers: one that is
+ * applied late, or comes from a leader that has been replaced, fails its condition and writes
+ * nothing. When the term key's condition fails, the queue closes and calls {@code onLost}.
+ *
+ * <p>Not thread-safe: every method must be called on the event-loop thread of the {@link
+ * Scheduler}, where the store's answers arrive too.
  */
-public final class Journal {
-  private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
+public final class CommitQueue {
+  private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
   private static final long RETRY_MICROS = 150_000;
-  private static final long LATER_MICROS = 4_000_000;
+  private static final long LATER_DELAY_MICROS = 4_000_000;
 
   /**
    * One write in this many may rewrite the term key, and fewer while the rate is nearly used up.
    */
-  private static final double HELM_SHARE = 5;
+  private static final double TERM_KEY_WRITE_SHARE = 5;
 
-  private static final int SCARCE_FACTOR = 2;
-  private static final int MOST_BYTES = 48 * 1024;
-  private static final int HEAD_BYTES = 512;
-  private static final int LATER_PART = 8;
+  private static final int SCARCE_SPACING_FACTOR = 2;
+  private static final int MOST_COMMIT_BYTES = 48 * 1024;
+  private static final int COMMIT_HEAD_BYTES = 512;
+
+  /** What one write adds to a transaction beside its key and value. */
+  private static final int WRITE_OVERHEAD_BYTES = 64;
+
+  private static final int LATER_SHARE_DIVISOR = 8;
 
   /** How quickly the rate last used is forgotten, and how much more than that is kept back. */
   private static final double RECENT_WEIGHT = 0.3;
@@ -50,13 +59,13 @@
   private final long term;
   private final int mostWrites;
   private final long spacingMicros;
-  private final double scarce;
-  private final Pace pace;
+  private final double scarceWrites;
+  private final RateLimiter writeLimiter;
   private final double writesPerSecond;
   private double recentPerSecond;
   private final Runnable onLost;
-  private final Map<Lane, Map<String, Change>> lanes = new EnumMap<>(Lane.class);
-  private long helmVersion;
+  private final Map<Urgency, Map<String, PendingChange>> queues = new EnumMap<>(Urgency.class);
+  private long termKeyVersion;
   private long serial;
   private long nextMicros;
   private boolean inFlight;
@@ -64,10 +73,14 @@
   private boolean lateScheduled;
   private boolean closed;
 
-  /** In which order changes are written when there are more than the store takes at once. */
-  public enum Lane {
+  /**
+   * The order in which changes are written when there are more than one transaction takes; a change
+   * queued at two urgencies keeps the more urgent one.
+   */
+  public enum Urgency {
     /** Somebody waits for it: a start, a rental. */
     FIRST,
+    /** Written in the next transaction that has room. */
     SOON,
     /**
      * Nothing but a take-over depends on it: written when there is little else, or a little late.
@@ -77,14 +90,31 @@
 
   /** What one transaction carries. */
   private record Batch(
-      List<Change> changes, List<Condition> conditions, byte[] body, int writes, long serial) {}
+      List<PendingChange> changes,
+      List<Condition> conditions,
+      byte[] body,
+      int writes,
+      long serial) {}
 
-  public Journal(
+  /**
+   * Creates the queue of one leader's term.
+   *
+   * @param scheduler the event loop; its clock is in microseconds
+   * @param store the store client the transactions go through
+   * @param member this node's name, written into the term key
+   * @param term the leader's term
+   * @param termKeyVersion the version of the term key that this leader wrote when it took over
+   * @param mostWrites the most writes in one transaction
+   * @param writesPerSecond the leader's write rate
+   * @param onLost called once, on the event loop, when another leader has taken over or the term
+   *     key is gone or unreadable
+   */
+  public CommitQueue(
       Scheduler scheduler,
       StoreClient store,
       String member,
       long term,
-      long helmVersion,
+      long termKeyVersion,
       int mostWrites,
       double writesPerSecond,
       Runnable onLost) {
@@ -92,18 +122,23 @@
     this.store = store;
     this.member = member;
     this.term = term;
-    this.helmVersion = helmVersion;
+    this.termKeyVersion = termKeyVersion;
     this.mostWrites = mostWrites;
-    spacingMicros = (long) (HELM_SHARE * 1e6 / writesPerSecond);
-    scarce = writesPerSecond / 2;
+    spacingMicros = (long) (TERM_KEY_WRITE_SHARE * 1e6 / writesPerSecond);
+    scarceWrites = writesPerSecond / 2;
     this.writesPerSecond = writesPerSecond;
-    pace = new Pace(scheduler, writesPerSecond, writesPerSecond);
+    writeLimiter = new RateLimiter(scheduler, writesPerSecond, writesPerSecond);
     this.onLost = onLost;
-    for (Lane lane : Lane.values()) {
-      lanes.put(lane, new LinkedHashMap<>());
+    for (Urgency urgency : Urgency.values()) {
+      queues.put(urgency, new LinkedHashMap<>());
     }
   }
 
+  /**
+   * Renders the term key's value: the term, the leader's name and a serial number that each commit
+   * raises. The JSON layout ({@code term}, {@code member}, {@code serial}) is stored and must not
+   * change.
+   */
   public static byte[] helm(long term, String member, long serial) {
     return Json.object(
         out -> {
@@ -113,6 +148,11 @@
         });
   }
 
+  /**
+   * Reads the term from the term key's value.
+   *
+   * @throws MalformedMessage if the field {@code term} is missing or not a count
+   */
   public static long readTerm(Fields helm) throws MalformedMessage {
     return helm.count("term");
   }
@@ -120,29 +160,29 @@
   /** Nothing is sent any more; an answer that still comes is ignored. */
   public void close() {
     closed = true;
-    lanes.values().forEach(Map::clear);
+    queues.values().forEach(Map::clear);
   }
 
   /**
-   * Writes the change together with others named in the same turn. Named in two lanes, the earlier
+   * Writes the change together with others named in the same turn. Named in two queues, the earlier
    * one counts.
    */
-  public void add(Change change, Lane lane) {
-    for (Lane other : Lane.values()) {
-      if (other.compareTo(lane) < 0 && lanes.get(other).containsKey(change.name())) {
+  public void add(PendingChange change, Urgency urgency) {
+    for (Urgency other : Urgency.values()) {
+      if (other.compareTo(urgency) < 0 && queues.get(other).containsKey(change.name())) {
         return;
       }
-      if (other.compareTo(lane) > 0) {
-        lanes.get(other).remove(change.name());
+      if (other.compareTo(urgency) > 0) {
+        queues.get(other).remove(change.name());
       }
     }
-    lanes.get(lane).putIfAbsent(change.name(), change);
-    if (lane != Lane.LATER) {
+    queues.get(urgency).putIfAbsent(change.name(), change);
+    if (urgency != Urgency.LATER) {
       flushSoon();
     } else if (!lateScheduled) {
       lateScheduled = true;
       scheduler.after(
-          LATER_MICROS,
+          LATER_DELAY_MICROS,
           () -> {
             lateScheduled = false;
             flushSoon();
@@ -151,9 +191,9 @@
   }
 
   private boolean nothingDue() {
-    return lanes.get(Lane.FIRST).isEmpty()
-        && lanes.get(Lane.SOON).isEmpty()
-        && (lateScheduled || lanes.get(Lane.LATER).isEmpty());
+    return queues.get(Urgency.FIRST).isEmpty()
+        && queues.get(Urgency.SOON).isEmpty()
+        && (lateScheduled || queues.get(Urgency.LATER).isEmpty());
   }
 
   /**
@@ -178,15 +218,16 @@
    * time since the last look. Nothing, while more waits than one transaction takes.
    */
   public double spareWritesPerSecond(long sinceMicros) {
-    double perSecond = pace.takeSpent() * 1e6 / Math.max(1, sinceMicros);
+    double perSecond = writeLimiter.takeSpent() * 1e6 / Math.max(1, sinceMicros);
     recentPerSecond += RECENT_WEIGHT * (perSecond - recentPerSecond);
     return backlog() > mostWrites
         ? 0
         : Math.max(0, LENT_SHARE * writesPerSecond - KEPT_FACTOR * recentPerSecond);
   }
 
+  /** How many changes wait to be written, at all urgencies together. */
   public int backlog() {
-    return lanes.values().stream().mapToInt(Map::size).sum();
+    return queues.values().stream().mapToInt(Map::size).sum();
   }
 
   private void flush() {
@@ -198,8 +239,10 @@
       inFlight = true;
       nextMicros =
           scheduler.nowMicros()
-              + (pace.left() < scarce ? SCARCE_FACTOR * spacingMicros : spacingMicros);
-      pace.run(
+              + (writeLimiter.left() < scarceWrites
+                  ? SCARCE_SPACING_FACTOR * spacingMicros
+                  : spacingMicros);
+      writeLimiter.run(
           batch.writes(),
           () -> {
             if (!closed) {
@@ -210,48 +253,52 @@
   }
 
   private Batch build() {
-    List<Change> changes = new ArrayList<>();
+    List<PendingChange> changes = new ArrayList<>();
     List<Write> writes = new ArrayList<>();
     List<Condition> conditions = new ArrayList<>();
-    conditions.add(new Condition(Keys.HELM, helmVersion));
+    conditions.add(new Condition(Keys.TERM, termKeyVersion));
     serial++;
-    writes.add(Write.put(Keys.HELM, helm(term, member, serial)));
-    Filling filling = new Filling(changes, conditions, writes);
-    if (filling.from(lanes.get(Lane.FIRST), mostWrites)
-        && filling.from(lanes.get(Lane.SOON), mostWrites)) {
+    writes.add(Write.put(Keys.TERM, helm(term, member, serial)));
+    BatchFiller filler = new BatchFiller(changes, conditions, writes);
+    if (filler.from(queues.get(Urgency.FIRST), mostWrites)
+        && filler.from(queues.get(Urgency.SOON), mostWrites)) {
       // What can wait takes what the rate leaves over, and a little always, so that it is written
       // some time.
-      int spare = (int) Math.max(writes.size() + mostWrites / LATER_PART, pace.left());
-      filling.from(lanes.get(Lane.LATER), Math.min(mostWrites, spare));
+      int spare =
+          (int) Math.max(writes.size() + mostWrites / LATER_SHARE_DIVISOR, writeLimiter.left());
+      filler.from(queues.get(Urgency.LATER), Math.min(mostWrites, spare));
     }
     return new Batch(
         changes, conditions, StoreCodec.commit(conditions, writes), writes.size(), serial);
   }
 
   /** A transaction being filled. */
-  private static final class Filling {
-    private final List<Change> changes;
+  private static final class BatchFiller {
+    private final List<PendingChange> changes;
     private final List<Condition> conditions;
     private final List<Write> writes;
-    private int bytes = HEAD_BYTES;
+    private int bytes = COMMIT_HEAD_BYTES;
 
-    Filling(List<Change> changes, List<Condition> conditions, List<Write> writes) {
+    BatchFiller(List<PendingChange> changes, List<Condition> conditions, List<Write> writes) {
       this.changes = changes;
       this.conditions = conditions;
       this.writes = writes;
     }
 
     /** Takes changes while they fit; false if some were left. Even a large one goes alone. */
-    boolean from(Map<String, Change> queue, int mostWrites) {
+    boolean from(Map<String, PendingChange> queue, int mostWrites) {
       for (var iterator = queue.values().iterator(); iterator.hasNext(); ) {
-        Change change = iterator.next();
+        PendingChange change = iterator.next();
         List<Write> more = change.writes();
         int size = 0;
         for (Write write : more) {
-          size += write.key().length() + 64 + (write.value() == null ? 0 : write.value().length);
+          size +=
+              write.key().length()
+                  + WRITE_OVERHEAD_BYTES
+                  + (write.value() == null ? 0 : write.value().length);
         }
         if (!changes.isEmpty()
-            && (writes.size() + more.size() > mostWrites || bytes + size > MOST_BYTES)) {
+            && (writes.size() + more.size() > mostWrites || bytes + size > MOST_COMMIT_BYTES)) {
           return false;
         }
         iterator.remove();
@@ -274,22 +321,22 @@
           switch (reply.outcome()) {
             case OK -> applied(batch, reply.value());
             case CONFLICT -> {
-              if (maybeApplied && reply.failed().contains(Keys.HELM)) {
-                lookBack(batch);
+              if (maybeApplied && reply.failed().contains(Keys.TERM)) {
+                checkEarlierCopy(batch);
               } else {
                 conflict(batch, new HashSet<>(reply.failed()));
               }
             }
-            case REFUSED -> again(() -> send(batch, maybeApplied));
+            case REFUSED -> retryLater(() -> send(batch, maybeApplied));
             // Silence may mean that it was applied, or will be: the same transaction is sent again,
             // and at most one of the copies can find the term key at the expected version.
-            case UNKNOWN -> again(() -> send(batch, true));
-            default -> lost("the store rejects transactions");
+            case UNKNOWN -> retryLater(() -> send(batch, true));
+            default -> giveUp("the store rejects transactions");
           }
         });
   }
 
-  private void again(Runnable retry) {
+  private void retryLater(Runnable retry) {
     scheduler.after(
         RETRY_MICROS,
         () -> {
@@ -300,18 +347,18 @@
   }
 
   private void applied(Batch batch, long version) {
-    helmVersion = version;
+    termKeyVersion = version;
     inFlight = false;
-    for (Change change : batch.changes()) {
+    for (PendingChange change : batch.changes()) {
       change.committed();
     }
     flushSoon();
   }
 
   /** After a silence: did an earlier copy get through? */
-  private void lookBack(Batch batch) {
+  private void checkEarlierCopy(Batch batch) {
     store.getUrgent(
-        Keys.HELM,
+        Keys.TERM,
         reply -> {
           if (closed) {
             return;
@@ -322,36 +369,36 @@
               if (readTerm(helm) == term && helm.count("serial") == batch.serial()) {
                 applied(batch, reply.value().version());
               } else {
-                lost("another leader has taken over");
+                giveUp("another leader has taken over");
               }
             } catch (MalformedMessage e) {
-              lost("the term key is unreadable");
+              giveUp("the term key is unreadable");
             }
           } else if (reply.is(Outcome.GONE)) {
-            lost("the term key is gone");
+            giveUp("the term key is gone");
           } else {
-            again(() -> lookBack(batch));
+            retryLater(() -> checkEarlierCopy(batch));
           }
         });
   }
 
   private void conflict(Batch batch, Set<String> failed) {
-    if (failed.contains(Keys.HELM)) {
-      lost("another leader has taken over");
+    if (failed.contains(Keys.TERM)) {
+      giveUp("another leader has taken over");
       return;
     }
     inFlight = false;
-    for (Change change : batch.changes()) {
+    for (PendingChange change : batch.changes()) {
       if (change.conditions().stream().anyMatch(c -> failed.contains(c.key()))) {
         change.rejected();
       } else {
-        add(change, Lane.FIRST);
+        add(change, Urgency.FIRST);
       }
     }
     flushSoon();
   }
 
-  private void lost(String why) {
+  private void giveUp(String why) {
     if (!closed) {
       LOG.info("term {}: {}", term, why);
       close();
--- a/src/main/java/madderrudder/bookkeeping/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.Base64;
 import java.util.BitSet;
--- a/src/main/java/madderrudder/bookkeeping/Keys.java
+++ b/src/main/java/madderrudder/persistence/Keys.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import madderrudder.protocol.MalformedMessage;
 
@@ -10,7 +10,7 @@
   public static final String LEAD_PREFIX = "lead/";
 
   /** The term, and a count raised by each leader commit, which is conditioned on it. */
-  public static final String HELM = "helm";
+  public static final String TERM = "helm";
 
   public static final String LIVE = "l/";
   public static final String FINISHED = "f/";
--- a/src/main/java/madderrudder/bookkeeping/LiveChecks.java
+++ b/src/main/java/madderrudder/persistence/LiveJobChecker.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import madderrudder.bookkeeping.StoreReply.Outcome;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.StoreCodec.Condition;
 
 /**
@@ -17,7 +17,7 @@
  * asked meanwhile goes together in the next. Reading each job for each poll once took the whole
  * request rate with some hundred unfinished jobs, and submissions waited behind.
  */
-public final class LiveChecks {
+public final class LiveJobChecker {
   private final StoreClient store;
   private final int mostConditions;
   private final Map<Condition, List<Consumer<Answer>>> asked = new LinkedHashMap<>();
@@ -30,7 +30,7 @@
     UNKNOWN
   }
 
-  public LiveChecks(StoreClient store, int mostConditions) {
+  public LiveJobChecker(StoreClient store, int mostConditions) {
     this.store = store;
     this.mostConditions = mostConditions;
   }
--- a/src/main/java/madderrudder/bookkeeping/LogPage.java
+++ b/src/main/java/madderrudder/persistence/LogSegment.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -14,11 +14,11 @@
 
 /**
  * A page of the leader's log: which machines there are, which tasks may be on them from now on, and
- * which surely are not any more. Pages are read in the order of their numbers ({@link LogReading}).
+ * which surely are not any more. Pages are read in the order of their numbers ({@link LogState}).
  * What is alike is said once, since a value holds little: the tasks of a job, the machines of a
  * kind, the machines with an image.
  */
-public record LogPage(
+public record LogSegment(
     long number,
     List<MachineEntry> machines,
     List<String> gone,
@@ -217,7 +217,7 @@
     }
   }
 
-  public static LogPage read(Fields in) throws MalformedMessage {
+  public static LogSegment read(Fields in) throws MalformedMessage {
     List<MachineEntry> machines = new ArrayList<>();
     for (Fields group : in.objects("machines")) {
       Kind kind =
@@ -255,7 +255,7 @@
         images.add(new Image(group.text("i"), group.amount("gb"), machine));
       }
     }
-    return new LogPage(in.count("n"), machines, in.texts("gone"), placed, ended, images);
+    return new LogSegment(in.count("n"), machines, in.texts("gone"), placed, ended, images);
   }
 
   private static long number(String[] parts, int at) throws MalformedMessage {
--- a/src/main/java/madderrudder/bookkeeping/LogReading.java
+++ b/src/main/java/madderrudder/persistence/LogState.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,24 +12,24 @@
  * What the pages of the log say together: the machines there are, what may be on them, what they
  * have kept.
  */
-public final class LogReading {
-  private final Map<String, LogPage.MachineEntry> machines = new LinkedHashMap<>();
-  private final Map<Attempt, LogPage.Entry> placed = new LinkedHashMap<>();
-  private final List<LogPage.Image> images = new ArrayList<>();
+public final class LogState {
+  private final Map<String, LogSegment.MachineEntry> machines = new LinkedHashMap<>();
+  private final Map<Attempt, LogSegment.Entry> placed = new LinkedHashMap<>();
+  private final List<LogSegment.Image> images = new ArrayList<>();
 
   private record Attempt(TaskId task, long number, String machine) {}
 
   /**
    * A later page has the last word; within a page what has ended did so before anything was placed.
    */
-  public static LogReading of(Collection<LogPage> pages) {
-    LogReading reading = new LogReading();
-    pages.stream().sorted(Comparator.comparingLong(LogPage::number)).forEach(reading::take);
+  public static LogState of(Collection<LogSegment> pages) {
+    LogState reading = new LogState();
+    pages.stream().sorted(Comparator.comparingLong(LogSegment::number)).forEach(reading::take);
     reading.placed.values().removeIf(entry -> !reading.machines.containsKey(entry.machine()));
     return reading;
   }
 
-  private void take(LogPage page) {
+  private void take(LogSegment page) {
     page.machines().forEach(machine -> machines.put(machine.id(), machine));
     page.gone().forEach(machines::remove);
     page.ended()
@@ -41,16 +41,16 @@
     images.addAll(page.images());
   }
 
-  public Collection<LogPage.MachineEntry> machines() {
+  public Collection<LogSegment.MachineEntry> machines() {
     return machines.values();
   }
 
   /** Each on a machine that is there: what was on one that has gone has gone with it. */
-  public Collection<LogPage.Entry> placed() {
+  public Collection<LogSegment.Entry> placed() {
     return placed.values();
   }
 
-  public List<LogPage.Image> images() {
+  public List<LogSegment.Image> images() {
     return images;
   }
 }
--- a/src/main/java/madderrudder/bookkeeping/Pace.java
+++ b/src/main/java/madderrudder/persistence/RateLimiter.java
@@ -1,11 +1,11 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import madderrudder.transport.Scheduler;
 
 /** Keeps calls under a rate the other side enforces: they wait their turn in a bounded queue. */
-public final class Pace {
+public final class RateLimiter {
   private static final int MOST_WAITING = 256;
 
   /** Timers are no finer than this, and a shorter wait could end before the clock has moved. */
@@ -23,7 +23,7 @@
 
   private record Waiting(double cost, Runnable go) {}
 
-  public Pace(Scheduler scheduler, double perSecond, double burst) {
+  public RateLimiter(Scheduler scheduler, double perSecond, double burst) {
     this.scheduler = scheduler;
     this.perMicro = perSecond / 1e6;
     this.burst = Math.max(1, burst);
--- a/src/main/java/madderrudder/bookkeeping/Budget.java
+++ b/src/main/java/madderrudder/persistence/RentalBudget.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * <p>Reservations made close together are kept as one, counted from the last of them, so that what
  * is stored stays small however many machines a window allows.
  */
-public final class Budget {
+public final class RentalBudget {
   /** At most this many entries are kept within a window. */
   private static final int ENTRIES = 100;
 
@@ -27,7 +27,7 @@
 
   private record Spent(long firstWallMicros, long lastWallMicros, int count) {}
 
-  public Budget(int most, long windowMicros, long clockOffMicros) {
+  public RentalBudget(int most, long windowMicros, long clockOffMicros) {
     this.most = most;
     this.windowMicros = windowMicros + 2 * clockOffMicros;
   }
--- a/src/main/java/madderrudder/bookkeeping/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
--- a/src/main/java/madderrudder/bookkeeping/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -1,8 +1,8 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import java.util.List;
 import java.util.function.Consumer;
-import madderrudder.bookkeeping.StoreReply.Outcome;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.MalformedMessage;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
@@ -35,8 +35,8 @@
   private final Scheduler scheduler;
   private final HttpCalls calls;
   private final String address;
-  private final Pace requests;
-  private final Pace writes;
+  private final RateLimiter requests;
+  private final RateLimiter writes;
   private double wantedWrites;
   private double userWritesPerSecond;
   private long lastOkMicros = Long.MIN_VALUE / 2;
@@ -59,9 +59,9 @@
     this.calls = calls;
     this.address = address;
     userWritesPerSecond = writesPerSecond;
-    requests = new Pace(scheduler, requestsPerSecond, requestsPerSecond);
+    requests = new RateLimiter(scheduler, requestsPerSecond, requestsPerSecond);
     // Users come in bursts, which the store's own burst bears.
-    writes = new Pace(scheduler, writesPerSecond, BURST_SECONDS * writesPerSecond);
+    writes = new RateLimiter(scheduler, writesPerSecond, BURST_SECONDS * writesPerSecond);
   }
 
   /** Whether the store has lately done what this node asked. */
@@ -167,7 +167,11 @@
    * two, their questions once went unanswered.
    */
   private <T> void forUser(
-      HttpRequest request, Pace pace, int cost, Reader<T> reader, Consumer<StoreReply<T>> answer) {
+      HttpRequest request,
+      RateLimiter pace,
+      int cost,
+      Reader<T> reader,
+      Consumer<StoreReply<T>> answer) {
     boolean refused =
         openForUsers > 0 && !answersLately()
             || !pace.runWithin(
--- a/src/main/java/madderrudder/replay/HistoryClient.java
+++ b/src/main/java/madderrudder/replay/HistoryClient.java
@@ -7,7 +7,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 import java.util.List;
-import madderrudder.bookkeeping.HistoryCodec;
+import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -52,7 +52,7 @@
       missed += answer.count("missed");
       List<Fields> runs = answer.objects("runs");
       for (Fields run : runs) {
-        use.run(HistoryCodec.read(run), 0);
+        use.run(RunHistoryCodec.read(run), 0);
       }
       next = answer.count("next");
       return runs.size();
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import madderrudder.bookkeeping.HistoryCodec;
-import madderrudder.bookkeeping.RunHistory.Ended;
 import madderrudder.estimates.Likeness;
+import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -150,7 +150,7 @@
     long bestMicros;
     try {
       Fields fields = Json.readObject(text);
-      ended = HistoryCodec.read(fields);
+      ended = RunHistoryCodec.read(fields);
       bestMicros = fields.secondsAsMicros(BEST, 0);
     } catch (MalformedMessage e) {
       bad(line, e.getMessage());
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.bookkeeping.HistoryCodec;
-import madderrudder.bookkeeping.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -27,7 +27,7 @@
   /** {@code best}: the lines tell what an oracle would say, as those of the generator do. */
   public HistoryWriter(Appendable out, Format format, boolean best) throws IOException {
     this.out = out;
-    List<String> headings = new ArrayList<>(HistoryCodec.FIELDS);
+    List<String> headings = new ArrayList<>(RunHistoryCodec.FIELDS);
     if (best) {
       headings.add(HistoryReader.BEST);
     }
@@ -46,7 +46,7 @@
     byte[] text =
         Json.object(
             json -> {
-              HistoryCodec.write(json, ended);
+              RunHistoryCodec.write(json, ended);
               if (bestMicros > 0) {
                 json.writeNumberField(HistoryReader.BEST, bestMicros / 1e6);
               }
@@ -57,7 +57,7 @@
     }
     try {
       Fields fields = Json.readObject(text);
-      for (String name : HistoryCodec.FIELDS) {
+      for (String name : RunHistoryCodec.FIELDS) {
         table.print(fields.plain(name));
       }
       if (bestMicros > 0) {
--- a/src/main/java/madderrudder/replay/Replay.java
+++ b/src/main/java/madderrudder/replay/Replay.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import madderrudder.bookkeeping.RunHistory.Ended;
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.Estimate.Basis;
 import madderrudder.estimates.Level;
 import madderrudder.estimates.Run;
+import madderrudder.metrics.RunHistory.Ended;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/madderrudder/replay/Replays.java
+++ b/src/main/java/madderrudder/replay/Replays.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import madderrudder.bookkeeping.RunHistory.Ended;
 import madderrudder.estimates.Estimator;
 import madderrudder.estimates.Estimator.Way;
+import madderrudder.metrics.RunHistory.Ended;
 
 /** Plays histories from files. */
 public final class Replays {
--- a/src/main/java/madderrudder/service/UserDesk.java
+++ b/src/main/java/madderrudder/service/UserDesk.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import madderrudder.bookkeeping.JobRecords;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.LiveChecks;
-import madderrudder.bookkeeping.StoreClient;
-import madderrudder.bookkeeping.StoreReply;
-import madderrudder.bookkeeping.StoreReply.Outcome;
 import madderrudder.coordination.dealings.Catalog;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.Team;
+import madderrudder.persistence.JobRecords;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.LiveJobChecker;
+import madderrudder.persistence.StoreClient;
+import madderrudder.persistence.StoreReply;
+import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobCodec;
 import madderrudder.protocol.JobSpec;
@@ -48,7 +48,7 @@
   private final Map<String, Team> teams;
   private final int mostValueBytes;
   private final Function<String, JobProgress> progress;
-  private final LiveChecks checks;
+  private final LiveJobChecker checks;
   private final Returns returns = new Returns();
   private final Map<String, JobRecords.Finished> remembered = bounded(MOST_REMEMBERED);
 
@@ -73,7 +73,7 @@
     this.catalog = catalog;
     this.teams = teams;
     mostValueBytes = limits.valueBytes();
-    checks = new LiveChecks(store, CONDITIONS_PER_WRITE * limits.transactionWrites());
+    checks = new LiveJobChecker(store, CONDITIONS_PER_WRITE * limits.transactionWrites());
     this.progress = progress;
   }
 
--- a/src/test/java/madderrudder/LayersTest.java
+++ b/src/test/java/madderrudder/LayersTest.java
@@ -30,16 +30,17 @@
         "transport|-",
         "protocol|-",
         "estimates|protocol",
-        "bookkeeping|transport protocol estimates",
+        "persistence|transport protocol",
+        "metrics|protocol estimates",
         "coordination.policy|protocol",
         "coordination.picture|protocol estimates coordination.policy",
         "coordination.recovery|protocol coordination.policy coordination.picture",
         "coordination.decisions|protocol estimates coordination.policy coordination.picture coordination.recovery",
-        "coordination.membership|transport protocol bookkeeping coordination.policy",
-        "coordination.dealings|transport protocol estimates bookkeeping coordination.policy coordination.picture "
+        "coordination.membership|transport protocol persistence coordination.policy",
+        "coordination.dealings|transport protocol estimates persistence metrics coordination.policy coordination.picture "
             + "coordination.recovery coordination.decisions coordination.membership",
-        "service|transport protocol bookkeeping coordination.policy coordination.membership coordination.dealings",
-        "cli|transport protocol estimates bookkeeping coordination.policy coordination.membership coordination.dealings service"
+        "service|transport protocol persistence metrics coordination.policy coordination.membership coordination.dealings",
+        "cli|transport protocol estimates persistence metrics coordination.policy coordination.membership coordination.dealings service"
       })
   void usesNothingAboveIt(String room, String below) {
     List<String> allowed =
@@ -81,7 +82,7 @@
         .dependOnClassesThat()
         .resideInAnyPackage(
             "madderrudder.transport",
-            "madderrudder.bookkeeping",
+            "madderrudder.persistence",
             "java.net..",
             "java.nio.channels..",
             "java.util.concurrent..",
--- a/src/test/java/madderrudder/bookkeeping/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,12 +7,12 @@
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
-import madderrudder.bookkeeping.LogPage.Ended;
-import madderrudder.bookkeeping.LogPage.Entry;
-import madderrudder.bookkeeping.LogPage.Image;
-import madderrudder.bookkeeping.LogPage.Kind;
-import madderrudder.bookkeeping.LogPage.MachineEntry;
-import madderrudder.bookkeeping.LogPage.Share;
+import madderrudder.persistence.LogSegment.Ended;
+import madderrudder.persistence.LogSegment.Entry;
+import madderrudder.persistence.LogSegment.Image;
+import madderrudder.persistence.LogSegment.Kind;
+import madderrudder.persistence.LogSegment.MachineEntry;
+import madderrudder.persistence.LogSegment.Share;
 import madderrudder.protocol.Documents;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -91,7 +91,7 @@
       @ForAll("entries") List<Record> entries,
       @ForAll @IntRange(min = 200, max = 16_384) int mostBytes)
       throws MalformedMessage {
-    LogPage.Builder builder = new LogPage.Builder(mostBytes);
+    LogSegment.Builder builder = new LogSegment.Builder(mostBytes);
     List<Record> taken = new ArrayList<>();
     for (Record entry : entries) {
       boolean fits =
@@ -106,7 +106,7 @@
     }
     byte[] page = builder.render(7);
     assertTrue(page.length <= mostBytes, page.length + " bytes of " + mostBytes);
-    LogPage read = LogPage.read(Json.readObject(page));
+    LogSegment read = LogSegment.read(Json.readObject(page));
     List<Record> found = new ArrayList<>(read.machines());
     found.addAll(read.placed());
     found.addAll(read.ended());
@@ -124,7 +124,7 @@
   void aPageIsReadOrMalformed(@ForAll("pages") byte[] text) {
     boolean read;
     try {
-      LogPage.read(Json.readObject(text));
+      LogSegment.read(Json.readObject(text));
       read = true;
     } catch (MalformedMessage e) {
       read = false;
--- a/src/test/java/madderrudder/bookkeeping/RecordsTest.java
+++ b/src/test/java/madderrudder/persistence/RecordsTest.java
@@ -1,4 +1,4 @@
-package madderrudder.bookkeeping;
+package madderrudder.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -41,11 +41,11 @@
   void pagesOfTheLogKeepWithinAValueAndComeBack() throws MalformedMessage {
     SplittableRandom random = new SplittableRandom(7);
     for (int size : new int[] {2048, 4096, 15 * 1024}) {
-      LogPage.Builder builder = new LogPage.Builder(size);
-      Set<LogPage.MachineEntry> machines = new HashSet<>();
-      Set<LogPage.Entry> placed = new HashSet<>();
-      Set<LogPage.Ended> ended = new HashSet<>();
-      Set<LogPage.Image> images = new HashSet<>();
+      LogSegment.Builder builder = new LogSegment.Builder(size);
+      Set<LogSegment.MachineEntry> machines = new HashSet<>();
+      Set<LogSegment.Entry> placed = new HashSet<>();
+      Set<LogSegment.Ended> ended = new HashSet<>();
+      Set<LogSegment.Image> images = new HashSet<>();
       Set<String> gone = new HashSet<>();
       boolean room = true;
       for (long i = 1; room; i++) {
@@ -53,17 +53,17 @@
         TaskId task = new TaskId("req-" + random.nextInt(5), (int) i);
         Resources takes =
             new Resources(random.nextLong(1L << 40), 8_000, random.nextLong(1L << 40));
-        LogPage.MachineEntry entry =
-            new LogPage.MachineEntry(
+        LogSegment.MachineEntry entry =
+            new LogSegment.MachineEntry(
                 machine,
-                new LogPage.Kind(
+                new LogSegment.Kind(
                     "g8", random.nextBoolean() ? "itä" : "länsi", random.nextBoolean(), true),
                 i << 30,
                 random.nextBoolean());
-        LogPage.Entry at =
-            new LogPage.Entry(task, i << 20, new LogPage.Share("töölö", takes), machine);
-        LogPage.Ended end = new LogPage.Ended(task, i, machine);
-        LogPage.Image image = new LogPage.Image("img-" + random.nextInt(4), 1.5, machine);
+        LogSegment.Entry at =
+            new LogSegment.Entry(task, i << 20, new LogSegment.Share("töölö", takes), machine);
+        LogSegment.Ended end = new LogSegment.Ended(task, i, machine);
+        LogSegment.Image image = new LogSegment.Image("img-" + random.nextInt(4), 1.5, machine);
         room =
             builder.add(entry)
                 && machines.add(entry)
@@ -78,7 +78,7 @@
       }
       byte[] text = builder.render(77);
       assertTrue(text.length <= size, text.length + " bytes of " + size);
-      LogPage read = LogPage.read(Json.readObject(text));
+      LogSegment read = LogSegment.read(Json.readObject(text));
       assertEquals(77, read.number());
       assertEquals(machines, Set.copyOf(read.machines()));
       assertEquals(placed, Set.copyOf(read.placed()));
@@ -96,15 +96,16 @@
   @Test
   void pagesKeepWithinAValueWhateverImagesAreCalled() throws MalformedMessage {
     for (String letter : List.of("\u0001", "\"", "\u20ac", "\ud83d\ude00")) {
-      LogPage.Builder builder = new LogPage.Builder(15 * 1024);
+      LogSegment.Builder builder = new LogSegment.Builder(15 * 1024);
       int count = 0;
       while (builder.add(
-          new LogPage.Image(letter.repeat(200 / letter.length() - 8) + count, 1.5, "m-000001"))) {
+          new LogSegment.Image(
+              letter.repeat(200 / letter.length() - 8) + count, 1.5, "m-000001"))) {
         count++;
       }
       byte[] text = builder.render(1);
       assertTrue(text.length <= 15 * 1024, text.length + " bytes");
-      assertEquals(count, LogPage.read(Json.readObject(text)).images().size());
+      assertEquals(count, LogSegment.read(Json.readObject(text)).images().size());
       assertTrue(count > 8, "only " + count);
     }
   }
@@ -119,7 +120,7 @@
             ("{\"n\":1,\"machines\":[{\"type\":\"a\",\"zone\":\"b\",\"spot\":true,\"owned\":true,"
                     + "\"of\":[\" \"]}],\"gone\":[],\"placed\":[],\"ended\":[],\"images\":[]}")
                 .getBytes());
-    assertThrows(MalformedMessage.class, () -> LogPage.read(page));
+    assertThrows(MalformedMessage.class, () -> LogSegment.read(page));
   }
 
   /**
@@ -128,36 +129,37 @@
    */
   @Test
   void pagesAreReadInTheOrderOfTheirNumbers() {
-    LogPage.Kind kind = new LogPage.Kind("g8", "a", false, true);
-    LogPage.Share share = new LogPage.Share("alto", Resources.of(1, 0, 1));
+    LogSegment.Kind kind = new LogSegment.Kind("g8", "a", false, true);
+    LogSegment.Share share = new LogSegment.Share("alto", Resources.of(1, 0, 1));
     TaskId first = new TaskId("req-000001", 0);
     TaskId second = new TaskId("req-000001", 1);
-    LogPage.Entry again = new LogPage.Entry(first, 2, share, "m-2");
-    LogReading reading =
-        LogReading.of(
+    LogSegment.Entry again = new LogSegment.Entry(first, 2, share, "m-2");
+    LogState reading =
+        LogState.of(
             List.of(
-                new LogPage(
+                new LogSegment(
                     9,
                     List.of(),
                     List.of("m-3"),
                     List.of(again),
-                    List.of(new LogPage.Ended(first, 1, "m-1")),
+                    List.of(new LogSegment.Ended(first, 1, "m-1")),
                     List.of()),
-                new LogPage(
+                new LogSegment(
                     4,
                     List.of(
-                        new LogPage.MachineEntry("m-1", kind, 5, false),
-                        new LogPage.MachineEntry("m-2", kind, 5, false),
-                        new LogPage.MachineEntry("m-3", kind, 5, false)),
+                        new LogSegment.MachineEntry("m-1", kind, 5, false),
+                        new LogSegment.MachineEntry("m-2", kind, 5, false),
+                        new LogSegment.MachineEntry("m-3", kind, 5, false)),
                     List.of(),
                     List.of(
-                        new LogPage.Entry(first, 1, share, "m-1"),
-                        new LogPage.Entry(second, 3, share, "m-3")),
+                        new LogSegment.Entry(first, 1, share, "m-1"),
+                        new LogSegment.Entry(second, 3, share, "m-3")),
                     List.of(),
                     List.of())));
     assertEquals(List.of(again), List.copyOf(reading.placed()));
     assertEquals(
-        List.of("m-1", "m-2"), reading.machines().stream().map(LogPage.MachineEntry::id).toList());
+        List.of("m-1", "m-2"),
+        reading.machines().stream().map(LogSegment.MachineEntry::id).toList());
   }
 
   /**
@@ -166,28 +168,28 @@
    */
   @Test
   void aTaskReplacedUnderItsAttemptStaysNamed() {
-    LogPage.Kind kind = new LogPage.Kind("g8", "a", false, true);
-    LogPage.Share share = new LogPage.Share("alto", Resources.of(1, 0, 1));
+    LogSegment.Kind kind = new LogSegment.Kind("g8", "a", false, true);
+    LogSegment.Share share = new LogSegment.Share("alto", Resources.of(1, 0, 1));
     TaskId task = new TaskId("req-000001", 0);
-    LogPage.Entry replaced = new LogPage.Entry(task, 5, share, "m-2");
-    LogReading reading =
-        LogReading.of(
+    LogSegment.Entry replaced = new LogSegment.Entry(task, 5, share, "m-2");
+    LogState reading =
+        LogState.of(
             List.of(
-                new LogPage(
+                new LogSegment(
                     1,
                     List.of(
-                        new LogPage.MachineEntry("m-1", kind, 5, false),
-                        new LogPage.MachineEntry("m-2", kind, 5, false)),
+                        new LogSegment.MachineEntry("m-1", kind, 5, false),
+                        new LogSegment.MachineEntry("m-2", kind, 5, false)),
                     List.of(),
-                    List.of(new LogPage.Entry(task, 5, share, "m-1")),
+                    List.of(new LogSegment.Entry(task, 5, share, "m-1")),
                     List.of(),
                     List.of()),
-                new LogPage(
+                new LogSegment(
                     2,
                     List.of(),
                     List.of(),
                     List.of(replaced),
-                    List.of(new LogPage.Ended(task, 5, "m-1")),
+                    List.of(new LogSegment.Ended(task, 5, "m-1")),
                     List.of())));
     assertEquals(List.of(replaced), List.copyOf(reading.placed()));
   }
@@ -195,10 +197,10 @@
   /** The count survives a take-over by a node whose clock differs by all that is allowed. */
   @Test
   void budgetNeverLetsMoreThroughWithinTheWindow() throws MalformedMessage {
-    Budget first = new Budget(3, WINDOW, 1_000_000);
+    RentalBudget first = new RentalBudget(3, WINDOW, 1_000_000);
     assertTrue(first.reserve(3, 1_000_000_000));
     assertFalse(first.reserve(1, 1_000_000_000 + WINDOW));
-    Budget second = new Budget(3, WINDOW, 1_000_000);
+    RentalBudget second = new RentalBudget(3, WINDOW, 1_000_000);
     second.load(Json.readObject(first.render()));
     assertEquals(0, second.left(1_000_000_000 + WINDOW + 1_999_999));
     assertEquals(3, second.left(1_000_000_000 + WINDOW + 2_000_000));
--- /dev/null
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -0,0 +1,141 @@
+package madderrudder.persistence;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.BitSet;
+import java.util.List;
+import madderrudder.protocol.JobState;
+import madderrudder.protocol.Json;
+import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.Resources;
+import madderrudder.protocol.TaskId;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Pins the stored form of each record kind: the literals are what the encoders wrote when the
+ * package was renamed, so a renamed field in code that would change what is kept in the store, or
+ * make earlier values unreadable, fails here.
+ */
+class StoredFormTest {
+  private static final String TERM_KEY = "{\"term\":7,\"member\":\"node-a\",\"serial\":3}";
+  private static final String FINISHED = "{\"state\":\"done\",\"done\":12}";
+  private static final String PROGRESS = "{\"done\":\"BQ==\",\"faulty\":true}";
+  private static final String RENTAL =
+      "{\"type\":\"m5.large\",\"zone\":\"zone-a\",\"spot\":true,\"count\":4,\"counted\":false}";
+  private static final String BUDGET = "{\"spent\":[{\"us\":1000000,\"n\":2}]}";
+  private static final String SEGMENT =
+      "{\"n\":9,"
+          + "\"machines\":[{\"type\":\"m5.large\",\"zone\":\"zone-a\",\"spot\":false,\"owned\":true,"
+          + "\"of\":[\"m1 5000000\"]}],"
+          + "\"gone\":[\"m0\"],"
+          + "\"placed\":[{\"j\":\"job-1\",\"w\":\"team-a\",\"c\":1000,\"g\":0,\"m\":2048,"
+          + "\"of\":[\"3 2 m1\"]}],"
+          + "\"ended\":[{\"j\":\"job-1\",\"of\":[\"1 1 m1\"]}],"
+          + "\"images\":[{\"i\":\"img\",\"gb\":1.5,\"of\":[\"m1\"]}]}";
+
+  private static final LogSegment.Kind KIND =
+      new LogSegment.Kind("m5.large", "zone-a", false, true);
+  private static final LogSegment.MachineEntry MACHINE =
+      new LogSegment.MachineEntry("m1", KIND, 5_000_000, false);
+  private static final LogSegment.Entry PLACED =
+      new LogSegment.Entry(
+          new TaskId("job-1", 3),
+          2,
+          new LogSegment.Share("team-a", new Resources(1000, 0, 2048)),
+          "m1");
+  private static final LogSegment.Ended ENDED =
+      new LogSegment.Ended(new TaskId("job-1", 1), 1, "m1");
+  private static final LogSegment.Image IMAGE = new LogSegment.Image("img", 1.5, "m1");
+
+  @Test
+  void termKeyIsWrittenInItsStoredForm() {
+    assertEquals(TERM_KEY, text(CommitQueue.helm(7, "node-a", 3)));
+  }
+
+  @Test
+  void termKeyInItsStoredFormIsRead() throws MalformedMessage {
+    assertEquals(7, CommitQueue.readTerm(Json.readObject(bytes(TERM_KEY))));
+  }
+
+  @Test
+  void finishedJobIsWrittenInItsStoredForm() {
+    assertEquals(FINISHED, text(JobRecords.finished(JobState.DONE, 12)));
+  }
+
+  @Test
+  void finishedJobInItsStoredFormIsRead() throws MalformedMessage {
+    assertEquals(
+        new JobRecords.Finished(JobState.DONE, 12),
+        JobRecords.readFinished(Json.readObject(bytes(FINISHED))));
+  }
+
+  @Test
+  void progressIsWrittenInItsStoredForm() {
+    assertEquals(PROGRESS, text(JobRecords.progress(BitSet.valueOf(new long[] {5}), 0, true)));
+  }
+
+  @Test
+  void progressInItsStoredFormIsRead() throws MalformedMessage {
+    BitSet done = new BitSet();
+    JobRecords.readProgress(Json.readObject(bytes(PROGRESS)), 1, done);
+    assertEquals(BitSet.valueOf(new long[] {5}), done.get(JobRecords.CHUNK, 2 * JobRecords.CHUNK));
+    assertEquals(2, done.cardinality());
+    assertTrue(JobRecords.readFaulty(Json.readObject(bytes(PROGRESS))));
+  }
+
+  @Test
+  void rentalIsWrittenInItsStoredForm() {
+    assertEquals(
+        RENTAL, text(new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false).render()));
+  }
+
+  @Test
+  void rentalInItsStoredFormIsRead() throws MalformedMessage {
+    assertEquals(
+        new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false),
+        RentalRecord.read("req-1", Json.readObject(bytes(RENTAL))));
+  }
+
+  @Test
+  void rentalBudgetIsWrittenInItsStoredForm() {
+    RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
+    assertTrue(budget.reserve(2, 1_000_000));
+    assertEquals(BUDGET, text(budget.render()));
+  }
+
+  @Test
+  void rentalBudgetInItsStoredFormIsRead() throws MalformedMessage {
+    RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
+    budget.load(Json.readObject(bytes(BUDGET)));
+    assertEquals(1, budget.left(2_000_000));
+  }
+
+  @Test
+  void logSegmentIsWrittenInItsStoredForm() {
+    LogSegment.Builder builder = new LogSegment.Builder(10_000);
+    assertTrue(builder.add(MACHINE));
+    assertTrue(builder.addGone("m0"));
+    assertTrue(builder.add(PLACED));
+    assertTrue(builder.add(ENDED));
+    assertTrue(builder.add(IMAGE));
+    assertEquals(SEGMENT, text(builder.render(9)));
+  }
+
+  @Test
+  void logSegmentInItsStoredFormIsRead() throws MalformedMessage {
+    assertEquals(
+        new LogSegment(
+            9, List.of(MACHINE), List.of("m0"), List.of(PLACED), List.of(ENDED), List.of(IMAGE)),
+        LogSegment.read(Json.readObject(bytes(SEGMENT))));
+  }
+
+  private static String text(byte[] value) {
+    return new String(value, UTF_8);
+  }
+
+  private static byte[] bytes(String text) {
+    return text.getBytes(UTF_8);
+  }
+}
--- a/src/test/java/madderrudder/sim/LiveChecksTest.java
+++ b/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import madderrudder.bookkeeping.LiveChecks;
-import madderrudder.bookkeeping.LiveChecks.Answer;
-import madderrudder.bookkeeping.StoreClient;
+import madderrudder.persistence.LiveJobChecker;
+import madderrudder.persistence.LiveJobChecker.Answer;
+import madderrudder.persistence.StoreClient;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class LiveChecksTest {
+class LiveJobCheckerTest {
   private final List<HttpRequest> requests = new ArrayList<>();
   private final List<Consumer<HttpResponse>> open = new ArrayList<>();
   private final List<Answer> answers = new ArrayList<>();
@@ -30,7 +30,7 @@
           "10.0.0.1:1",
           100,
           10);
-  private final LiveChecks checks = new LiveChecks(store, 64);
+  private final LiveJobChecker checks = new LiveJobChecker(store, 64);
 
   @BeforeEach
   void theStoreAnswers() {
--- a/src/test/java/madderrudder/sim/RunTimesDayTest.java
+++ b/src/test/java/madderrudder/sim/RunTimesDayTest.java
@@ -6,8 +6,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import madderrudder.bookkeeping.Keys;
 import madderrudder.coordination.policy.Policy;
+import madderrudder.persistence.Keys;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.MalformedMessage;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import madderrudder.bookkeeping.JobRecords;
-import madderrudder.bookkeeping.Keys;
-import madderrudder.bookkeeping.LogPage;
-import madderrudder.bookkeeping.LogReading;
 import madderrudder.coordination.policy.Deployment;
+import madderrudder.persistence.JobRecords;
+import madderrudder.persistence.Keys;
+import madderrudder.persistence.LogSegment;
+import madderrudder.persistence.LogState;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessage;
@@ -34,7 +34,7 @@
   private final Map<Long, Hold> holds = new HashMap<>();
   private final List<Runnable> watches = new ArrayList<>();
   private final Set<String> refused = new HashSet<>();
-  private final Map<String, LogPage> pages = new HashMap<>();
+  private final Map<String, LogSegment> pages = new HashMap<>();
 
   /** Where the log names a task; at two machines at once, a new leader could start it twice. */
   private final Map<TaskId, String> named = new HashMap<>();
@@ -301,7 +301,7 @@
     List<String> failed = new ArrayList<>();
     boolean byTerm = false;
     for (Fields condition : in.objects("when")) {
-      byTerm |= condition.text("path").equals(Keys.HELM);
+      byTerm |= condition.text("path").equals(Keys.TERM);
       Entry entry = keys.get(condition.text("path"));
       if ((entry == null ? 0 : entry.version()) != condition.count("entry")) {
         failed.add(condition.text("path"));
@@ -358,14 +358,14 @@
     for (Fields write : writes) {
       String key = write.text("write", "");
       if (key.startsWith("s/")) {
-        pages.put(key, LogPage.read(write.object("data")));
+        pages.put(key, LogSegment.read(write.object("data")));
         turned = true;
       }
     }
     if (turned) {
       Map<TaskId, String> before = Map.copyOf(named);
       named.clear();
-      for (LogPage.Entry entry : LogReading.of(pages.values()).placed()) {
+      for (LogSegment.Entry entry : LogState.of(pages.values()).placed()) {
         String other = named.put(entry.task(), entry.machine());
         if (other != null) {
           broken.add(entry.task() + " is named on " + other + " and on " + entry.machine());
