--- a/src/main/java/madderrudder/coordination/dealings/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/dealings/CloudClient.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import madderrudder.coordination.picture.Rental;
+import madderrudder.coordination.state.Rental;
 import madderrudder.persistence.RateLimiter;
 import madderrudder.protocol.CloudCodec;
 import madderrudder.transport.HttpCalls;
--- a/src/main/java/madderrudder/coordination/dealings/Leader.java
+++ b/src/main/java/madderrudder/coordination/dealings/Leader.java
@@ -11,21 +11,21 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import madderrudder.coordination.decisions.Demand;
-import madderrudder.coordination.decisions.Evacuation;
-import madderrudder.coordination.decisions.Placement;
-import madderrudder.coordination.decisions.Placer;
-import madderrudder.coordination.decisions.Preemption;
 import madderrudder.coordination.membership.Election;
 import madderrudder.coordination.membership.StoodBack;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
-import madderrudder.coordination.picture.Summary;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.Policy;
 import madderrudder.coordination.policy.Safety;
-import madderrudder.coordination.recovery.Confidence;
+import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.scheduling.Demand;
+import madderrudder.coordination.scheduling.Placement;
+import madderrudder.coordination.scheduling.Placer;
+import madderrudder.coordination.scheduling.Preemption;
+import madderrudder.coordination.scheduling.RecallDrain;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.ClusterSummary;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.metrics.Metrics;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.persistence.CommitQueue.Urgency;
@@ -437,7 +437,7 @@
     }
     long now = term.scheduler.nowMicros();
     // A gang goes as a whole: its other tasks are told in the same round, and so can save together.
-    Evacuation.plan(term.cluster, now).forEach(fleet::unwant);
+    RecallDrain.plan(term.cluster, now).forEach(fleet::unwant);
     desk.sweepGangs();
     look();
     Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence);
@@ -478,7 +478,7 @@
   private void summarise() {
     LOG.info(
         "machines and processors in use: {}; {} tasks wait, {} changes unwritten, budget left {}",
-        Summary.of(term.cluster),
+        ClusterSummary.of(term.cluster),
         waitingTasks(),
         term.journal.backlog(),
         rentals.budgetLeft());
@@ -495,7 +495,7 @@
     out.writeNumberField("unwritten_changes", term.journal.backlog());
     out.writeNumberField("rentals_under_way", rentals.underWay());
     out.writeNumberField("budget_left", rentals.budgetLeft());
-    out.writeStringField("machines", Summary.of(term.cluster));
+    out.writeStringField("machines", ClusterSummary.of(term.cluster));
     long now = term.scheduler.nowMicros();
     out.writeNumberField(
         "jobs_failing", term.cluster.jobs.values().stream().filter(Job::faulty).count());
--- a/src/main/java/madderrudder/coordination/dealings/Rentals.java
+++ b/src/main/java/madderrudder/coordination/dealings/Rentals.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import madderrudder.coordination.decisions.Demand;
-import madderrudder.coordination.decisions.RentalPlanner;
-import madderrudder.coordination.picture.Machine;
-import madderrudder.coordination.picture.Rental;
-import madderrudder.coordination.picture.Shelves;
-import madderrudder.coordination.recovery.Confidence;
-import madderrudder.coordination.recovery.MachineFacts;
-import madderrudder.coordination.recovery.MachineFacts.Listed;
-import madderrudder.coordination.recovery.MachineFacts.Logged;
-import madderrudder.coordination.recovery.MachineFacts.Worker;
-import madderrudder.coordination.recovery.MachineFinding;
-import madderrudder.coordination.recovery.MachineSquaring;
+import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.MachineDecision;
+import madderrudder.coordination.reconciliation.MachineFacts;
+import madderrudder.coordination.reconciliation.MachineFacts.Listed;
+import madderrudder.coordination.reconciliation.MachineFacts.Logged;
+import madderrudder.coordination.reconciliation.MachineFacts.Worker;
+import madderrudder.coordination.reconciliation.MachineReconciler;
+import madderrudder.coordination.scheduling.Demand;
+import madderrudder.coordination.scheduling.ScaleOutPlanner;
+import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.Rental;
+import madderrudder.coordination.state.RentalRequestLimits;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
@@ -56,7 +56,7 @@
   private final CloudClient cloud;
   private final RentalBudget budget;
   private final Map<String, RentalRecord> open = new LinkedHashMap<>();
-  private final Shelves shelves = new Shelves();
+  private final RentalRequestLimits shelves = new RentalRequestLimits();
   private final Map<String, Long> unexpectedSince = new HashMap<>();
 
   /**
@@ -134,7 +134,7 @@
       }
     }
     List<Rental> wanted =
-        RentalPlanner.plan(
+        ScaleOutPlanner.plan(
             term.cluster,
             term.policy,
             demand,
@@ -274,11 +274,11 @@
       }
     }
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
-      MachineFinding finding =
-          MachineSquaring.of(facts(machine, nowMicros, up <= silent), ownedStillOpen());
+      MachineDecision finding =
+          MachineReconciler.of(facts(machine, nowMicros, up <= silent), ownedStillOpen());
       boolean idle = machine.reported && !machine.lapsed && !machine.failed;
       // Idle is what nobody needs, which is known only once the picture is good.
-      if (finding.verdict() == MachineFinding.Verdict.RETURN
+      if (finding.verdict() == MachineDecision.Verdict.RETURN
           && settled
           && (!idle || confidence.suffices())) {
         // One that an earlier leader has rented may have come up, and died since.
@@ -286,7 +286,7 @@
           shelves.bootFailed(machine.shelf(), nowMicros);
         }
         fleet.retire(machine, finding.reason());
-      } else if (finding.verdict() == MachineFinding.Verdict.GONE) {
+      } else if (finding.verdict() == MachineDecision.Verdict.GONE) {
         LOG.info("{} is gone: {}", machine.id, finding.reason());
         fleet.remove(machine);
       }
@@ -432,8 +432,8 @@
     long now = term.scheduler.nowMicros();
     long since = ownedOpen ? now : unexpectedSince.computeIfAbsent(listed.id(), id -> now);
     boolean lasting = now - since > LONGEST_LAG * term.deployment.cloud().listLagMicros();
-    MachineFinding finding =
-        MachineSquaring.of(
+    MachineDecision finding =
+        MachineReconciler.of(
             new MachineFacts(
                 fleet.wasRemoved(listed.id()) ? Logged.GONE : Logged.NO,
                 false,
--- a/src/main/java/madderrudder/coordination/dealings/Term.java
+++ b/src/main/java/madderrudder/coordination/dealings/Term.java
@@ -2,11 +2,11 @@
 
 import madderrudder.coordination.membership.Deputies;
 import madderrudder.coordination.membership.Election;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.GuessedRunTimes;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.Policy;
 import madderrudder.coordination.policy.Safety;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.EstimatedRunTimes;
 import madderrudder.metrics.Metrics;
 import madderrudder.metrics.RunHistory;
 import madderrudder.persistence.CommitQueue;
@@ -64,7 +64,7 @@
             onLost);
     learned = policy.learned() ? new LearnedRunTimes(this) : null;
     history = new RunHistory(number);
-    cluster = new Cluster(deployment, learned == null ? new GuessedRunTimes() : learned);
+    cluster = new Cluster(deployment, learned == null ? new EstimatedRunTimes() : learned);
     deputies = new Deputies(safety, scheduler.nowMicros());
   }
 
--- a/src/main/java/madderrudder/coordination/dealings/WorkerDesk.java
+++ b/src/main/java/madderrudder/coordination/dealings/WorkerDesk.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Token;
-import madderrudder.coordination.recovery.Finding;
-import madderrudder.coordination.recovery.Finding.Verdict;
-import madderrudder.coordination.recovery.Squaring;
-import madderrudder.coordination.recovery.TaskFacts;
-import madderrudder.coordination.recovery.TaskFacts.Mates;
-import madderrudder.coordination.recovery.TaskFacts.Record;
-import madderrudder.coordination.recovery.TaskFacts.Told;
-import madderrudder.coordination.recovery.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskDecision;
+import madderrudder.coordination.reconciliation.TaskDecision.Verdict;
+import madderrudder.coordination.reconciliation.TaskFacts;
+import madderrudder.coordination.reconciliation.TaskFacts.Mates;
+import madderrudder.coordination.reconciliation.TaskFacts.Record;
+import madderrudder.coordination.reconciliation.TaskFacts.Told;
+import madderrudder.coordination.reconciliation.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskReconciler;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.estimates.Run;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.protocol.Kind;
@@ -262,7 +262,7 @@
     Told told = task.why() == Why.DONE ? Told.DONE : Told.EXITED;
     boolean mayCome = assignment.inherited && Token.term(token) < term.number;
     Verdict verdict =
-        Squaring.of(
+        TaskReconciler.of(
                 new TaskFacts(
                     assignment.inherited ? Record.EARLIER : Record.OWN,
                     wish(assignment),
@@ -408,8 +408,8 @@
     return !gone.isEmpty();
   }
 
-  private Finding finding(Assignment assignment) {
-    return Squaring.of(facts(assignment));
+  private TaskDecision finding(Assignment assignment) {
+    return TaskReconciler.of(facts(assignment));
   }
 
   private TaskFacts facts(Assignment assignment) {
@@ -459,10 +459,11 @@
   }
 
   /** What a worker has that no record names there. */
-  private static Finding unrecorded(TaskReport task) {
+  private static TaskDecision unrecorded(TaskReport task) {
     Told told =
         task.phase() != Phase.EXITED ? Told.HELD : task.why() == Why.DONE ? Told.DONE : Told.EXITED;
-    return Squaring.of(new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER));
+    return TaskReconciler.of(
+        new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER));
   }
 
   /** Whether the machine waits for a record to become durable that an answer could then carry. */
@@ -543,7 +544,7 @@
       }
     }
     for (Assignment assignment : machine.assignments.values()) {
-      Finding finding = finding(assignment);
+      TaskDecision finding = finding(assignment);
       raise |= finding.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
       if (orders.size() < MOST_ORDERS && startable(assignment, finding)) {
         orders.add(Order.start(assignment.task, assignment.attempt));
@@ -576,7 +577,7 @@
     return machine.given;
   }
 
-  private boolean startable(Assignment assignment, Finding finding) {
+  private boolean startable(Assignment assignment, TaskDecision finding) {
     return finding.verdict() == Verdict.START
         && !assignment.machine.retiring
         && term.election.entitled();
--- a/src/main/java/madderrudder/coordination/recovery/Confidence.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
@@ -1,14 +1,14 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Deployment.WorkerTimes;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.JobSpec;
 
 /**
--- a/src/main/java/madderrudder/coordination/recovery/MachineFinding.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 /**
  * What follows for a machine, and why.
@@ -6,7 +6,7 @@
  * @param verdict what is to be done
  * @param reason why, in words for the log
  */
-public record MachineFinding(Verdict verdict, String reason) {
+public record MachineDecision(Verdict verdict, String reason) {
   /** What is to be done with a machine. */
   public enum Verdict {
     /** It stays as it is. */
--- a/src/main/java/madderrudder/coordination/recovery/MachineFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 /**
  * What is known of a machine: what the log, the cloud's list and its worker say.
--- /dev/null
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
@@ -0,0 +1,98 @@
+package madderrudder.coordination.reconciliation;
+
+import madderrudder.coordination.reconciliation.MachineDecision.Verdict;
+import madderrudder.coordination.reconciliation.MachineFacts.Listed;
+import madderrudder.coordination.reconciliation.MachineFacts.Worker;
+
+/**
+ * Squares what the log says of machines with the cloud's list and with their workers' reports: a
+ * pure function.
+ */
+public final class MachineReconciler {
+  private static final MachineDecision DELETED =
+      new MachineDecision(Verdict.KEEP, "it was deleted; a list or report is late");
+  private static final MachineDecision UNKNOWN =
+      new MachineDecision(Verdict.AWAIT, "nothing is known of it");
+  private static final MachineDecision FOUND_OWNED =
+      new MachineDecision(Verdict.ADOPT_OWNED, "it was there before the first rental");
+  private static final MachineDecision REPORTS =
+      new MachineDecision(Verdict.ADOPT, "it reports, and the log does not know it");
+  private static final MachineDecision UNEXPECTED =
+      new MachineDecision(Verdict.ADOPT, "it stays in the list");
+  private static final MachineDecision MAY_BE_ANSWERED =
+      new MachineDecision(Verdict.AWAIT, "a rental's answer may name it, or it may be going");
+  private static final MachineDecision VANISHED =
+      new MachineDecision(Verdict.GONE, "the cloud lists it no more");
+  private static final MachineDecision RETURNING =
+      new MachineDecision(Verdict.KEEP, "it is being returned");
+  private static final MachineDecision OWNED =
+      new MachineDecision(Verdict.KEEP, "owned machines stay");
+  private static final MachineDecision FAILED =
+      new MachineDecision(Verdict.RETURN, "it has failed");
+  private static final MachineDecision LAPSED =
+      new MachineDecision(Verdict.RETURN, "silent for too long");
+  private static final MachineDecision CUT_OFF =
+      new MachineDecision(Verdict.AWAIT, "most are silent: the leader is cut off");
+  private static final MachineDecision DEAF =
+      new MachineDecision(Verdict.RETURN, "nothing reaches it");
+  private static final MachineDecision LOSING =
+      new MachineDecision(Verdict.AWAIT, "what it had is not surely gone yet");
+  private static final MachineDecision NOT_UP =
+      new MachineDecision(Verdict.RETURN, "it has not come up");
+  private static final MachineDecision IDLE = new MachineDecision(Verdict.RETURN, "idle");
+  private static final MachineDecision IN_USE =
+      new MachineDecision(Verdict.KEEP, "it is in use, or was lately");
+  private static final MachineDecision COMING =
+      new MachineDecision(Verdict.AWAIT, "it may come up");
+
+  private MachineReconciler() {}
+
+  /**
+   * What follows from the facts; {@code ownedOpen}: nothing was rented yet, so that what is found
+   * is owned.
+   */
+  public static MachineDecision of(MachineFacts facts, boolean ownedOpen) {
+    return switch (facts.logged()) {
+      case GONE -> DELETED;
+      case NO -> unlogged(facts, ownedOpen);
+      case YES -> logged(facts);
+    };
+  }
+
+  private static MachineDecision unlogged(MachineFacts facts, boolean ownedOpen) {
+    boolean reports = facts.worker() == Worker.REPORTS;
+    boolean there = facts.listed() == Listed.THERE || facts.listed() == Listed.LASTING;
+    if (ownedOpen && (reports || there)) {
+      return FOUND_OWNED;
+    }
+    if (reports) {
+      return REPORTS;
+    }
+    return facts.listed() == Listed.LASTING ? UNEXPECTED : there ? MAY_BE_ANSWERED : UNKNOWN;
+  }
+
+  private static MachineDecision logged(MachineFacts facts) {
+    if (facts.listed() == Listed.MISSING
+        && facts.worker() != Worker.REPORTS
+        && facts.worker() != Worker.IDLE) {
+      return VANISHED;
+    }
+    if (facts.returning()) {
+      return RETURNING;
+    }
+    if (facts.owned()) {
+      return OWNED;
+    }
+    if (facts.listed() == Listed.FAILED) {
+      return FAILED;
+    }
+    return switch (facts.worker()) {
+      case DEAF -> facts.empty() ? DEAF : LOSING;
+      case LAPSED -> facts.most() ? CUT_OFF : LAPSED;
+      case OVERDUE -> facts.empty() ? NOT_UP : COMING;
+      case IDLE -> facts.empty() ? IDLE : IN_USE;
+      case EXPECTED -> COMING;
+      case REPORTS, SILENT -> IN_USE;
+    };
+  }
+}
--- a/src/main/java/madderrudder/coordination/recovery/Finding.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 /**
  * What follows for one attempt of a task on one machine, and why; {@code docs/cold-start.md} has
@@ -7,7 +7,7 @@
  * @param verdict what is to be done
  * @param reason why, in words for the log
  */
-public record Finding(Verdict verdict, String reason) {
+public record TaskDecision(Verdict verdict, String reason) {
   /** What is to be done with an attempt on a machine. */
   public enum Verdict {
     /** It stays as it is, and nothing is said. */
--- a/src/main/java/madderrudder/coordination/recovery/TaskFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskFacts.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 /**
  * What is known of one attempt of a task on one machine: what the records say and what the newest
--- a/src/main/java/madderrudder/coordination/decisions/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.recovery.Confidence;
+import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Job;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
--- a/src/main/java/madderrudder/coordination/decisions/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -1,13 +1,13 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.Priority;
@@ -55,7 +55,7 @@
   private final List<Machine> freeing = new ArrayList<>();
   private final long keptMilliCpus;
   private long freeMilliCpus;
-  private Room room;
+  private RoundUsage room;
 
   /** A machine that could take the next task of a job, and at what cost. */
   private record Candidate(Machine machine, double cost) implements Comparable<Candidate> {
@@ -70,7 +70,7 @@
     this.policy = policy;
     this.demand = demand;
     this.nowMicros = nowMicros;
-    room = new Room(cluster);
+    room = new RoundUsage(cluster);
     Resources least = demand.leastPerTask();
     boolean gangWaits = demand.waiting().stream().anyMatch(job -> job.spec.kind() == Kind.GANG);
     long all = 0;
@@ -167,7 +167,7 @@
       keep(job, List.of());
       return;
     }
-    Room before = room.copy();
+    RoundUsage before = room.copy();
     long freeBefore = freeMilliCpus;
     int placed = placements.size();
     boolean ownedFits = cluster.ownedCouldFit(job, nowMicros);
--- a/src/main/java/madderrudder/coordination/decisions/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,11 +9,11 @@
 import java.util.Objects;
 import java.util.PriorityQueue;
 import java.util.Set;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
@@ -66,7 +66,7 @@
   public static Set<Assignment> plan(
       Cluster cluster, Policy policy, Demand demand, long nowMicros) {
     Preemption preemption = new Preemption(cluster, policy, demand, nowMicros);
-    Room room = new Room(cluster);
+    RoundUsage room = new RoundUsage(cluster);
     for (Job job : demand.waiting()) {
       boolean mayStopAnything =
           job.spec.priority() == Priority.PRODUCTION || demand.guaranteed().contains(job);
@@ -109,7 +109,7 @@
    * A gang starts with all its tasks or not at all: unless room for all that wait can be made,
    * nothing is stopped for it. The placer keeps what is stopped here for the gang.
    */
-  private void makeRoomForGang(Job job, Room room) {
+  private void makeRoomForGang(Job job, RoundUsage room) {
     if (!job.gangGathers()) {
       return;
     }
@@ -137,13 +137,13 @@
    */
   private final class Making {
     private final Job job;
-    private final Room room;
+    private final RoundUsage room;
     private final boolean ownedFits;
     private final PriorityQueue<Option> owned = new PriorityQueue<>();
     private final PriorityQueue<Option> rented = new PriorityQueue<>();
     private final List<Machine> chosen = new ArrayList<>();
 
-    Making(Job job, Room room) {
+    Making(Job job, RoundUsage room) {
       this.job = job;
       this.room = room;
       ownedFits = cluster.ownedCouldFit(job, nowMicros);
@@ -183,7 +183,8 @@
     }
 
     private void makeRoom(int task) {
-      // Room on a machine that the task may not use yet would go to another, and be made again and
+      // Room on a machine that the task may not use yet would go to another, and be made
+      // again and
       // again.
       boolean rentedToo =
           !ownedFits || nowMicros - job.waitingSinceMicros(task) >= policy.thresholdMicros();
@@ -229,7 +230,7 @@
    * The option that loses least and still holds; zones close, and teams come to be within their
    * guarantee.
    */
-  private Option cheapest(Job job, PriorityQueue<Option> queue, Room room) {
+  private Option cheapest(Job job, PriorityQueue<Option> queue, RoundUsage room) {
     while (!queue.isEmpty()) {
       Option option = queue.peek();
       if (!room.zoneAllows(job, option.machine().zone)) {
--- a/src/main/java/madderrudder/coordination/decisions/Evacuation.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RecallDrain.java
@@ -1,10 +1,10 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Machine;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.Kind;
 
 /**
@@ -13,8 +13,8 @@
  * the lease of the machine is over; a gang that is told in time saves its progress. A pure function
  * of what it is given.
  */
-public final class Evacuation {
-  private Evacuation() {}
+public final class RecallDrain {
+  private RecallDrain() {}
 
   /** Replicas are left where they serve until the end. */
   public static List<Assignment> plan(Cluster cluster, long nowMicros) {
--- a/src/main/java/madderrudder/coordination/decisions/Room.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
@@ -1,14 +1,14 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.Resources;
 
 /** What a round of planning has used up so far, on top of the picture it must not change. */
-final class Room {
+final class RoundUsage {
   private final Cluster cluster;
   private final Map<Machine, Taken> taken = new HashMap<>();
   private final Map<Job, Map<String, Integer>> zones = new HashMap<>();
@@ -17,20 +17,20 @@
   /** What is left of a machine, and how many tasks of the last job it was given in this round. */
   private record Taken(Resources free, Job last, int addedOfLast) {}
 
-  Room(Cluster cluster) {
+  RoundUsage(Cluster cluster) {
     this.cluster = cluster;
     usage = cluster.usage();
   }
 
-  private Room(Room other) {
+  private RoundUsage(RoundUsage other) {
     cluster = other.cluster;
     taken.putAll(other.taken);
     other.zones.forEach((job, counts) -> zones.put(job, new HashMap<>(counts)));
     usage = new HashMap<>(other.usage);
   }
 
-  Room copy() {
-    return new Room(this);
+  RoundUsage copy() {
+    return new RoundUsage(this);
   }
 
   Resources free(Machine machine) {
--- a/src/main/java/madderrudder/coordination/decisions/RentalPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToIntFunction;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
-import madderrudder.coordination.picture.Rental;
 import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.recovery.Confidence;
+import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.Rental;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
@@ -25,7 +25,7 @@
  * against the budget; one that none could take is rented for at once and not counted. A pure
  * function.
  */
-public final class RentalPlanner {
+public final class ScaleOutPlanner {
   /** Above any price: a cheap machine is taken only if no steady one is to be had. */
   private static final double LACKING = 1e6;
 
@@ -34,7 +34,7 @@
   private final long nowMicros;
   private final ToIntFunction<Rental.Shelf> most;
   private final Confidence confidence;
-  private final Room room;
+  private final RoundUsage room;
   private final List<Coming> coming = new ArrayList<>();
   private final Map<Rental.Shelf, Integer> perShelf = new HashMap<>();
   private final Map<RentalKey, Rental> rentals = new LinkedHashMap<>();
@@ -60,7 +60,7 @@
 
   private record RentalKey(Rental.Shelf shelf, boolean counted) {}
 
-  private RentalPlanner(
+  private ScaleOutPlanner(
       Cluster cluster,
       Policy policy,
       Demand demand,
@@ -74,7 +74,7 @@
     this.budgetLeft = budgetLeft;
     this.most = most;
     confidence = demand.confidence();
-    room = new Room(cluster);
+    room = new RoundUsage(cluster);
     lackMilliCpus = cluster.rentingTooSlow() && demand.promptNeedsSteady() ? lack() : 0;
     for (Machine machine : cluster.machines.values()) {
       // What was up when this leader took over is on its way too, until it should have been heard.
@@ -130,8 +130,8 @@
       int budgetLeft,
       ToIntFunction<Rental.Shelf> most,
       List<Rental> underWay) {
-    RentalPlanner planner =
-        new RentalPlanner(cluster, policy, demand, nowMicros, budgetLeft, most, underWay);
+    ScaleOutPlanner planner =
+        new ScaleOutPlanner(cluster, policy, demand, nowMicros, budgetLeft, most, underWay);
     for (Job job : demand.waiting()) {
       if (!job.faulty() && job.nextWaiting(0) >= 0 && demand.confidence().suffices(job)) {
         planner.planJob(job);
--- a/src/main/java/madderrudder/coordination/picture/Summary.java
+++ b/src/main/java/madderrudder/coordination/state/ClusterSummary.java
@@ -1,25 +1,25 @@
-package madderrudder.coordination.picture;
+package madderrudder.coordination.state;
 
 import java.util.Map;
 import java.util.StringJoiner;
 import java.util.TreeMap;
 
 /** A line for the log that tells operators what each kind of machine is doing. */
-public final class Summary {
+public final class ClusterSummary {
   private int machines;
   private int booting;
   private int empty;
   private long usedMilliCpus;
   private long milliCpus;
 
-  private Summary() {}
+  private ClusterSummary() {}
 
   public static String of(Cluster cluster) {
-    Map<String, Summary> kinds = new TreeMap<>();
+    Map<String, ClusterSummary> kinds = new TreeMap<>();
     for (Machine machine : cluster.machines.values()) {
       String kind =
           machine.type.name() + (machine.owned ? " owned" : machine.spot ? " spot" : " steady");
-      kinds.computeIfAbsent(kind, k -> new Summary()).add(machine);
+      kinds.computeIfAbsent(kind, k -> new ClusterSummary()).add(machine);
     }
     StringJoiner line = new StringJoiner(", ");
     kinds.forEach((kind, sum) -> line.add(kind + " " + sum));
--- a/src/main/java/madderrudder/coordination/picture/GuessedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.picture;
+package madderrudder.coordination.state;
 
 import madderrudder.estimates.ClassRatios;
 import madderrudder.estimates.Run;
@@ -7,7 +7,7 @@
  * The owners' guesses, which are often wrong, on some days mostly one way: what tasks of a class
  * took corrects them.
  */
-public final class GuessedRunTimes implements RunTimes {
+public final class EstimatedRunTimes implements RunTimes {
   private final ClassRatios ratios = new ClassRatios();
 
   @Override
--- a/src/main/java/madderrudder/coordination/picture/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.picture;
+package madderrudder.coordination.state;
 
 import java.util.BitSet;
 import java.util.HashMap;
--- a/src/main/java/madderrudder/coordination/picture/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.picture;
+package madderrudder.coordination.state;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/madderrudder/coordination/picture/Shelves.java
+++ b/src/main/java/madderrudder/coordination/state/RentalRequestLimits.java
@@ -1,8 +1,8 @@
-package madderrudder.coordination.picture;
+package madderrudder.coordination.state;
 
 import java.util.HashMap;
 import java.util.Map;
-import madderrudder.coordination.picture.Rental.Shelf;
+import madderrudder.coordination.state.Rental.Shelf;
 
 /**
  * How many machines of each type, zone and kind are worth asking for, judged by what came of the
@@ -11,7 +11,7 @@
  * once used up the budget of a whole day's peak: after a refusal one machine is asked for, and
  * several times as many after each request that was filled.
  */
-public final class Shelves {
+public final class RentalRequestLimits {
   /** The cloud lets this many machines of one kind be rented by one request. */
   public static final int MOST_PER_REQUEST = 50;
 
--- a/src/main/java/madderrudder/coordination/picture/RunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/RunTimes.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.picture;
+package madderrudder.coordination.state;
 
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.Run;
--- a/src/test/java/madderrudder/LayersTest.java
+++ b/src/test/java/madderrudder/LayersTest.java
@@ -33,12 +33,12 @@
         "persistence|transport protocol",
         "metrics|protocol estimates",
         "coordination.policy|protocol",
-        "coordination.picture|protocol estimates coordination.policy",
-        "coordination.recovery|protocol coordination.policy coordination.picture",
-        "coordination.decisions|protocol estimates coordination.policy coordination.picture coordination.recovery",
+        "coordination.state|protocol estimates coordination.policy",
+        "coordination.reconciliation|protocol coordination.policy coordination.state",
+        "coordination.scheduling|protocol estimates coordination.policy coordination.state coordination.reconciliation",
         "coordination.membership|transport protocol persistence coordination.policy",
-        "coordination.dealings|transport protocol estimates persistence metrics coordination.policy coordination.picture "
-            + "coordination.recovery coordination.decisions coordination.membership",
+        "coordination.dealings|transport protocol estimates persistence metrics coordination.policy coordination.state "
+            + "coordination.reconciliation coordination.scheduling coordination.membership",
         "service|transport protocol persistence metrics coordination.policy coordination.membership coordination.dealings",
         "cli|transport protocol estimates persistence metrics coordination.policy coordination.membership coordination.dealings service"
       })
@@ -73,10 +73,10 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "madderrudder.coordination.decisions",
-            "madderrudder.coordination.picture",
+            "madderrudder.coordination.scheduling",
+            "madderrudder.coordination.state",
             "madderrudder.coordination.policy",
-            "madderrudder.coordination.recovery",
+            "madderrudder.coordination.reconciliation",
             "madderrudder.estimates")
         .should()
         .dependOnClassesThat()
--- a/src/test/java/madderrudder/coordination/recovery/ConfidenceTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ConfidenceTest.java
@@ -1,17 +1,17 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Map;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.GuessedRunTimes;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.Objectives;
 import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.EstimatedRunTimes;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
@@ -39,7 +39,7 @@
               3,
               0,
               Objectives.none()),
-          new GuessedRunTimes());
+          new EstimatedRunTimes());
 
   /** Twenty machines in a zone that were up long ago, of which some have reported. */
   private void zone(String zone, int heard) {
--- a/src/test/java/madderrudder/coordination/recovery/SquaringModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import madderrudder.coordination.recovery.TaskFacts.Mates;
-import madderrudder.coordination.recovery.TaskFacts.Record;
-import madderrudder.coordination.recovery.TaskFacts.Told;
-import madderrudder.coordination.recovery.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskFacts.Mates;
+import madderrudder.coordination.reconciliation.TaskFacts.Record;
+import madderrudder.coordination.reconciliation.TaskFacts.Told;
+import madderrudder.coordination.reconciliation.TaskFacts.Wish;
 
 /**
  * A job of one or two tasks, two machines and leaders that follow one another, each ending at any
  * step: every course of events, with reports and direct starts that are held for as long as it
- * pleases, and come again as copies. What a leader concludes is asked of the very {@link Squaring}
- * that the service uses. That a leader takes a lease for ended only once it has is taken for
- * granted here: {@code GrantModel} explores that.
+ * pleases, and come again as copies. What a leader concludes is asked of the very {@link
+ * TaskReconciler} that the service uses. That a leader takes a lease for ended only once it has is
+ * taken for granted here: {@code GrantModel} explores that.
  */
-final class SquaringModel {
+final class ReconciliationModel {
   private static final int MACHINES = 2;
   private static final int NONE = 0;
   private static final int HELD = 1;
@@ -52,7 +52,7 @@
   private final Fault fault;
   private int explored;
 
-  SquaringModel(Bounds bounds, Fault fault) {
+  ReconciliationModel(Bounds bounds, Fault fault) {
     this.bounds = bounds;
     this.fault = fault;
   }
@@ -450,7 +450,7 @@
     }
   }
 
-  private Finding finding(State s, int t) {
+  private TaskDecision finding(State s, int t) {
     Placed placed = s.placed[t];
     int m = placed.machine;
     boolean mayCome =
@@ -459,7 +459,7 @@
             || placed.inherited && s.token[m] < firstToken(s.term) && fault != Fault.TOKEN_IGNORED;
     Told told =
         !s.reported[m] ? Told.NOTHING : placed.reportedSeq == s.seq[m] ? Told.HELD : Told.ABSENT;
-    return Squaring.of(
+    return TaskReconciler.of(
         new TaskFacts(
             placed.inherited ? Record.EARLIER : Record.OWN,
             placed.kept ? Wish.KEPT_DONE : placed.unwanted ? Wish.GO : Wish.RUN,
@@ -504,7 +504,7 @@
       if (named && report.states()[t] != NONE) {
         placed.reportedSeq = report.seq();
         if (report.states()[t] == EXITED) {
-          if (exit(c, t).verdict() == Finding.Verdict.RECORD_EXIT) {
+          if (exit(c, t).verdict() == TaskDecision.Verdict.RECORD_EXIT) {
             c.placed[t] = new Placed();
           }
           continue;
@@ -517,7 +517,7 @@
       }
     }
     for (int t = 0; t < bounds.tasks(); t++) {
-      if (c.placed[t].machine == m && finding(c, t).verdict() == Finding.Verdict.GONE) {
+      if (c.placed[t].machine == m && finding(c, t).verdict() == TaskDecision.Verdict.GONE) {
         c.placed[t] = new Placed();
       }
     }
@@ -526,17 +526,17 @@
     } else {
       // What it would have carried counts as sent.
       for (int t = 0; t < bounds.tasks(); t++) {
-        if (c.placed[t].machine == m && finding(c, t).verdict() == Finding.Verdict.START) {
+        if (c.placed[t].machine == m && finding(c, t).verdict() == TaskDecision.Verdict.START) {
           c.placed[t].startSeq = report.seq();
         }
       }
     }
   }
 
-  private Finding exit(State s, int t) {
+  private TaskDecision exit(State s, int t) {
     Placed placed = s.placed[t];
     boolean mayCome = placed.inherited && s.token[placed.machine] < firstToken(s.term);
-    return Squaring.of(
+    return TaskReconciler.of(
         new TaskFacts(
             placed.inherited ? Record.EARLIER : Record.OWN,
             placed.unwanted ? Wish.GO : Wish.RUN,
@@ -579,7 +579,7 @@
       raise |=
           c.placed[t].machine == m
               && c.placed[t].direct >= c.token[m]
-              && finding(c, t).verdict() == Finding.Verdict.AWAIT;
+              && finding(c, t).verdict() == TaskDecision.Verdict.AWAIT;
     }
     if (raise && fault != Fault.TOKEN_NOT_RAISED && c.given[m] < firstToken(c.term) + 3) {
       c.given[m]++;
@@ -601,26 +601,27 @@
             report.states()[t] == DONE
                 ? Told.DONE
                 : report.states()[t] == EXITED ? Told.EXITED : Told.HELD;
-        Finding.Verdict verdict =
-            Squaring.of(new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER))
+        TaskDecision.Verdict verdict =
+            TaskReconciler.of(
+                    new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER))
                 .verdict();
-        boolean forgets = verdict == Finding.Verdict.FORGET;
+        boolean forgets = verdict == TaskDecision.Verdict.FORGET;
         if (heeded
             && c.wAttempt[m][t] == report.attempts()[t]
-            && (forgets || verdict == Finding.Verdict.STOP && c.wState[m][t] == HELD)) {
+            && (forgets || verdict == TaskDecision.Verdict.STOP && c.wState[m][t] == HELD)) {
           c.wState[m][t] = NONE;
         }
       }
       if (placed.machine != m) {
         continue;
       }
-      Finding.Verdict verdict = finding(c, t).verdict();
-      if (verdict == Finding.Verdict.START) {
+      TaskDecision.Verdict verdict = finding(c, t).verdict();
+      if (verdict == TaskDecision.Verdict.START) {
         placed.startSeq = report.seq();
         if (heeded) {
           begin(c, m, t, placed.attempt);
         }
-      } else if (verdict == Finding.Verdict.STOP
+      } else if (verdict == TaskDecision.Verdict.STOP
           && heeded
           && c.wAttempt[m][t] == placed.attempt
           && c.wState[m][t] == HELD) {
@@ -656,7 +657,7 @@
         && placed.direct < 0
         && placed.startSeq < 0
         && s.starts.size() < bounds.heldStarts()
-        && finding(s, t).verdict() == Finding.Verdict.START) {
+        && finding(s, t).verdict() == TaskDecision.Verdict.START) {
       State c = s.copy();
       int m = placed.machine;
       c.given[m] =
--- a/src/test/java/madderrudder/coordination/recovery/SquaringTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.recovery;
+package madderrudder.coordination.reconciliation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -12,23 +12,23 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import madderrudder.coordination.recovery.MachineFacts.Listed;
-import madderrudder.coordination.recovery.MachineFacts.Logged;
-import madderrudder.coordination.recovery.MachineFacts.Worker;
-import madderrudder.coordination.recovery.SquaringModel.Bounds;
-import madderrudder.coordination.recovery.SquaringModel.Fault;
-import madderrudder.coordination.recovery.TaskFacts.Mates;
-import madderrudder.coordination.recovery.TaskFacts.Record;
-import madderrudder.coordination.recovery.TaskFacts.Told;
-import madderrudder.coordination.recovery.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.MachineFacts.Listed;
+import madderrudder.coordination.reconciliation.MachineFacts.Logged;
+import madderrudder.coordination.reconciliation.MachineFacts.Worker;
+import madderrudder.coordination.reconciliation.ReconciliationModel.Bounds;
+import madderrudder.coordination.reconciliation.ReconciliationModel.Fault;
+import madderrudder.coordination.reconciliation.TaskFacts.Mates;
+import madderrudder.coordination.reconciliation.TaskFacts.Record;
+import madderrudder.coordination.reconciliation.TaskFacts.Told;
+import madderrudder.coordination.reconciliation.TaskFacts.Wish;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 @Timeout(60)
-class SquaringTest {
-  /** A longer search: {@code mvn test -Dtest=SquaringTest -Dstates=20000000}. */
+class TaskReconcilerTest {
+  /** A longer search: {@code mvn test -Dtest=TaskReconcilerTest -Dstates=20000000}. */
   private static final int STATES = Integer.getInteger("states", 150_000);
 
   @ParameterizedTest
@@ -43,8 +43,8 @@
       int heldStarts,
       int copies,
       int exits) {
-    SquaringModel model =
-        new SquaringModel(
+    ReconciliationModel model =
+        new ReconciliationModel(
             new Bounds(
                 tasks,
                 terms,
@@ -76,8 +76,8 @@
       int heldStarts,
       int copies,
       int exits) {
-    SquaringModel model =
-        new SquaringModel(
+    ReconciliationModel model =
+        new ReconciliationModel(
             new Bounds(
                 tasks,
                 terms,
@@ -113,8 +113,8 @@
       int heldStarts,
       int copies,
       int exits) {
-    SquaringModel model =
-        new SquaringModel(
+    ReconciliationModel model =
+        new ReconciliationModel(
             new Bounds(1, terms, 8, sessions, 2, heldReports, heldStarts, copies, exits, 0), fault);
     String found = model.walk(1, 200_000, 40);
     assertNotNull(found);
@@ -176,7 +176,7 @@
               TaskFacts facts =
                   new TaskFacts(
                       record, wish, told, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0, mates);
-              Finding finding = Squaring.of(facts);
+              TaskDecision finding = TaskReconciler.of(facts);
               agrees(
                   rows,
                   used,
@@ -214,7 +214,7 @@
                     worker,
                     (bits & 4) > 0,
                     (bits & 8) > 0);
-            MachineFinding finding = MachineSquaring.of(facts, (bits & 16) > 0);
+            MachineDecision finding = MachineReconciler.of(facts, (bits & 16) > 0);
             agrees(
                 rows,
                 used,
--- a/src/test/java/madderrudder/coordination/decisions/PlanningTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.decisions;
+package madderrudder.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,19 +9,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import madderrudder.coordination.picture.Assignment;
-import madderrudder.coordination.picture.Cluster;
-import madderrudder.coordination.picture.GuessedRunTimes;
-import madderrudder.coordination.picture.Job;
-import madderrudder.coordination.picture.Machine;
-import madderrudder.coordination.picture.Rental;
-import madderrudder.coordination.picture.RunTimes;
-import madderrudder.coordination.picture.Shelves;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.Objectives;
 import madderrudder.coordination.policy.Policy;
 import madderrudder.coordination.policy.Safety;
 import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Cluster;
+import madderrudder.coordination.state.EstimatedRunTimes;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.Rental;
+import madderrudder.coordination.state.RentalRequestLimits;
+import madderrudder.coordination.state.RunTimes;
 import madderrudder.estimates.Run;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Kind;
@@ -61,7 +61,7 @@
   private long attempts;
 
   private Cluster cluster(Objectives objectives) {
-    return cluster(objectives, new GuessedRunTimes());
+    return cluster(objectives, new EstimatedRunTimes());
   }
 
   private Cluster cluster(Objectives objectives, RunTimes runTimes) {
@@ -218,7 +218,7 @@
   }
 
   private List<Rental> rentals(long now, int budget) {
-    return RentalPlanner.plan(
+    return ScaleOutPlanner.plan(
         cluster, POLICY, Demand.of(cluster, 0), now, budget, shelf -> 50, List.of());
   }
 
@@ -533,10 +533,10 @@
     nearlyDone.runningMicros = 0;
     elsewhere.runningMicros = 10 * SECOND;
     replica.runningMicros = 0;
-    assertEquals(List.of(), Evacuation.plan(cluster, 20 * SECOND));
+    assertEquals(List.of(), RecallDrain.plan(cluster, 20 * SECOND));
     // Tasks of this class take 30 s; the cloud takes the machine in 15 s.
     going.recallMicros = 35 * SECOND;
-    assertEquals(List.of(young), Evacuation.plan(cluster, 20 * SECOND));
+    assertEquals(List.of(young), RecallDrain.plan(cluster, 20 * SECOND));
   }
 
   /** Counts how often the planners look at a machine for a job. */
@@ -544,7 +544,7 @@
     private long looks;
 
     CountingCluster(Deployment deployment) {
-      super(deployment, new GuessedRunTimes());
+      super(deployment, new EstimatedRunTimes());
     }
 
     @Override
@@ -628,7 +628,8 @@
     hasty.types = cluster.types;
     hasty.jobs.put("req-1", job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 3, 4, false));
     assertTrue(
-        RentalPlanner.plan(hasty, patient, Demand.of(hasty, 0), SECOND, 100, shelf -> 50, List.of())
+        ScaleOutPlanner.plan(
+                hasty, patient, Demand.of(hasty, 0), SECOND, 100, shelf -> 50, List.of())
             .stream()
             .allMatch(Rental::spot));
     JobSpec desk =
@@ -669,7 +670,7 @@
             false,
             0));
     List<Rental> rented =
-        RentalPlanner.plan(
+        ScaleOutPlanner.plan(
             hasty, patient, Demand.of(hasty, 0), SECOND, 100, shelf -> 50, List.of());
     // A quarter of 16 processors is wanted and 3 of the steady ones are free of production: one
     // more is rented.
@@ -694,7 +695,8 @@
     // What is on its way counts as room, so that nothing is rented twice.
     assertEquals(
         List.of(),
-        RentalPlanner.plan(cluster, POLICY, Demand.of(cluster, 0), later, 10, shelf -> 50, rented));
+        ScaleOutPlanner.plan(
+            cluster, POLICY, Demand.of(cluster, 0), later, 10, shelf -> 50, rented));
     // With most machines silent, this node is cut off, and renting would help nobody.
     cluster.machines.values().forEach(machine -> machine.heardMicros = 0);
     assertEquals(List.of(), rentals(later, 10));
@@ -806,7 +808,7 @@
    */
   @Test
   void emptyShelvesAndFailingBootsAreAskedLess() {
-    Shelves shelves = new Shelves();
+    RentalRequestLimits shelves = new RentalRequestLimits();
     Rental.Shelf shelf = new Rental.Shelf("box", "east", true);
     assertEquals(50, shelves.most(shelf, 0));
     shelves.answered(shelf, 50, 0, 0);
