--- a/src/main/java/madderrudder/cli/Rehearsal.java
+++ b/src/main/java/madderrudder/cli/ClassPreloader.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.jar.JarFile;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.transport.EventLoop;
 import madderrudder.transport.HttpClient;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.HttpServer;
-import madderrudder.transport.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,20 +25,20 @@
  * made of the run holds all that a controller needs to start. On a third of a core this saves most
  * of the start.
  */
-final class Rehearsal {
-  private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
+final class ClassPreloader {
+  private static final Logger LOG = LoggerFactory.getLogger(ClassPreloader.class);
   private static final long PATIENCE_MICROS = 5_000_000;
   private static final List<String> PACKAGES =
       List.of("madderrudder/", "com/fasterxml/jackson/core/", "org/slf4j/", "org/HdrHistogram/");
 
-  private Rehearsal() {}
+  private ClassPreloader() {}
 
   static int run(PrintStream err) {
     try {
       loadClasses();
       talkToItself();
       return 0;
-    } catch (IOException | URISyntaxException | MalformedMessage e) {
+    } catch (IOException | URISyntaxException | MalformedMessageException e) {
       err.println("madderrudder: rehearsal failed: " + e);
       return 1;
     }
@@ -46,7 +46,7 @@
 
   private static void loadClasses() throws IOException, URISyntaxException {
     Path self =
-        Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     try (JarFile jar = new JarFile(self.toFile())) {
       long loaded =
           jar.stream()
@@ -61,7 +61,7 @@
 
   private static boolean load(String name) {
     try {
-      Class.forName(name, false, Rehearsal.class.getClassLoader());
+      Class.forName(name, false, ClassPreloader.class.getClassLoader());
       return true;
     } catch (ClassNotFoundException | LinkageError e) {
       // Optional parts of a library may lack what they build on; a controller does not use them.
@@ -69,9 +69,9 @@
     }
   }
 
-  private static void talkToItself() throws IOException, MalformedMessage {
+  private static void talkToItself() throws IOException, MalformedMessageException {
     Json.readObject("{\"a\":[1,2.5,\"b\",true,null]}".getBytes(StandardCharsets.UTF_8)).render();
-    Loop loop = new Loop();
+    EventLoop loop = new EventLoop();
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
     HttpServer server =
         new HttpServer(
--- a/src/main/java/madderrudder/cli/Main.java
+++ b/src/main/java/madderrudder/cli/Main.java
@@ -6,10 +6,10 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.service.OperatorSettings;
-import madderrudder.service.SExpression;
-import madderrudder.service.Settings;
+import madderrudder.config.OperatorSettings;
+import madderrudder.config.PlatformSettings;
+import madderrudder.config.SExpression;
+import madderrudder.coordination.policy.OperatorPolicy;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.Option;
@@ -63,7 +63,7 @@
         return 0;
       }
       case "rehearse" -> {
-        return Rehearsal.run(err);
+        return ClassPreloader.run(err);
       }
       case "serve", "check" -> {
         return withSettings(args, out, err);
@@ -99,12 +99,12 @@
       err.println("madderrudder: LOG_LEVEL must be error, info or debug");
       return USAGE;
     }
-    Settings settings;
-    Policy policy;
+    PlatformSettings settings;
+    OperatorPolicy policy;
     try {
       settings = readSettings(line.getOptionValue("config"));
       policy = readPolicy(line.getOptionValue("operator"));
-    } catch (Settings.Invalid e) {
+    } catch (PlatformSettings.Invalid e) {
       e.problems().forEach(problem -> err.println("madderrudder: " + problem));
       return 1;
     }
@@ -114,30 +114,30 @@
     }
     // Has to stand before the first logger is made.
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
-    return new Serve(settings, policy).run();
+    return new ServeCommand(settings, policy).run();
   }
 
-  private static Settings readSettings(String file) throws Settings.Invalid {
+  private static PlatformSettings readSettings(String file) throws PlatformSettings.Invalid {
     try {
-      return Settings.parse(Files.readAllBytes(Path.of(file)));
+      return PlatformSettings.parse(Files.readAllBytes(Path.of(file)));
     } catch (IOException e) {
-      throw new Settings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-    } catch (Settings.Invalid e) {
-      throw new Settings.Invalid(
+      throw new PlatformSettings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
+    } catch (PlatformSettings.Invalid e) {
+      throw new PlatformSettings.Invalid(
           e.problems().stream().map(problem -> file + ": " + problem).toList());
     }
   }
 
-  private static Policy readPolicy(String file) throws Settings.Invalid {
+  private static OperatorPolicy readPolicy(String file) throws PlatformSettings.Invalid {
     if (file == null) {
-      return Policy.defaults();
+      return OperatorPolicy.defaults();
     }
     try {
       return OperatorSettings.parse(Files.readString(Path.of(file)));
     } catch (IOException e) {
-      throw new Settings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
+      throw new PlatformSettings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
     } catch (SExpression.Malformed e) {
-      throw new Settings.Invalid(List.of(file + ": " + e.getMessage()));
+      throw new PlatformSettings.Invalid(List.of(file + ": " + e.getMessage()));
     }
   }
 }
--- a/src/main/java/madderrudder/service/OperatorSettings.java
+++ b/src/main/java/madderrudder/config/OperatorSettings.java
@@ -1,14 +1,14 @@
-package madderrudder.service;
+package madderrudder.config;
 
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Policy.SpotMode;
-import madderrudder.service.SExpression.Atom;
-import madderrudder.service.SExpression.Items;
-import madderrudder.service.SExpression.Malformed;
+import madderrudder.config.SExpression.Atom;
+import madderrudder.config.SExpression.Items;
+import madderrudder.config.SExpression.Malformed;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.OperatorPolicy.SpotMode;
 
 /**
  * The operators' own settings: {@code (madderrudder (threshold-s 20) ...)}; what is left out has
@@ -33,7 +33,7 @@
           "deputies",
           "learned-run-times");
 
-  public static Policy parse(String text) throws Malformed {
+  public static OperatorPolicy parse(String text) throws Malformed {
     if (!(SExpression.parse(text) instanceof Items root)
         || root.items().isEmpty()
         || !(root.items().get(0) instanceof Atom head)
@@ -58,9 +58,9 @@
     return policy(values);
   }
 
-  private static Policy policy(Map<String, Atom> values) throws Malformed {
-    Policy usual = Policy.defaults();
-    return new Policy(
+  private static OperatorPolicy policy(Map<String, Atom> values) throws Malformed {
+    OperatorPolicy usual = OperatorPolicy.defaults();
+    return new OperatorPolicy(
         micros(values.get("threshold-s"), 0, 86_400, usual.thresholdMicros()),
         micros(values.get("poll-s"), 0.1, 3_600, usual.pollMicros()),
         (int) number(values.get("budget"), 0, 1_000_000, usual.budget()),
--- a/src/main/java/madderrudder/service/Settings.java
+++ b/src/main/java/madderrudder/config/PlatformSettings.java
@@ -1,4 +1,4 @@
-package madderrudder.service;
+package madderrudder.config;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Objectives;
-import madderrudder.coordination.policy.Safety;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.coordination.policy.ServiceLevelObjectives;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.transport.Addresses;
 
@@ -19,7 +19,7 @@
  * The platform's settings, checked. {@code peers} gives the other controllers' addresses by their
  * names.
  */
-public record Settings(
+public record PlatformSettings(
     String member,
     String zone,
     String clientListen,
@@ -51,7 +51,7 @@
 
   /** Reads one field, or reports what is wrong with it. */
   private interface Reader<T> {
-    T read() throws MalformedMessage;
+    T read() throws MalformedMessageException;
   }
 
   /** Collects problems so that all of them are named at once. */
@@ -61,7 +61,7 @@
     <T> T read(String path, T otherwise, Reader<T> reader) {
       try {
         return reader.read();
-      } catch (MalformedMessage e) {
+      } catch (MalformedMessageException e) {
         problems.add(path + ": " + e.getMessage());
         return otherwise;
       }
@@ -89,14 +89,14 @@
     }
   }
 
-  public static Settings parse(byte[] text) throws Invalid {
+  public static PlatformSettings parse(byte[] text) throws Invalid {
     Check check = new Check();
     Fields in;
     Fields nothing;
     try {
       nothing = Json.readObject(new byte[] {'{', '}'});
       in = Json.readObject(text);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new Invalid(List.of("the settings are " + e.getMessage()));
     }
     Map<String, String> peers = new LinkedHashMap<>();
@@ -109,8 +109,8 @@
     }
     Fields external = check.read("external", nothing, () -> in.object("external"));
     Fields deployment = check.read("deployment", nothing, () -> in.object("deployment"));
-    Settings settings =
-        new Settings(
+    PlatformSettings settings =
+        new PlatformSettings(
             check.read("member", "", () -> in.text("member")),
             check.read("zone", "", () -> in.text("zone")),
             check.address("", in, "client_listen"),
@@ -140,13 +140,13 @@
   private static Deployment readDeployment(Check check, Fields in, int members) {
     String path = "deployment.";
     Fields nothing = in;
-    Map<String, Team> teams = new LinkedHashMap<>();
+    Map<String, TeamQuota> teams = new LinkedHashMap<>();
     for (Fields team : check.read(path + "teams", List.<Fields>of(), () -> in.objects("teams"))) {
       String where = path + "teams[" + teams.size() + "]";
       String name = check.read(where, "", () -> team.text("name"));
       teams.put(
           name,
-          Team.of(
+          TeamQuota.of(
               name,
               check.read(
                   where,
@@ -167,7 +167,7 @@
             check.positiveMicros(path + "workers.", workers, "gang_wait_s"),
             check.positiveMicros(path + "workers.", workers, "gang_peer_s"),
             check.positiveMicros(path + "workers.", workers, "cancel_s"));
-    if (check.problems.isEmpty() && Safety.of(times).answerMicros() < LEAST_ANSWER_MICROS) {
+    if (check.problems.isEmpty() && SafetyBounds.of(times).answerMicros() < LEAST_ANSWER_MICROS) {
       check.problems.add(
           path
               + "workers.cancel_s: must exceed lease_s by 6 s or more,"
@@ -196,11 +196,12 @@
         members,
         Math.round(
             check.read(path + "clock_off_ms", 0.0, () -> in.amount("clock_off_ms", 0)) * 1e3),
-        check.read(path + "objectives", Objectives.none(), () -> objectives(in)));
+        check.read(path + "objectives", ServiceLevelObjectives.none(), () -> objectives(in)));
   }
 
   /** Kinds that say nothing of when a job should start or be complete are left to others. */
-  private static Objectives objectives(Fields deployment) throws MalformedMessage {
+  private static ServiceLevelObjectives objectives(Fields deployment)
+      throws MalformedMessageException {
     Map<String, Long> waits = new HashMap<>();
     Map<String, List<Long>> finishes = new HashMap<>();
     Map<String, List<Double>> deadlines = new HashMap<>();
@@ -221,6 +222,6 @@
         }
       }
     }
-    return new Objectives(waits, finishes, deadlines);
+    return new ServiceLevelObjectives(waits, finishes, deadlines);
   }
 }
--- a/src/main/java/madderrudder/service/SExpression.java
+++ b/src/main/java/madderrudder/config/SExpression.java
@@ -1,4 +1,4 @@
-package madderrudder.service;
+package madderrudder.config;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/madderrudder/coordination/dealings/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/cloud/CloudClient.java
@@ -1,11 +1,11 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.cloud;
 
 import java.util.List;
 import java.util.function.Consumer;
-import madderrudder.coordination.state.Rental;
+import madderrudder.coordination.state.ScaleOutRequest;
 import madderrudder.persistence.RateLimiter;
 import madderrudder.protocol.CloudCodec;
-import madderrudder.transport.HttpCalls;
+import madderrudder.transport.HttpCaller;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
@@ -15,18 +15,18 @@
   private static final long CALL_MICROS = 4_000_000;
   private static final int PAGE = 500;
 
-  private final HttpCalls calls;
+  private final HttpCaller calls;
   private final String address;
   private final RateLimiter pace;
 
   public CloudClient(
-      Scheduler scheduler, HttpCalls calls, String address, double requestsPerSecond) {
+      Scheduler scheduler, HttpCaller calls, String address, double requestsPerSecond) {
     this.calls = calls;
     this.address = address;
     pace = new RateLimiter(scheduler, requestsPerSecond * 0.8, requestsPerSecond);
   }
 
-  void rent(String request, Rental rental, Consumer<HttpResponse> answer) {
+  public void rent(String request, ScaleOutRequest rental, Consumer<HttpResponse> answer) {
     call(
         HttpRequest.post(
             "/machines",
@@ -35,17 +35,17 @@
         answer);
   }
 
-  void delete(List<String> machines, Consumer<HttpResponse> answer) {
+  public void delete(List<String> machines, Consumer<HttpResponse> answer) {
     call(HttpRequest.post("/machines/delete", CloudCodec.delete(machines)), answer);
   }
 
-  void list(String since, Consumer<HttpResponse> answer) {
+  public void list(String since, Consumer<HttpResponse> answer) {
     call(
         HttpRequest.get("/machines?most=" + PAGE + (since.isEmpty() ? "" : "&since=" + since)),
         answer);
   }
 
-  void catalog(Consumer<HttpResponse> answer) {
+  public void catalog(Consumer<HttpResponse> answer) {
     call(HttpRequest.get("/catalog"), answer);
   }
 
--- a/src/main/java/madderrudder/coordination/dealings/Catalog.java
+++ b/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.cloud;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,7 +10,7 @@
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MachineType;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -19,8 +19,8 @@
  * The machine types. Each node needs them to judge jobs, so the leader keeps a copy in the store: a
  * node that starts while the cloud is down reads that one.
  */
-public final class Catalog {
-  private static final Logger LOG = LoggerFactory.getLogger(Catalog.class);
+public final class MachineTypeCatalog {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final long RETRY_MICROS = 1_000_000;
   private static final long REFRESH_MICROS = 60_000_000;
 
@@ -31,7 +31,7 @@
   private byte[] text;
   private Runnable onRefresh = () -> {};
 
-  public Catalog(Scheduler scheduler, StoreClient store, CloudClient cloud) {
+  public MachineTypeCatalog(Scheduler scheduler, StoreClient store, CloudClient cloud) {
     this.scheduler = scheduler;
     this.store = store;
     this.cloud = cloud;
@@ -50,11 +50,11 @@
   }
 
   /** What the cloud last said, or null. */
-  byte[] text() {
+  public byte[] text() {
     return text;
   }
 
-  void onRefresh(Runnable action) {
+  public void onRefresh(Runnable action) {
     onRefresh = action;
   }
 
@@ -79,7 +79,7 @@
               fresh = accept(fields);
               text = response.body();
               onRefresh.run();
-            } catch (MalformedMessage e) {
+            } catch (MalformedMessageException e) {
               LOG.info("the catalogue is unreadable: {}", e.getMessage());
             }
           }
@@ -97,7 +97,7 @@
       }
       types = named;
       return !named.isEmpty();
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.info("the catalogue is unreadable: {}", e.getMessage());
       return false;
     }
--- a/src/main/java/madderrudder/coordination/dealings/WorkerDesk.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -1,9 +1,9 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.heartbeat;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import madderrudder.coordination.policy.Token;
+import madderrudder.coordination.policy.FencingToken;
 import madderrudder.coordination.reconciliation.TaskDecision;
 import madderrudder.coordination.reconciliation.TaskDecision.Verdict;
 import madderrudder.coordination.reconciliation.TaskFacts;
@@ -12,20 +12,24 @@
 import madderrudder.coordination.reconciliation.TaskFacts.Told;
 import madderrudder.coordination.reconciliation.TaskFacts.Wish;
 import madderrudder.coordination.reconciliation.TaskReconciler;
+import madderrudder.coordination.registry.JobRegistry;
+import madderrudder.coordination.registry.LeaderTerm;
+import madderrudder.coordination.registry.MachineRegistry;
+import madderrudder.coordination.scaleout.ScaleOutController;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
 import madderrudder.estimates.Run;
 import madderrudder.metrics.Metrics.Timing;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
-import madderrudder.protocol.Order;
+import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
-import madderrudder.protocol.TaskReport;
-import madderrudder.protocol.TaskReport.Phase;
-import madderrudder.protocol.TaskReport.Why;
+import madderrudder.protocol.TaskStatus;
+import madderrudder.protocol.TaskStatus.ExitReason;
+import madderrudder.protocol.TaskStatus.Phase;
 import madderrudder.protocol.WorkerCodec;
-import madderrudder.protocol.WorkerReport;
+import madderrudder.protocol.WorkerCommand;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import org.slf4j.Logger;
@@ -35,8 +39,8 @@
  * Brings what workers report and what is wished of them together. Starts go out only for durable
  * records; a record goes only when the worker can no longer come to have the task.
  */
-final class WorkerDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(WorkerDesk.class);
+public final class HeartbeatHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
   private static final long DIRECT_MICROS = 2_500_000;
   private static final long DIRECT_PAUSE_MICROS = 10_000_000;
 
@@ -60,10 +64,10 @@
    */
   private static final int MOST_ORDERS = 400;
 
-  private final Term term;
-  private final Fleet fleet;
-  private final JobBook jobs;
-  private final Rentals rentals;
+  private final LeaderTerm term;
+  private final MachineRegistry fleet;
+  private final JobRegistry jobs;
+  private final ScaleOutController rentals;
   private final Runnable onRoom;
   private final Predicate<Job> undecided;
 
@@ -71,11 +75,11 @@
    * {@code undecided}: what comes before the job is not known yet, so that nothing of it is to be
    * started anew.
    */
-  WorkerDesk(
-      Term term,
-      Fleet fleet,
-      JobBook jobs,
-      Rentals rentals,
+  public HeartbeatHandler(
+      LeaderTerm term,
+      MachineRegistry fleet,
+      JobRegistry jobs,
+      ScaleOutController rentals,
       Runnable onRoom,
       Predicate<Job> undecided) {
     this.term = term;
@@ -87,7 +91,7 @@
   }
 
   /** What a report is worth. */
-  enum Worth {
+  public enum Worth {
     /** It says something new. */
     NEW,
     /**
@@ -100,7 +104,7 @@
   }
 
   /** Takes a report in. */
-  Worth take(WorkerReport report) {
+  public Worth take(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     if (machine == null) {
       if (fleet.wasRemoved(report.machine())) {
@@ -153,7 +157,7 @@
     machine.session = report.session();
     machine.seq = report.seq();
     machine.token = report.token();
-    machine.current |= Token.term(report.token()) >= term.number;
+    machine.current |= FencingToken.term(report.token()) >= term.number;
     machine.helloSeq = report.seq();
     machine.helloMicros = now;
     machine.addr = report.addr().isEmpty() ? machine.addr : report.addr();
@@ -167,7 +171,7 @@
   }
 
   /** Takes in a report that was answered while the state was being read. */
-  void takeAnswered(WorkerReport report) {
+  public void takeAnswered(Heartbeat report) {
     take(report);
     Machine machine = term.cluster.machines.get(report.machine());
     if (machine != null) {
@@ -175,8 +179,8 @@
     }
   }
 
-  private void doubtUnlessHeard(Machine machine, WorkerReport report, long sinceMicros) {
-    if (Token.term(report.token()) < term.number) {
+  private void doubtUnlessHeard(Machine machine, Heartbeat report, long sinceMicros) {
+    if (FencingToken.term(report.token()) < term.number) {
       machine.doubt(sinceMicros);
     }
   }
@@ -186,7 +190,7 @@
    * an answer to an older one than the last it has sent by itself reaches nobody, and must not be
    * counted for its lease.
    */
-  private Worth old(Machine machine, WorkerReport report) {
+  private Worth old(Machine machine, Heartbeat report) {
     boolean last =
         report.session() == machine.session
             && (report.seq() > machine.helloSeq
@@ -208,7 +212,7 @@
    * way nothing is lost by giving none, and once none was given for a lease, what earlier leaders
    * have placed there is surely gone: its worker can't show that by this term's token.
    */
-  boolean withholds(WorkerReport report) {
+  public boolean withholds(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     return machine != null
         && !machine.empty()
@@ -228,11 +232,11 @@
   }
 
   /** Follows the states of the tasks that the worker has; true if room came free. */
-  private boolean apply(Machine machine, WorkerReport report, long now) {
+  private boolean apply(Machine machine, Heartbeat report, long now) {
     boolean room = !machine.strays.isEmpty();
-    List<Machine.Stray> strays = List.of();
-    for (TaskReport task : report.tasks()) {
-      Machine.Key key = new Machine.Key(task.task(), task.attempt());
+    List<Machine.OrphanTask> strays = List.of();
+    for (TaskStatus task : report.tasks()) {
+      Machine.TaskAttempt key = new Machine.TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(key);
       if (assignment != null) {
         assignment.reportedSeq = report.seq();
@@ -258,9 +262,9 @@
    * Whether the exit is to be recorded: an earlier leader's start of the same attempt may have come
    * after it.
    */
-  private boolean ended(Assignment assignment, TaskReport task, long token) {
-    Told told = task.why() == Why.DONE ? Told.DONE : Told.EXITED;
-    boolean mayCome = assignment.inherited && Token.term(token) < term.number;
+  private boolean ended(Assignment assignment, TaskStatus task, long token) {
+    Told told = task.why() == ExitReason.DONE ? Told.DONE : Told.EXITED;
+    boolean mayCome = assignment.inherited && FencingToken.term(token) < term.number;
     Verdict verdict =
         TaskReconciler.of(
                 new TaskFacts(
@@ -275,9 +279,9 @@
     return verdict == Verdict.RECORD_DONE || verdict == Verdict.RECORD_EXIT;
   }
 
-  private Machine.Stray stray(Machine.Key key) {
+  private Machine.OrphanTask stray(Machine.TaskAttempt key) {
     Job job = term.cluster.jobs.get(key.task().job());
-    return new Machine.Stray(
+    return new Machine.OrphanTask(
         key, job == null ? "" : job.spec.team(), job == null ? Resources.NONE : job.spec.perTask());
   }
 
@@ -316,7 +320,7 @@
     }
   }
 
-  private boolean exited(Assignment assignment, TaskReport task, long now) {
+  private boolean exited(Assignment assignment, TaskStatus task, long now) {
     if (assignment.completed) {
       return false;
     }
@@ -325,7 +329,7 @@
     Job job = assignment.job;
     LOG.debug(
         "{} attempt {} exited on {}: {}", task.task(), task.attempt(), machine.id, task.why());
-    if (task.why() == Why.DONE) {
+    if (task.why() == ExitReason.DONE) {
       if (job != null) {
         fleet.usedImage(machine, job.spec);
         ran(assignment, now, !job.mayHaveResumed(task.task().index()));
@@ -333,9 +337,9 @@
       jobs.completed(assignment);
       return true;
     }
-    if (job != null && (task.why() == Why.STOPPED || task.why() == Why.PEERS)) {
+    if (job != null && (task.why() == ExitReason.STOPPED || task.why() == ExitReason.PEERS)) {
       ran(assignment, now, false);
-      job.gangRan |= task.why() == Why.PEERS;
+      job.gangRan |= task.why() == ExitReason.PEERS;
     }
     fleet.release(assignment);
     if (job != null && !job.over) {
@@ -352,7 +356,7 @@
    * A mistake in a job is told apart from a fault of a machine by who else fails: on several
    * machines, or of several jobs.
    */
-  private void failed(Job job, TaskReport task, Machine machine, long now) {
+  private void failed(Job job, TaskStatus task, Machine machine, long now) {
     boolean before = job.faulty();
     job.failed(task.task().index(), machine.id, now);
     if (!job.faulty()) {
@@ -424,7 +428,7 @@
     boolean mayCome =
         assignment.directToken >= machine.token
             || assignment.startSeq >= machine.seq
-            || assignment.inherited && Token.term(machine.token) < term.number;
+            || assignment.inherited && FencingToken.term(machine.token) < term.number;
     return new TaskFacts(
         assignment.inherited ? Record.EARLIER : Record.OWN,
         wish(assignment),
@@ -452,22 +456,24 @@
   }
 
   private static Mates mates(Job job) {
-    if (job == null || job.spec.kind() != Kind.GANG) {
+    if (job == null || job.spec.kind() != JobKind.GANG) {
       return Mates.GATHER;
     }
     return job.gangRan ? Mates.RAN : job.gangHeard() ? Mates.GATHER : Mates.UNHEARD;
   }
 
   /** What a worker has that no record names there. */
-  private static TaskDecision unrecorded(TaskReport task) {
+  private static TaskDecision unrecorded(TaskStatus task) {
     Told told =
-        task.phase() != Phase.EXITED ? Told.HELD : task.why() == Why.DONE ? Told.DONE : Told.EXITED;
+        task.phase() != Phase.EXITED
+            ? Told.HELD
+            : task.why() == ExitReason.DONE ? Told.DONE : Told.EXITED;
     return TaskReconciler.of(
         new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER));
   }
 
   /** Whether the machine waits for a record to become durable that an answer could then carry. */
-  boolean unsettled(String id) {
+  public boolean unsettled(String id) {
     Machine machine = term.cluster.machines.get(id);
     if (machine != null) {
       for (Assignment assignment : machine.assignments.values()) {
@@ -485,7 +491,7 @@
    * to a report's interval before it was; and they carried no stops, so that what was cancelled
    * lived on with them.
    */
-  List<Order> ordersForOvertaken(WorkerReport report) {
+  public List<WorkerCommand> ordersForOvertaken(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     if (machine == null) {
       return List.of();
@@ -499,12 +505,13 @@
    * Stops for all that the report shows and that shall not be there. They name attempts, and are
    * right however old the report is; no answer that renews a lease goes without them.
    */
-  private List<Order> stops(Machine machine, WorkerReport report) {
-    List<Order> stops = new ArrayList<>();
-    for (TaskReport task : report.tasks()) {
-      Assignment assignment = machine.assignments.get(new Machine.Key(task.task(), task.attempt()));
+  private List<WorkerCommand> stops(Machine machine, Heartbeat report) {
+    List<WorkerCommand> stops = new ArrayList<>();
+    for (TaskStatus task : report.tasks()) {
+      Assignment assignment =
+          machine.assignments.get(new Machine.TaskAttempt(task.task(), task.attempt()));
       if (task.phase() != Phase.EXITED && assignment == null) {
-        stops.add(Order.stop(task.task(), task.attempt(), 0));
+        stops.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
       } else if (task.phase() != Phase.EXITED && wish(assignment) == Wish.GO) {
         stops.add(stop(assignment, term.scheduler.nowMicros()));
       }
@@ -513,7 +520,7 @@
   }
 
   /** The commands for the report's answer. To be called when the answer is sent. */
-  List<Order> ordersFor(WorkerReport report) {
+  public List<WorkerCommand> ordersFor(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     if (machine == null) {
       return List.of();
@@ -525,18 +532,18 @@
     if (machine.session != report.session() || machine.seq != report.seq()) {
       return stops(machine, report);
     }
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> orders = new ArrayList<>();
     boolean raise = false;
-    for (TaskReport task : report.tasks()) {
-      Machine.Key key = new Machine.Key(task.task(), task.attempt());
+    for (TaskStatus task : report.tasks()) {
+      Machine.TaskAttempt key = new Machine.TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(key);
       if (assignment == null) {
         switch (unrecorded(task).verdict()) {
           case FORGET -> {
-            orders.add(Order.forget(key.task(), key.attempt()));
+            orders.add(WorkerCommand.forget(key.task(), key.attempt()));
             raise = true;
           }
-          case STOP -> orders.add(Order.stop(key.task(), key.attempt(), 0));
+          case STOP -> orders.add(WorkerCommand.stop(key.task(), key.attempt(), 0));
           default -> {}
         }
       } else if (finding(assignment).verdict() == Verdict.STOP) {
@@ -547,7 +554,7 @@
       TaskDecision finding = finding(assignment);
       raise |= finding.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
       if (orders.size() < MOST_ORDERS && startable(assignment, finding)) {
-        orders.add(Order.start(assignment.task, assignment.attempt));
+        orders.add(WorkerCommand.start(assignment.task, assignment.attempt));
         if (!assignment.startSent) {
           assignment.toldMicros = now;
         }
@@ -565,15 +572,15 @@
   }
 
   /** The token that goes with what the worker is told now. */
-  long token(WorkerReport report) {
+  public long token(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     return machine == null
-        ? Token.echo(report.token(), term.number)
+        ? FencingToken.echo(report.token(), term.number)
         : token(machine, report.token());
   }
 
   private long token(Machine machine, long seen) {
-    machine.given = Math.max(machine.given, Token.echo(seen, term.number));
+    machine.given = Math.max(machine.given, FencingToken.echo(seen, term.number));
     return machine.given;
   }
 
@@ -583,20 +590,20 @@
         && term.election.entitled();
   }
 
-  private Order stop(Assignment assignment, long now) {
+  private WorkerCommand stop(Assignment assignment, long now) {
     if (assignment.stopSentMicros < 0) {
       assignment.stopSentMicros = now;
     }
     Job job = assignment.job;
     boolean saves = job != null && !job.over && job.spec.checkpointMicros() > 0;
     long grace = saves ? job.spec.saveMicros() + term.deployment.workers().gangPeerMicros() : 0;
-    return Order.stop(assignment.task, assignment.attempt, grace);
+    return WorkerCommand.stop(assignment.task, assignment.attempt, grace);
   }
 
   /**
    * Sends what can't wait for the next report straight to the worker; whether there was anything.
    */
-  boolean push(Machine machine) {
+  public boolean push(Machine machine) {
     long now = term.scheduler.nowMicros();
     if (machine.directInFlight
         || machine.addr.isEmpty()
@@ -605,7 +612,7 @@
         || term.closed()) {
       return false;
     }
-    List<Order> orders = new ArrayList<>(2);
+    List<WorkerCommand> orders = new ArrayList<>(2);
     List<Assignment> starts = new ArrayList<>(2);
     for (Assignment assignment : machine.assignments.values()) {
       if (orders.size() >= MOST_ORDERS) {
@@ -613,9 +620,9 @@
       }
       if (!assignment.startSent
           && assignment.reportedSeq != machine.seq
-          && Token.canRise(machine.given)
+          && FencingToken.canRise(machine.given)
           && startable(assignment, finding(assignment))) {
-        orders.add(Order.start(assignment.task, assignment.attempt));
+        orders.add(WorkerCommand.start(assignment.task, assignment.attempt));
         starts.add(assignment);
       } else if (assignment.unwanted
           && assignment.seen()
@@ -662,14 +669,14 @@
     boolean overtaken = false;
     if (status == 200 || status == 409) {
       try {
-        WorkerReport report = WorkerCodec.readReport(response.body());
-        overtaken = Token.term(report.token()) == term.number && report.session() == session;
-        if (Token.term(report.token()) > term.number) {
+        Heartbeat report = WorkerCodec.readReport(response.body());
+        overtaken = FencingToken.term(report.token()) == term.number && report.session() == session;
+        if (FencingToken.term(report.token()) > term.number) {
           term.election.heardToken(report.token());
         } else if (status == 200 && report.machine().equals(machine.id)) {
           settle(machine, session, starts, report);
         }
-      } catch (MalformedMessage e) {
+      } catch (MalformedMessageException e) {
         LOG.info("{} answered commands unreadably: {}", machine.id, e.getMessage());
       }
     }
@@ -681,7 +688,7 @@
   }
 
   /** The worker's state after direct commands: it tells what is there, never what is not. */
-  private void settle(Machine machine, long session, List<Assignment> starts, WorkerReport report) {
+  private void settle(Machine machine, long session, List<Assignment> starts, Heartbeat report) {
     if (machine.session != session || !report.newerThan(machine.session, machine.seq)) {
       return;
     }
@@ -694,9 +701,9 @@
   }
 
   /** Gangs that lost a task, or whose stop has begun, go as a whole. */
-  void sweepGangs() {
+  public void sweepGangs() {
     for (Job job : term.cluster.jobs.values()) {
-      if (job.spec.kind() == Kind.GANG && !job.assignments.isEmpty() && !job.complete()) {
+      if (job.spec.kind() == JobKind.GANG && !job.assignments.isEmpty() && !job.complete()) {
         boolean broken =
             job.assignments.stream().anyMatch(a -> a.unwanted)
                 || job.gangRan && job.nextWaiting(0) >= 0;
--- a/src/main/java/madderrudder/coordination/dealings/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.leader;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -9,14 +9,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import madderrudder.coordination.membership.Election;
-import madderrudder.coordination.membership.StoodBack;
-import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Safety;
+import madderrudder.coordination.heartbeat.HeartbeatHandler;
+import madderrudder.coordination.membership.TermAcknowledgements;
+import madderrudder.coordination.policy.SafetyBounds;
 import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.registry.JobRegistry;
+import madderrudder.coordination.registry.LeaderDependencies;
+import madderrudder.coordination.registry.LeaderTerm;
+import madderrudder.coordination.registry.MachineRegistry;
+import madderrudder.coordination.registry.StoredStateReader;
+import madderrudder.coordination.scaleout.ScaleOutController;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.scheduling.Placement;
 import madderrudder.coordination.scheduling.Placer;
@@ -26,25 +29,21 @@
 import madderrudder.coordination.state.ClusterSummary;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
-import madderrudder.metrics.Metrics;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
-import madderrudder.persistence.StoreClient;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
-import madderrudder.protocol.MeshFrame;
-import madderrudder.protocol.MeshFrame.Answered;
-import madderrudder.protocol.MeshFrame.Echo;
-import madderrudder.protocol.MeshFrame.JobProgress;
-import madderrudder.protocol.MeshFrame.Standing;
-import madderrudder.protocol.Order;
+import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessage.DelegatedRenewals;
+import madderrudder.protocol.PeerMessage.JobProgress;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.StampEcho;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.StoreCodec.Write;
-import madderrudder.protocol.WorkerReport;
-import madderrudder.transport.HttpCalls;
-import madderrudder.transport.Scheduler;
+import madderrudder.protocol.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -70,36 +69,21 @@
   private static final long DEAF_SLACK_MICROS = 1_000_000;
   private static final int LEAST_HEARD = 3;
 
-  /** What a leader stands on. */
-  public record Surroundings(
-      Scheduler scheduler,
-      StoreClient store,
-      HttpCalls calls,
-      CloudClient cloud,
-      Catalog catalog,
-      Election election,
-      Deployment deployment,
-      Policy policy,
-      String member,
-      Set<String> others,
-      Metrics metrics,
-      LongSupplier harmlessUntilMicros) {}
-
   /** What a worker is answered; null orders mean that this node may not act. */
-  public record Answer(long token, List<Order> orders) {}
-
-  private final Surroundings around;
-  private final Term term;
-  private final Fleet fleet;
-  private final JobBook jobs;
-  private final Rentals rentals;
-  private final WorkerDesk desk;
+  public record Answer(long token, List<WorkerCommand> orders) {}
+
+  private final LeaderDependencies around;
+  private final LeaderTerm term;
+  private final MachineRegistry fleet;
+  private final JobRegistry jobs;
+  private final ScaleOutController rentals;
+  private final HeartbeatHandler desk;
   private final Map<String, Waiting> waiting = new HashMap<>();
 
   /** The newest report of each machine that came while the store was being read. */
-  private final Map<String, WorkerReport> early = new LinkedHashMap<>();
+  private final Map<String, Heartbeat> early = new LinkedHashMap<>();
 
-  private final StoodBack stoodBack;
+  private final TermAcknowledgements stoodBack;
   private boolean ready;
   private boolean planSoon;
   private long lastPlanMicros;
@@ -115,26 +99,26 @@
   /** The jobs that lay within a guarantee when this leader took over. */
   private Set<Job> guaranteed = Set.of();
 
-  private record Waiting(WorkerReport report, Consumer<Answer> answer) {}
+  private record Waiting(Heartbeat report, Consumer<Answer> answer) {}
 
-  public Leader(Surroundings around, long number, long helmVersion, Runnable onLost) {
+  public Leader(LeaderDependencies around, long number, long helmVersion, Runnable onLost) {
     this.around = around;
-    term = new Term(around, number, helmVersion, onLost);
-    stoodBack = new StoodBack(number, around.others());
-    fleet = new Fleet(term);
-    jobs = new JobBook(term, fleet, this::planSoon);
-    rentals = new Rentals(term, fleet, around.cloud());
-    desk = new WorkerDesk(term, fleet, jobs, rentals, this::planSoon, this::undecided);
+    term = new LeaderTerm(around, number, helmVersion, onLost);
+    stoodBack = new TermAcknowledgements(number, around.others());
+    fleet = new MachineRegistry(term);
+    jobs = new JobRegistry(term, fleet, this::planSoon);
+    rentals = new ScaleOutController(term, fleet, around.cloud());
+    desk = new HeartbeatHandler(term, fleet, jobs, rentals, this::planSoon, this::undecided);
     fleet.onDurable(this::durable);
     beginMicros = term.scheduler.nowMicros();
   }
 
   public void begin() {
     long readMicros = term.scheduler.nowMicros();
-    TakeOver.read(term, found -> loadWhenCatalogKnown(found, readMicros));
+    StoredStateReader.read(term, found -> loadWhenCatalogKnown(found, readMicros));
   }
 
-  private void loadWhenCatalogKnown(TakeOver.Found found, long readMicros) {
+  private void loadWhenCatalogKnown(StoredStateReader.Found found, long readMicros) {
     if (!around.catalog().known()) {
       term.after(TICK_MICROS, () -> loadWhenCatalogKnown(found, readMicros));
       return;
@@ -149,7 +133,7 @@
         term.learned.load(found.under(Keys.RUN_TIMES));
         term.learned.keep();
       }
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.error("what the store holds is unreadable: {}", e.getMessage());
       term.election.stepDown("unreadable records");
       return;
@@ -291,26 +275,27 @@
   }
 
   /** Those of the processes heard to whom the grant may go out at this moment. */
-  public List<Echo> granted(List<Echo> heard, long grantMicros) {
+  public List<StampEcho> granted(List<StampEcho> heard, long grantMicros) {
     long untilMicros = term.scheduler.nowMicros() + grantMicros;
     return heard.stream().filter(echo -> term.deputies.grant(echo, untilMicros)).toList();
   }
 
   /** Another controller has answered machines. */
-  public void heard(Answered answered) {
+  public void heard(DelegatedRenewals answered) {
     long now = term.scheduler.nowMicros();
-    for (MeshFrame.Answer answer : answered.answers()) {
+    for (PeerMessage.LeaseRenewal answer : answered.answers()) {
       Machine machine = term.cluster.machines.get(answer.machine());
       if (machine != null) {
         machine.answeredMicros =
-            Math.max(machine.answeredMicros, now - Safety.shortened(1000L * answer.agoMillis()));
+            Math.max(
+                machine.answeredMicros, now - SafetyBounds.shortened(1000L * answer.agoMillis()));
       }
     }
     term.deputies.heard(answered);
   }
 
   /** Another controller's word, with what it has heard of this process, or null. */
-  public void heard(Standing standing, Echo mine) {
+  public void heard(MembershipStatus standing, StampEcho mine) {
     if (around.others().contains(standing.member())) {
       term.deputies.heard(standing, mine, term.scheduler.nowMicros());
       if (stoodBack.heard(standing, mine, term.scheduler.nowMicros())) {
@@ -320,25 +305,25 @@
   }
 
   /** Takes a worker's report; the answer may come a little later. */
-  public void report(WorkerReport report, Consumer<Answer> answer) {
+  public void report(Heartbeat report, Consumer<Answer> answer) {
     if (!mayAnswer()) {
       answer.accept(new Answer(0, null));
       return;
     }
     if (!ready) {
-      WorkerReport known = early.get(report.machine());
+      Heartbeat known = early.get(report.machine());
       if (known == null || report.newerThan(known.session(), known.seq())) {
         early.put(report.machine(), report);
       }
       answer.accept(new Answer(desk.token(report), List.of()));
       return;
     }
-    WorkerDesk.Worth worth = desk.take(report);
-    if (worth == WorkerDesk.Worth.LATE || desk.withholds(report)) {
+    HeartbeatHandler.Worth worth = desk.take(report);
+    if (worth == HeartbeatHandler.Worth.LATE || desk.withholds(report)) {
       answer.accept(new Answer(0, null));
       return;
     }
-    if (worth == WorkerDesk.Worth.OVERTAKEN) {
+    if (worth == HeartbeatHandler.Worth.OVERTAKEN) {
       answer.accept(new Answer(desk.token(report), desk.ordersForOvertaken(report)));
       return;
     }
@@ -360,8 +345,8 @@
         });
   }
 
-  private Answer answer(WorkerReport report) {
-    List<Order> orders = desk.ordersFor(report);
+  private Answer answer(Heartbeat report) {
+    List<WorkerCommand> orders = desk.ordersFor(report);
     return new Answer(desk.token(report), orders);
   }
 
@@ -464,7 +449,7 @@
   private void place(Placement placement) {
     Job job = placement.job();
     long attempt = placement.attempt();
-    if (job.spec.kind() == Kind.GANG) {
+    if (job.spec.kind() == JobKind.GANG) {
       if (job.gangAttempt == 0) {
         job.gangAttempt = term.nextAttempt();
       }
--- a/src/main/java/madderrudder/coordination/membership/Deputies.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -2,20 +2,20 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import madderrudder.coordination.policy.Safety;
-import madderrudder.protocol.MeshFrame.Answered;
-import madderrudder.protocol.MeshFrame.Echo;
-import madderrudder.protocol.MeshFrame.Standing;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.protocol.PeerMessage.DelegatedRenewals;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
  * What a leader knows of the controllers that may answer workers in its stead: until when each may,
  * and up to which moment it has told of all its answers. From that follows when a silent machine's
  * worker has surely dropped everything.
  */
-public final class Deputies {
+public final class DelegationTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
-  private final Safety safety;
+  private final SafetyBounds safety;
   private final long beginMicros;
   private final Map<String, Member> members = new HashMap<>();
 
@@ -38,7 +38,7 @@
   }
 
   /** The leader's term begins at the moment given. */
-  public Deputies(Safety safety, long beginMicros) {
+  public DelegationTracker(SafetyBounds safety, long beginMicros) {
     this.safety = safety;
     this.beginMicros = beginMicros;
   }
@@ -47,7 +47,7 @@
    * The process that was heard may answer until then, if it hears of it; false if it may be none
    * that lives.
    */
-  public boolean grant(Echo to, long untilMicros) {
+  public boolean grant(StampEcho to, long untilMicros) {
     Member member = members.get(to.member());
     if (member == null || member.life != to.life()) {
       return false;
@@ -57,7 +57,7 @@
   }
 
   /** A part of what a controller has answered; the answers themselves are the caller's to note. */
-  public void heard(Answered part) {
+  public void heard(DelegatedRenewals part) {
     Member member = members.get(part.member());
     if (member == null || member.life != part.life()) {
       return;
@@ -67,7 +67,7 @@
   }
 
   /** A controller's word, with what it has heard of this leader's process, or null. */
-  public void heard(Standing standing, Echo mine, long nowMicros) {
+  public void heard(MembershipStatus standing, StampEcho mine, long nowMicros) {
     Member member = members.get(standing.member());
     if (member == null) {
       member = new Member();
@@ -85,7 +85,7 @@
       // What it has heard of this term's leader keeps it from answering in its stead for a while
       // more.
       long quietMicros =
-          mine.stampMicros() >= beginMicros ? Safety.shortened(safety.quietMicros()) : 0;
+          mine.stampMicros() >= beginMicros ? SafetyBounds.shortened(safety.quietMicros()) : 0;
       member.toldMicros = Math.max(member.toldMicros, mine.stampMicros() + quietMicros);
     }
   }
@@ -95,11 +95,12 @@
    * name was first heard lived later than that one, which so has ended, before this one began;
    * otherwise it may be the earlier one, late on its way.
    */
-  private static boolean succeeds(Member member, Standing standing, Echo mine, long nowMicros) {
+  private static boolean succeeds(
+      Member member, MembershipStatus standing, StampEcho mine, long nowMicros) {
     if (mine == null || mine.stampMicros() < member.firstMicros) {
       return false;
     }
-    long bornMicros = nowMicros - Safety.shortened(standing.ageMicros());
+    long bornMicros = nowMicros - SafetyBounds.shortened(standing.ageMicros());
     long lastMicros = Math.min(member.grantedMicros, bornMicros);
     if (lastMicros > member.toldMicros) {
       member.formerMicros = Math.max(member.formerMicros, lastMicros);
--- a/src/main/java/madderrudder/coordination/membership/Deputy.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import madderrudder.coordination.policy.Safety;
-import madderrudder.protocol.MeshFrame;
-import madderrudder.protocol.MeshFrame.Answer;
-import madderrudder.protocol.MeshFrame.Answered;
-import madderrudder.protocol.MeshFrame.Echo;
-import madderrudder.protocol.MeshFrame.Standing;
-import madderrudder.protocol.WorkerReport;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessage.DelegatedRenewals;
+import madderrudder.protocol.PeerMessage.LeaseRenewal;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.StampEcho;
 import madderrudder.transport.Scheduler;
 
 /**
@@ -21,14 +21,14 @@
  * the sending of what the grant answers: a grant that was held on its way is worth no more for it.
  * See docs/deputies.md.
  */
-public final class Deputy {
+public final class HeartbeatDelegate {
   /** Five pulses: a leader not heard for so long may be gone, or this controller cut off. */
   private static final long HEARD_MICROS = 2_000_000;
 
   /** Leases that began longer ago have surely ended, and need not be told of. */
   private static final long TELL_SLACK_MICROS = 2_000_000;
 
-  private static final int PART_BYTES = MeshFrame.MAX_BYTES / 2;
+  private static final int PART_BYTES = PeerMessage.MAX_BYTES / 2;
 
   /**
    * Of an answer in a frame, beside the machine's name, whose letters may take three bytes each.
@@ -36,7 +36,7 @@
   private static final int ANSWER_BYTES = 6;
 
   private final Scheduler scheduler;
-  private final Safety safety;
+  private final SafetyBounds safety;
   private final String member;
   private final long life;
   private final long bornMicros;
@@ -60,7 +60,7 @@
   private record Heard(long life, long stampMicros, long atMicros) {}
 
   /** {@code life} tells this process from others of the same name. */
-  public Deputy(Scheduler scheduler, Safety safety, String member, long life) {
+  public HeartbeatDelegate(Scheduler scheduler, SafetyBounds safety, String member, long life) {
     this.scheduler = scheduler;
     this.safety = safety;
     this.member = member;
@@ -69,15 +69,15 @@
   }
 
   /** A peer's word; if it leads in the highest term known, its grant counts from now on. */
-  public void take(Standing standing, long highestTerm) {
+  public void take(MembershipStatus standing, long highestTerm) {
     heard.put(
         standing.member(),
         new Heard(standing.life(), standing.stampMicros(), scheduler.nowMicros()));
-    Echo mine = echo(standing);
+    StampEcho mine = echo(standing);
     if (mine == null || standing.term() != highestTerm || standing.grantMicros() <= 0) {
       return;
     }
-    long end = mine.stampMicros() + Safety.shortened(standing.grantMicros());
+    long end = mine.stampMicros() + SafetyBounds.shortened(standing.grantMicros());
     endMicros = standing.term() == term ? Math.max(endMicros, end) : end;
     harmlessUntil(end);
     term = standing.term();
@@ -85,8 +85,8 @@
   }
 
   /** What the peer has heard of this very process, or null. */
-  public Echo echo(Standing standing) {
-    for (Echo echo : standing.echoes()) {
+  public StampEcho echo(MembershipStatus standing) {
+    for (StampEcho echo : standing.echoes()) {
       if (echo.member().equals(member) && echo.life() == life) {
         return echo;
       }
@@ -139,7 +139,7 @@
    * The worker gets an answer at this moment; false if it has gone on since it sent the report,
    * which is a late copy.
    */
-  public boolean answers(WorkerReport report) {
+  public boolean answers(Heartbeat report) {
     Given last = answered.get(report.machine());
     if (last != null && !report.newerThan(last.session(), last.seq())) {
       return false;
@@ -154,10 +154,10 @@
    * What peers are to be told: how this process stands, and before it, which machines it has
    * answered within the time that a lease lasts.
    */
-  public List<MeshFrame> frames(long highestTerm, long grantMicros, List<Echo> echoes) {
+  public List<PeerMessage> frames(long highestTerm, long grantMicros, List<StampEcho> echoes) {
     long now = scheduler.nowMicros();
-    List<MeshFrame> frames = new ArrayList<>();
-    List<Answer> part = new ArrayList<>();
+    List<PeerMessage> frames = new ArrayList<>();
+    List<LeaseRenewal> part = new ArrayList<>();
     int bytes = 0;
     for (Iterator<Map.Entry<String, Given>> all = answered.entrySet().iterator(); all.hasNext(); ) {
       Map.Entry<String, Given> one = all.next();
@@ -166,27 +166,29 @@
         all.remove();
         continue;
       }
-      part.add(new Answer(one.getKey(), (int) (ago / 1000)));
+      part.add(new LeaseRenewal(one.getKey(), (int) (ago / 1000)));
       bytes += ANSWER_BYTES + 3 * one.getKey().length();
       if (bytes > PART_BYTES) {
-        frames.add(new Answered(member, life, now, part));
+        frames.add(new DelegatedRenewals(member, life, now, part));
         part = new ArrayList<>();
         bytes = 0;
       }
     }
     if (!part.isEmpty()) {
-      frames.add(new Answered(member, life, now, part));
+      frames.add(new DelegatedRenewals(member, life, now, part));
     }
     frames.add(
-        new Standing(
+        new MembershipStatus(
             member, life, now, now - bornMicros, highestTerm, grantMicros, frames.size(), echoes));
     return frames;
   }
 
   /** The stamps last heard, to be sent back. */
-  public List<Echo> echoes() {
+  public List<StampEcho> echoes() {
     return heard.entrySet().stream()
-        .map(peer -> new Echo(peer.getKey(), peer.getValue().life(), peer.getValue().stampMicros()))
+        .map(
+            peer ->
+                new StampEcho(peer.getKey(), peer.getValue().life(), peer.getValue().stampMicros()))
         .toList();
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/Election.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import madderrudder.coordination.policy.Safety;
-import madderrudder.coordination.policy.Token;
+import madderrudder.coordination.policy.FencingToken;
+import madderrudder.coordination.policy.SafetyBounds;
 import madderrudder.persistence.CommitQueue;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Item;
@@ -22,8 +22,8 @@
  * Finds out who leads, and leads when nobody does. The leader's key hangs on a hold in the store;
  * who writes it raises the term in the same transaction.
  */
-public final class Election {
-  private static final Logger LOG = LoggerFactory.getLogger(Election.class);
+public final class LeaderElection {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
   private static final long RETRY_MICROS = 200_000;
   private static final long CHECK_MICROS = 300_000;
   private static final long FOLLOW_MICROS = 2_000_000;
@@ -63,7 +63,7 @@
 
   private long notBeforeMicros = Long.MIN_VALUE;
 
-  public Election(
+  public LeaderElection(
       Scheduler scheduler,
       StoreClient store,
       RandomGenerator random,
@@ -135,10 +135,10 @@
    * leave no higher term to lead in.
    */
   public boolean heardToken(long token) {
-    if (Token.term(token) > Math.max(MOST_TERM, highestTerm)) {
+    if (FencingToken.term(token) > Math.max(MOST_TERM, highestTerm)) {
       return false;
     }
-    heard(Token.term(token), null);
+    heard(FencingToken.term(token), null);
     return true;
   }
 
@@ -215,7 +215,7 @@
         leader = itsMember;
       }
       heard(itsTerm, itsMember);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.info("the leader's key is unreadable: {}", e.getMessage());
     }
     return true;
@@ -277,7 +277,7 @@
               claim(newLease, sentMicros, 0, 0);
               return;
             }
-          } catch (MalformedMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.error("the term key is unreadable: {}", e.getMessage());
           }
           giveUp(newLease);
@@ -327,7 +327,7 @@
     term = newTerm;
     highestTerm = newTerm;
     lease = newLease;
-    holdEndMicros = Safety.holdEndMicros(sentMicros, holdMicros);
+    holdEndMicros = SafetyBounds.holdEndMicros(sentMicros, holdMicros);
     LOG.info("leading in term {}", term);
     listener.elected(term, helmVersion);
     extendLater(newTerm, holdMicros / EXTENSIONS_PER_HOLD);
@@ -352,7 +352,8 @@
             return;
           }
           if (reply.is(Outcome.OK)) {
-            holdEndMicros = Math.max(holdEndMicros, Safety.holdEndMicros(sentMicros, holdMicros));
+            holdEndMicros =
+                Math.max(holdEndMicros, SafetyBounds.holdEndMicros(sentMicros, holdMicros));
             extendLater(forTerm, holdMicros / EXTENSIONS_PER_HOLD);
           } else if (reply.is(Outcome.GONE)) {
             stepDown("the hold has ended");
--- a/src/main/java/madderrudder/coordination/membership/StoodBack.java
+++ b/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
@@ -2,8 +2,8 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import madderrudder.protocol.MeshFrame.Echo;
-import madderrudder.protocol.MeshFrame.Standing;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
  * Whether no process of another controller answers workers for an earlier term any more. It takes
@@ -13,7 +13,7 @@
  * each has to say it once more in answer to what was sent after that: a process that says so heeds
  * no older grant, and those after it get none.
  */
-public final class StoodBack {
+public final class TermAcknowledgements {
   private final long term;
   private final Set<String> others;
   private final Set<String> know = new HashSet<>();
@@ -21,7 +21,7 @@
   private long allKnewMicros;
 
   /** The other controllers, and the term that they are to know of. */
-  public StoodBack(long term, Set<String> others) {
+  public TermAcknowledgements(long term, Set<String> others) {
     this.term = term;
     this.others = Set.copyOf(others);
   }
@@ -30,7 +30,7 @@
    * A controller's word, with what it has heard of this process, or null; true if with it all have
    * stood back.
    */
-  public boolean heard(Standing standing, Echo mine, long nowMicros) {
+  public boolean heard(MembershipStatus standing, StampEcho mine, long nowMicros) {
     if (all() || standing.term() < term || !others.contains(standing.member())) {
       return false;
     }
--- a/src/main/java/madderrudder/coordination/policy/Deployment.java
+++ b/src/main/java/madderrudder/coordination/policy/Deployment.java
@@ -6,13 +6,13 @@
 /** What the platform says of the place this service runs in. */
 public record Deployment(
     List<String> zones,
-    Map<String, Team> teams,
+    Map<String, TeamQuota> teams,
     WorkerTimes workers,
     StateLimits state,
     CloudLimits cloud,
     int members,
     long clockOffMicros,
-    Objectives objectives) {
+    ServiceLevelObjectives objectives) {
 
   /** How workers keep time. */
   public record WorkerTimes(
--- a/src/main/java/madderrudder/coordination/policy/Token.java
+++ b/src/main/java/madderrudder/coordination/policy/FencingToken.java
@@ -7,11 +7,11 @@
  * copies that are still on their way too; and a worker that reports it has acted on an answer (the
  * users' protocol, "Tokens").
  */
-public final class Token {
+public final class FencingToken {
   /** So many times a machine's token can be raised in a term: twice a second for three months. */
   private static final int COUNT_BITS = 24;
 
-  private Token() {}
+  private FencingToken() {}
 
   /** The lowest token of a term. */
   public static long first(long term) {
--- a/src/main/java/madderrudder/coordination/policy/Policy.java
+++ b/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
@@ -9,7 +9,7 @@
  * for a leader that can't be reached. {@code learned}: run times are learned from what has run,
  * rather than owners' guesses corrected.
  */
-public record Policy(
+public record OperatorPolicy(
     long thresholdMicros,
     long pollMicros,
     int budget,
@@ -28,8 +28,8 @@
     ALWAYS
   }
 
-  public static Policy defaults() {
-    return new Policy(
+  public static OperatorPolicy defaults() {
+    return new OperatorPolicy(
         20_000_000,
         5_000_000,
         10,
--- a/src/main/java/madderrudder/coordination/policy/Safety.java
+++ b/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
@@ -4,7 +4,7 @@
  * The bounds in time that the rules rest on. Two steady clocks may differ by twice the drift of
  * one; each bound is stretched or cut by more than that.
  */
-public record Safety(long leaseMicros, long answerMicros) {
+public record SafetyBounds(long leaseMicros, long answerMicros) {
   private static final int QUIETS_PER_LEASE = 4;
   private static final long SLACK_MICROS = 1_000_000;
 
@@ -35,8 +35,8 @@
    * answerMicros}: how long reports may be answered without news from the store, so that a worker
    * that got the last answer drops a job cancelled meanwhile in time; 0 where no such time is.
    */
-  public static Safety of(Deployment.WorkerTimes workers) {
+  public static SafetyBounds of(Deployment.WorkerTimes workers) {
     long lease = workers.leaseMicros() + workers.leaseMicros() / 500 + SLACK_MICROS / 2;
-    return new Safety(lease, Math.max(0, workers.cancelMicros() - lease - SLACK_MICROS));
+    return new SafetyBounds(lease, Math.max(0, workers.cancelMicros() - lease - SLACK_MICROS));
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/Objectives.java
+++ b/src/main/java/madderrudder/coordination/policy/ServiceLevelObjectives.java
@@ -10,14 +10,14 @@
  * times after submission by which a job should be complete, and the multiples of its own deadline
  * that count.
  */
-public record Objectives(
+public record ServiceLevelObjectives(
     Map<String, Long> waitMicros,
     Map<String, List<Long>> finishMicros,
     Map<String, List<Double>> deadlineTimes) {
   private static final List<Double> ONCE = List.of(1.0);
 
-  public static Objectives none() {
-    return new Objectives(Map.of(), Map.of(), Map.of());
+  public static ServiceLevelObjectives none() {
+    return new ServiceLevelObjectives(Map.of(), Map.of(), Map.of());
   }
 
   /** The shortest wait wanted of any class, and very long where none is. */
--- a/src/main/java/madderrudder/coordination/policy/Team.java
+++ b/src/main/java/madderrudder/coordination/policy/TeamQuota.java
@@ -3,7 +3,7 @@
 import madderrudder.protocol.Resources;
 
 /** A team: what it is guaranteed, and what its tasks may take at most. Memory is not shared out. */
-public record Team(String name, Resources guaranteed, Resources limit) {
+public record TeamQuota(String name, Resources guaranteed, Resources limit) {
   private static final long UNBOUNDED = Long.MAX_VALUE / 2;
 
   /**
@@ -11,9 +11,10 @@
    * shared out by accelerators alone leaves processors free; taken for a limit of 0, that once kept
    * every job of a deployment out.
    */
-  public static Team of(String name, Resources guaranteed, Resources limit) {
+  public static TeamQuota of(String name, Resources guaranteed, Resources limit) {
     boolean guarantees = guaranteed.milliCpus() > 0 || guaranteed.milliGpus() > 0;
-    return new Team(name, guarantees ? unbounded(guaranteed) : Resources.NONE, unbounded(limit));
+    return new TeamQuota(
+        name, guarantees ? unbounded(guaranteed) : Resources.NONE, unbounded(limit));
   }
 
   private static Resources unbounded(Resources bound) {
--- a/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
@@ -32,16 +32,16 @@
   private static final long TRY_MICROS = 1_000_000;
 
   private final boolean overdue;
-  private final Map<Shelf, Count> shelves = new TreeMap<>();
+  private final Map<CapacityPool, Count> shelves = new TreeMap<>();
   private final Map<String, Count> teams = new TreeMap<>();
   private final Set<Machine> awaited = new HashSet<>();
   private final Set<String> cutOff = new HashSet<>();
   private final Count all = new Count();
 
   /** Machines of a type in a zone. */
-  private record Shelf(String zone, String type) implements Comparable<Shelf> {
+  private record CapacityPool(String zone, String type) implements Comparable<CapacityPool> {
     @Override
-    public int compareTo(Shelf other) {
+    public int compareTo(CapacityPool other) {
       int byZone = zone.compareTo(other.zone);
       return byZone != 0 ? byZone : type.compareTo(other.type);
     }
@@ -125,7 +125,7 @@
     }
     all.add(heard);
     shelves
-        .computeIfAbsent(new Shelf(machine.zone, machine.type.name()), shelf -> new Count())
+        .computeIfAbsent(new CapacityPool(machine.zone, machine.type.name()), shelf -> new Count())
         .add(heard);
     for (Assignment assignment : machine.assignments.values()) {
       if (assignment.inherited) {
--- a/src/main/java/madderrudder/coordination/dealings/JobBook.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -1,11 +1,11 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.registry;
 
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
@@ -14,10 +14,10 @@
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
 import madderrudder.persistence.StoreReply.Outcome;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Item;
@@ -26,28 +26,28 @@
 import org.slf4j.LoggerFactory;
 
 /** Follows the live jobs in the store, and writes down what becomes of them. */
-final class JobBook {
-  private static final Logger LOG = LoggerFactory.getLogger(JobBook.class);
+public final class JobRegistry {
+  private static final Logger LOG = LoggerFactory.getLogger(JobRegistry.class);
   private static final long RETRY_MICROS = 200_000;
   private static final long FOLLOW_MICROS = 2_000_000;
 
-  private final Term term;
-  private final Fleet fleet;
+  private final LeaderTerm term;
+  private final MachineRegistry fleet;
   private final Runnable onChange;
   private long freshMicros;
 
-  JobBook(Term term, Fleet fleet, Runnable onChange) {
+  public JobRegistry(LeaderTerm term, MachineRegistry fleet, Runnable onChange) {
     this.term = term;
     this.fleet = fleet;
     this.onChange = onChange;
   }
 
   /** Every submission and cancellation accepted before this moment is known here. */
-  long freshMicros() {
+  public long freshMicros() {
     return freshMicros;
   }
 
-  void load(TakeOver.Found found, long readMicros) {
+  public void load(StoredStateReader.Found found, long readMicros) {
     freshMicros = readMicros;
     for (Item item : found.under(Keys.LIVE)) {
       add(item);
@@ -76,7 +76,7 @@
       if (job.complete()) {
         save(job);
       }
-    } catch (MalformedMessage | NumberFormatException e) {
+    } catch (MalformedMessageException | NumberFormatException e) {
       LOG.error("{} is unreadable: {}", item.key(), e.getMessage());
     }
   }
@@ -121,16 +121,16 @@
     try {
       JobRecords.Live live = JobRecords.readLive(item.value());
       JobSpec spec = live.spec();
-      Team team = term.deployment.teams().get(spec.team());
+      TeamQuota team = term.deployment.teams().get(spec.team());
       if (team == null) {
         // Accepted under other settings: it may not run now, and may again after a change back.
-        team = new Team(spec.team(), Resources.NONE, Resources.NONE);
+        team = new TeamQuota(spec.team(), Resources.NONE, Resources.NONE);
       }
       term.cluster.jobs.put(
           id,
           new Job(
               spec, team, item.version(), live.acceptedWallMicros(), term.scheduler.nowMicros()));
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.error("job {} is unreadable: {}", id, e.getMessage());
     }
   }
@@ -170,15 +170,15 @@
   }
 
   /** A task has completed; a gang's tasks complete together. */
-  void completed(Assignment assignment) {
+  public void completed(Assignment assignment) {
     Job job = assignment.job;
-    if (job == null || job.over || job.spec.kind() == Kind.SERVICE) {
+    if (job == null || job.over || job.spec.kind() == JobKind.SERVICE) {
       fleet.release(assignment);
       return;
     }
     term.cluster.complete(assignment);
     job.completed();
-    if (job.spec.kind() == Kind.GANG) {
+    if (job.spec.kind() == JobKind.GANG) {
       job.done.set(0, job.spec.tasks());
     } else {
       job.done.set(assignment.task.index());
@@ -188,7 +188,7 @@
   }
 
   /** Kept, so that the next leader does not try all of its tasks again at once. */
-  void foundFaulty(Job job) {
+  public void foundFaulty(Job job) {
     job.unwritten.set(0);
     save(job);
   }
--- a/src/main/java/madderrudder/coordination/dealings/Term.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -1,48 +1,48 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.registry;
 
-import madderrudder.coordination.membership.Deputies;
-import madderrudder.coordination.membership.Election;
+import madderrudder.coordination.membership.DelegationTracker;
+import madderrudder.coordination.membership.LeaderElection;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Safety;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.SafetyBounds;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.EstimatedRunTimes;
 import madderrudder.metrics.Metrics;
 import madderrudder.metrics.RunHistory;
 import madderrudder.persistence.CommitQueue;
 import madderrudder.persistence.StoreClient;
-import madderrudder.transport.HttpCalls;
+import madderrudder.transport.HttpCaller;
 import madderrudder.transport.Scheduler;
 
 /** What the parts of a leader share while its term lasts. */
-final class Term {
+public final class LeaderTerm {
   private static final int COUNTER_BITS = 24;
 
   /** Of the store's write rate; the nodes share the rest for what users submit. */
   private static final double LEADER_SHARE = 0.75;
 
-  final Scheduler scheduler;
-  final StoreClient store;
-  final HttpCalls calls;
-  final Election election;
-  final Deployment deployment;
-  final Policy policy;
-  final Safety safety;
-  final Metrics metrics;
-  final long number;
-  final CommitQueue journal;
-  final Cluster cluster;
+  public final Scheduler scheduler;
+  public final StoreClient store;
+  public final HttpCaller calls;
+  public final LeaderElection election;
+  public final Deployment deployment;
+  public final OperatorPolicy policy;
+  public final SafetyBounds safety;
+  public final Metrics metrics;
+  public final long number;
+  public final CommitQueue journal;
+  public final Cluster cluster;
 
   /** Null where the operators want none. */
-  final LearnedRunTimes learned;
+  public final LearnedRunTimes learned;
 
-  final RunHistory history;
-  final Deputies deputies;
+  public final RunHistory history;
+  public final DelegationTracker deputies;
   private long attempts;
   private long charters;
   private boolean closed;
 
-  Term(Leader.Surroundings around, long number, long helmVersion, Runnable onLost) {
+  public LeaderTerm(LeaderDependencies around, long number, long helmVersion, Runnable onLost) {
     scheduler = around.scheduler();
     store = around.store();
     calls = around.calls();
@@ -50,7 +50,7 @@
     deployment = around.deployment();
     policy = around.policy();
     metrics = around.metrics();
-    safety = Safety.of(deployment.workers());
+    safety = SafetyBounds.of(deployment.workers());
     this.number = number;
     journal =
         new CommitQueue(
@@ -65,30 +65,30 @@
     learned = policy.learned() ? new LearnedRunTimes(this) : null;
     history = new RunHistory(number);
     cluster = new Cluster(deployment, learned == null ? new EstimatedRunTimes() : learned);
-    deputies = new Deputies(safety, scheduler.nowMicros());
+    deputies = new DelegationTracker(safety, scheduler.nowMicros());
   }
 
   /** Attempt numbers embed the term, so that no other leader ever gives the same one. */
-  long nextAttempt() {
+  public long nextAttempt() {
     return (number << COUNTER_BITS) + ++attempts;
   }
 
   /** Request names embed the term too: the cloud answers a repeated one with the first answer. */
-  String nextCharter() {
+  public String nextCharter() {
     return "t" + number + "-" + ++charters;
   }
 
-  void close() {
+  public void close() {
     closed = true;
     journal.close();
   }
 
-  boolean closed() {
+  public boolean closed() {
     return closed;
   }
 
   /** Repeats the action until the term ends. */
-  void every(long periodMicros, Runnable action) {
+  public void every(long periodMicros, Runnable action) {
     after(
         periodMicros,
         () -> {
@@ -98,7 +98,7 @@
   }
 
   /** Runs the action later, unless the term has ended by then. */
-  void after(long delayMicros, Runnable action) {
+  public void after(long delayMicros, Runnable action) {
     scheduler.after(
         delayMicros,
         () -> {
--- a/src/main/java/madderrudder/coordination/dealings/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.registry;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -17,10 +17,10 @@
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Write;
 import org.slf4j.Logger;
@@ -30,7 +30,7 @@
  * Run times learned from what has run, kept in the store so that the next leader goes on from
  * there.
  */
-final class LearnedRunTimes implements RunTimes {
+public final class LearnedRunTimes implements RunTimes {
   private static final Logger LOG = LoggerFactory.getLogger(LearnedRunTimes.class);
 
   /**
@@ -59,12 +59,12 @@
   private static final double SHARE = 0.8;
   private static final int MOST_CLASSES = 50;
 
-  private final Term term;
+  private final LeaderTerm term;
   private final Estimator estimator = new Estimator(MOST_KINDS, MOST_JOBS);
   private final EstimatePages pages;
   private int next;
 
-  LearnedRunTimes(Term term) {
+  LearnedRunTimes(LeaderTerm term) {
     this.term = term;
     int most = Math.min(PAGE_TEXT_BYTES, term.deployment.state().valueBytes()) - PAGE_HEAD_BYTES;
     pages = new EstimatePages(estimator, PAGES, most);
@@ -74,11 +74,11 @@
    * Takes over what earlier leaders have learned. A page that can't be read is left out: learning
    * afresh costs precision for a while, a failed take-over would cost everything.
    */
-  void load(List<Item> items) {
+  public void load(List<Item> items) {
     for (Item item : items) {
       try {
         pages.read(item.value().text("d"));
-      } catch (MalformedMessage | Refused e) {
+      } catch (MalformedMessageException | Refused e) {
         LOG.info(
             "{} of run times is left out, they are learned afresh: {}", item.key(), e.getMessage());
       }
@@ -87,7 +87,7 @@
   }
 
   /** Begins to keep in the store what is learned. */
-  void keep() {
+  public void keep() {
     term.every(
         PAGE_MICROS,
         () -> {
@@ -156,7 +156,7 @@
 
   @Override
   public boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros) {
-    if (assignment.runningMicros < 0 || assignment.job.spec.kind() == Kind.SERVICE) {
+    if (assignment.runningMicros < 0 || assignment.job.spec.kind() == JobKind.SERVICE) {
       return false;
     }
     // Only of what has not come to its lower bound yet: what runs on just below its upper one
@@ -167,7 +167,7 @@
   }
 
   /** For operators: what is known of each class, and how well it held. */
-  void write(JsonGenerator out) throws IOException {
+  public void write(JsonGenerator out) throws IOException {
     out.writeObjectFieldStart("run_times");
     out.writeNumberField("kinds", estimator.size());
     List<IOException> failed = new ArrayList<>();
--- a/src/main/java/madderrudder/coordination/dealings/FleetLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.registry;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.LogReference;
 import madderrudder.coordination.state.Machine;
-import madderrudder.coordination.state.Written;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
@@ -31,7 +31,7 @@
  * holds of it goes into the page that replaces it. What has ended is named before, or together
  * with, whatever is placed later: the pages together never name a task twice.
  */
-final class FleetLog {
+final class MachineLog {
   /** More than a round places. Three of the largest fit in a transaction. */
   private static final int MOST_PAGES = 3;
 
@@ -51,7 +51,7 @@
 
   private static final int SLACK = 200;
 
-  private final Term term;
+  private final LeaderTerm term;
   private final Consumer<Machine> onDurable;
   private final int pageBytes;
   private final PendingChange change = new PageChange();
@@ -74,7 +74,7 @@
   private record Kept(Machine machine, String name, double gb) {}
 
   /** A page and what it names. */
-  static final class Page implements Written {
+  static final class Page implements LogReference {
     private final int slot;
     private final long number;
 
@@ -99,7 +99,7 @@
     }
   }
 
-  FleetLog(Term term, Consumer<Machine> onDurable) {
+  MachineLog(LeaderTerm term, Consumer<Machine> onDurable) {
     this.term = term;
     this.onDurable = onDurable;
     pageBytes = Math.min(MOST_PAGE_BYTES, term.deployment.state().valueBytes());
@@ -123,7 +123,7 @@
       Assignment assignment =
           machine == null
               ? null
-              : machine.assignments.get(new Machine.Key(entry.task(), entry.attempt()));
+              : machine.assignments.get(new Machine.TaskAttempt(entry.task(), entry.attempt()));
       if (assignment != null) {
         page.placed.add(assignment);
         assignment.page = page;
@@ -219,8 +219,8 @@
     }
 
     private boolean add(Machine machine) {
-      LogSegment.Kind kind =
-          new LogSegment.Kind(machine.type.name(), machine.zone, machine.spot, machine.owned);
+      LogSegment.JobKind kind =
+          new LogSegment.JobKind(machine.type.name(), machine.zone, machine.spot, machine.owned);
       boolean fits =
           text.add(
               new LogSegment.MachineEntry(
--- a/src/main/java/madderrudder/coordination/dealings/Fleet.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.registry;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import madderrudder.coordination.policy.Token;
+import madderrudder.coordination.policy.FencingToken;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Job;
@@ -18,10 +18,10 @@
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.LogSegment;
 import madderrudder.persistence.LogState;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.TaskId;
@@ -29,26 +29,26 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps the machines of the picture and their records in step, and ends what is surely gone. */
-final class Fleet {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class MachineRegistry {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-  private final Term term;
+  private final LeaderTerm term;
   private final Set<String> removed = new HashSet<>();
   private final Set<Machine> touched = new LinkedHashSet<>();
   private Consumer<Machine> onDurable = machine -> {};
-  private final FleetLog log;
+  private final MachineLog log;
 
-  Fleet(Term term) {
+  public MachineRegistry(LeaderTerm term) {
     this.term = term;
-    log = new FleetLog(term, machine -> onDurable.accept(machine));
+    log = new MachineLog(term, machine -> onDurable.accept(machine));
   }
 
   /** Called when what was written of a machine has become durable. */
-  void onDurable(Consumer<Machine> action) {
+  public void onDurable(Consumer<Machine> action) {
     onDurable = action;
   }
 
-  Machine add(
+  public Machine add(
       String id, String type, String zone, boolean spot, boolean owned, long rentedWallMicros) {
     MachineType known = term.cluster.types.get(type);
     if (known == null) {
@@ -56,17 +56,17 @@
     }
     Machine machine =
         new Machine(id, known, zone, spot, owned, rentedWallMicros, term.scheduler.nowMicros());
-    machine.given = Token.first(term.number);
+    machine.given = FencingToken.first(term.number);
     term.cluster.add(machine);
     return machine;
   }
 
   /** Deleted in this term; lists and late reports may still name it. */
-  boolean wasRemoved(String id) {
+  public boolean wasRemoved(String id) {
     return removed.contains(id);
   }
 
-  Assignment assign(Machine machine, Job job, int task, long attempt) {
+  public Assignment assign(Machine machine, Job job, int task, long attempt) {
     Assignment assignment =
         new Assignment(
             new TaskId(job.spec.id(), task),
@@ -86,7 +86,7 @@
   }
 
   /** Takes over what the log of earlier leaders says. */
-  void load(List<Item> items) throws MalformedMessage {
+  public void load(List<Item> items) throws MalformedMessageException {
     Map<Long, Integer> slots = new HashMap<>();
     List<LogSegment> pages = new ArrayList<>();
     for (Item item : items) {
@@ -97,7 +97,7 @@
     pages.sort(Comparator.comparingLong(LogSegment::number));
     LogState reading = LogState.of(pages);
     for (LogSegment.MachineEntry entry : reading.machines()) {
-      LogSegment.Kind kind = entry.kind();
+      LogSegment.JobKind kind = entry.kind();
       Machine machine =
           add(
               entry.id(),
@@ -140,7 +140,7 @@
       assignment.unwanted = true;
     }
     term.cluster.hold(assignment);
-    if (job != null && job.spec.kind() == Kind.GANG) {
+    if (job != null && job.spec.kind() == JobKind.GANG) {
       job.gangAttempt = Math.max(job.gangAttempt, assignment.attempt);
     }
     if (job == null) {
@@ -149,13 +149,13 @@
   }
 
   /** The task shall not run there any more; its worker will hear of it. */
-  void unwant(Assignment assignment) {
+  public void unwant(Assignment assignment) {
     assignment.unwanted = true;
     touched.add(assignment.machine);
   }
 
   /** The machines with something new to be told, each named once. */
-  List<Machine> takeTouched() {
+  public List<Machine> takeTouched() {
     List<Machine> machines = List.copyOf(touched);
     touched.clear();
     return machines;
@@ -166,7 +166,7 @@
    * only makes a new leader more careful, and whatever is placed later is written with it or after
    * it.
    */
-  void release(Assignment assignment) {
+  public void release(Assignment assignment) {
     Machine machine = assignment.machine;
     long now = term.scheduler.nowMicros();
     if (!term.cluster.release(assignment, now)) {
@@ -179,7 +179,7 @@
   }
 
   /** The machine has the image from now on. */
-  void usedImage(Machine machine, JobSpec job) {
+  public void usedImage(Machine machine, JobSpec job) {
     boolean known = machine.hasImage(job.image());
     machine.usedImage(job.image(), job.imageGb());
     if (!known) {
@@ -187,13 +187,13 @@
     }
   }
 
-  void releaseAll(Machine machine) {
+  public void releaseAll(Machine machine) {
     List.copyOf(machine.assignments.values()).forEach(this::release);
     term.cluster.strays(machine, List.of());
   }
 
   /** Its worker has begun a new session: what this leader has placed there is released. */
-  void releaseOwn(Machine machine) {
+  public void releaseOwn(Machine machine) {
     for (Assignment assignment : List.copyOf(machine.assignments.values())) {
       if (!assignment.inherited) {
         release(assignment);
@@ -207,14 +207,14 @@
    * The machine and everything on it is gone: the cloud has confirmed its deletion, or lists it no
    * more.
    */
-  void remove(Machine machine) {
+  public void remove(Machine machine) {
     releaseAll(machine);
     term.cluster.remove(machine);
     removed.add(machine.id);
     log.gone(machine);
   }
 
-  void retire(Machine machine, String why) {
+  public void retire(Machine machine, String why) {
     if (!machine.retiring) {
       LOG.info(
           "returning {} ({} {}{}): {}",
@@ -229,7 +229,7 @@
   }
 
   /** Machines that were silent for longer than any lease lasts have dropped their tasks. */
-  void lapseSilent(long nowMicros) {
+  public void lapseSilent(long nowMicros) {
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
       boolean counts = machine.reported || !machine.assignments.isEmpty();
       if (!machine.lapsed && counts && term.deputies.dropped(machine.answeredMicros, nowMicros)) {
@@ -241,11 +241,11 @@
   }
 
   /** What the store was to learn of the machine's tasks it knows now. */
-  void settled(Machine machine) {
+  public void settled(Machine machine) {
     onDurable.accept(machine);
   }
 
-  void save(Machine machine) {
+  public void save(Machine machine) {
     log.machine(machine);
   }
 }
--- a/src/main/java/madderrudder/coordination/dealings/TakeOver.java
+++ b/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.registry;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,33 +11,34 @@
 import madderrudder.protocol.StoreCodec.Item;
 
 /** Reads everything a new leader needs, by ranges, until all of it has been read. */
-final class TakeOver {
+public final class StoredStateReader {
   private static final long RETRY_MICROS = 200_000;
   private static final List<String> PREFIXES =
       List.of(Keys.LIVE, Keys.PROGRESS, Keys.PAGES, Keys.RENTALS);
   private static final List<String> SINGLES = List.of(Keys.BUDGET, Keys.OWNED);
 
   /** What the store holds; {@code liveRevision} is from where to follow the live jobs. */
-  record Found(Map<String, List<Item>> ranges, Map<String, Item> singles, long liveRevision) {
-    List<Item> under(String prefix) {
+  public record Found(
+      Map<String, List<Item>> ranges, Map<String, Item> singles, long liveRevision) {
+    public List<Item> under(String prefix) {
       return ranges.get(prefix);
     }
   }
 
-  private final Term term;
+  private final LeaderTerm term;
   private final Consumer<Found> done;
   private final Map<String, List<Item>> ranges = new HashMap<>();
   private final Map<String, Item> singles = new HashMap<>();
   private long liveRevision = -1;
   private int open;
 
-  private TakeOver(Term term, Consumer<Found> done) {
+  private StoredStateReader(LeaderTerm term, Consumer<Found> done) {
     this.term = term;
     this.done = done;
   }
 
-  static void read(Term term, Consumer<Found> done) {
-    TakeOver reading = new TakeOver(term, done);
+  public static void read(LeaderTerm term, Consumer<Found> done) {
+    StoredStateReader reading = new StoredStateReader(term, done);
     List<String> prefixes = new ArrayList<>(PREFIXES);
     if (term.learned != null) {
       prefixes.add(Keys.RUN_TIMES);
--- a/src/main/java/madderrudder/coordination/dealings/Rentals.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -1,4 +1,4 @@
-package madderrudder.coordination.dealings;
+package madderrudder.coordination.scaleout;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import madderrudder.coordination.cloud.CloudClient;
 import madderrudder.coordination.reconciliation.Confidence;
 import madderrudder.coordination.reconciliation.MachineDecision;
 import madderrudder.coordination.reconciliation.MachineFacts;
@@ -16,11 +17,14 @@
 import madderrudder.coordination.reconciliation.MachineFacts.Logged;
 import madderrudder.coordination.reconciliation.MachineFacts.Worker;
 import madderrudder.coordination.reconciliation.MachineReconciler;
+import madderrudder.coordination.registry.LeaderTerm;
+import madderrudder.coordination.registry.MachineRegistry;
+import madderrudder.coordination.registry.StoredStateReader;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.scheduling.ScaleOutPlanner;
+import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Machine;
-import madderrudder.coordination.state.Rental;
-import madderrudder.coordination.state.RentalRequestLimits;
+import madderrudder.coordination.state.ScaleOutRequest;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
@@ -28,7 +32,7 @@
 import madderrudder.persistence.RentalRecord;
 import madderrudder.protocol.CloudCodec;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Write;
 import madderrudder.transport.HttpResponse;
@@ -39,8 +43,8 @@
  * Rents and returns machines. The intent and its reservation on the budget are durable before the
  * cloud is called, and the call is repeated under the same name until its fate is known.
  */
-final class Rentals {
-  private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+public final class ScaleOutController {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleOutController.class);
   private static final long RETRY_MICROS = 1_000_000;
   private static final int BOOT_FACTOR = 4;
   private static final int MOST_DELETED = 100;
@@ -51,12 +55,12 @@
    */
   private static final int LONGEST_LAG = 4;
 
-  private final Term term;
-  private final Fleet fleet;
+  private final LeaderTerm term;
+  private final MachineRegistry fleet;
   private final CloudClient cloud;
   private final RentalBudget budget;
   private final Map<String, RentalRecord> open = new LinkedHashMap<>();
-  private final RentalRequestLimits shelves = new RentalRequestLimits();
+  private final CapacityPoolLimits shelves = new CapacityPoolLimits();
   private final Map<String, Long> unexpectedSince = new HashMap<>();
 
   /**
@@ -73,7 +77,7 @@
   /** Since when work could be placed, as far as that was interrupted in this term. */
   private long placingSinceMicros = Long.MIN_VALUE / 2;
 
-  Rentals(Term term, Fleet fleet, CloudClient cloud) {
+  public ScaleOutController(LeaderTerm term, MachineRegistry fleet, CloudClient cloud) {
     this.term = term;
     this.fleet = fleet;
     this.cloud = cloud;
@@ -84,7 +88,7 @@
             term.deployment.clockOffMicros());
   }
 
-  void load(TakeOver.Found found) throws MalformedMessage {
+  public void load(StoredStateReader.Found found) throws MalformedMessageException {
     Item spent = found.singles().get(Keys.BUDGET);
     if (spent != null) {
       budget.load(spent.value());
@@ -101,25 +105,25 @@
   }
 
   /** Machines found before the first rental are the owned ones. */
-  boolean ownedStillOpen() {
+  public boolean ownedStillOpen() {
     return !ownedSealed;
   }
 
-  int underWay() {
+  public int underWay() {
     return open.size();
   }
 
   /** A machine has reported for the first time. */
-  void up(Machine machine) {
+  public void up(Machine machine) {
     shelves.booted(machine.shelf());
   }
 
-  int budgetLeft() {
+  public int budgetLeft() {
     return budget.left(term.scheduler.wallMicros());
   }
 
   /** Rents what the plan asks for. */
-  void reconcile(Demand demand, long nowMicros) {
+  public void reconcile(Demand demand, long nowMicros) {
     if (!listed || term.cluster.types.isEmpty()) {
       return;
     }
@@ -127,13 +131,13 @@
     if (poll) {
       nextPollMicros = nowMicros + term.policy.pollMicros();
     }
-    List<Rental> underWay = new ArrayList<>();
+    List<ScaleOutRequest> underWay = new ArrayList<>();
     for (RentalRecord record : open.values()) {
       if (term.cluster.types.containsKey(record.type())) {
         underWay.add(rental(record));
       }
     }
-    List<Rental> wanted =
+    List<ScaleOutRequest> wanted =
         ScaleOutPlanner.plan(
             term.cluster,
             term.policy,
@@ -142,13 +146,13 @@
             poll ? budgetLeft() : 0,
             shelf -> asked(shelf) ? 0 : shelves.most(shelf, nowMicros),
             underWay);
-    for (Rental rental : wanted) {
+    for (ScaleOutRequest rental : wanted) {
       begin(rental);
     }
   }
 
   /** One request at a time for what may run out, so that its answer is known before the next. */
-  private boolean asked(Rental.Shelf shelf) {
+  private boolean asked(ScaleOutRequest.CapacityPool shelf) {
     return open.values().stream()
         .anyMatch(
             r ->
@@ -157,8 +161,8 @@
                     && r.spot() == shelf.spot());
   }
 
-  private Rental rental(RentalRecord record) {
-    return new Rental(
+  private ScaleOutRequest rental(RentalRecord record) {
+    return new ScaleOutRequest(
         term.cluster.types.get(record.type()),
         record.zone(),
         record.spot(),
@@ -166,7 +170,7 @@
         record.counted());
   }
 
-  private void begin(Rental rental) {
+  private void begin(ScaleOutRequest rental) {
     if (rental.counted() && !budget.reserve(rental.count(), term.scheduler.wallMicros())) {
       return;
     }
@@ -207,7 +211,8 @@
   }
 
   private void answered(RentalRecord record, HttpResponse response) {
-    Rental.Shelf shelf = new Rental.Shelf(record.type(), record.zone(), record.spot());
+    ScaleOutRequest.CapacityPool shelf =
+        new ScaleOutRequest.CapacityPool(record.type(), record.zone(), record.spot());
     if (response.ok()) {
       try {
         List<String> machines = CloudCodec.readRented(response.body());
@@ -215,7 +220,7 @@
         shelves.answered(shelf, record.count(), machines.size(), term.scheduler.nowMicros());
         settle(record, machines);
         return;
-      } catch (MalformedMessage e) {
+      } catch (MalformedMessageException e) {
         LOG.info("the answer to {} is unreadable: {}", record.request(), e.getMessage());
       }
     } else if (response.status() == 503
@@ -255,7 +260,7 @@
    * Squares log, list and reports: gives back what nobody needs and what does not work, and lets go
    * of what is gone.
    */
-  void square(long nowMicros, Confidence confidence) {
+  public void square(long nowMicros, Confidence confidence) {
     // An outage of the store that outlasts leases empties all machines, and has them unheard, since
     // their reports are not
     // answered. They once went back during it, and those who had waited through it waited for boots
@@ -371,7 +376,7 @@
           if (response.ok()) {
             try {
               page = CloudCodec.readPage(response.body());
-            } catch (MalformedMessage e) {
+            } catch (MalformedMessageException e) {
               LOG.info("the machine list is unreadable: {}", e.getMessage());
             }
           }
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -11,7 +11,7 @@
 import madderrudder.coordination.reconciliation.Confidence;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Job;
-import madderrudder.protocol.Kind;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 
@@ -123,7 +123,7 @@
   }
 
   private static boolean prompt(Cluster cluster, Job job) {
-    return job.spec.kind() == Kind.GANG
+    return job.spec.kind() == JobKind.GANG
         && cluster.deployment.objectives().wantsPromptStart(job.spec);
   }
 
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 
@@ -46,7 +46,7 @@
   private static final int MOST_PLACEMENTS = 400;
 
   private final Cluster cluster;
-  private final Policy policy;
+  private final OperatorPolicy policy;
   private final long nowMicros;
   private final List<Placement> placements = new ArrayList<>();
   private final Demand demand;
@@ -65,14 +65,14 @@
     }
   }
 
-  private Placer(Cluster cluster, Policy policy, Demand demand, long nowMicros) {
+  private Placer(Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     this.cluster = cluster;
     this.policy = policy;
     this.demand = demand;
     this.nowMicros = nowMicros;
     room = new RoundUsage(cluster);
     Resources least = demand.leastPerTask();
-    boolean gangWaits = demand.waiting().stream().anyMatch(job -> job.spec.kind() == Kind.GANG);
+    boolean gangWaits = demand.waiting().stream().anyMatch(job -> job.spec.kind() == JobKind.GANG);
     long all = 0;
     for (Machine machine : cluster.machines.values()) {
       if (machine.usable(nowMicros, cluster.deployment.workers().reportMicros())) {
@@ -95,14 +95,14 @@
   }
 
   public static List<Placement> plan(
-      Cluster cluster, Policy policy, Demand demand, long nowMicros) {
+      Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     Placer placer = new Placer(cluster, policy, demand, nowMicros);
     for (Job job : demand.waiting()) {
       if (placer.open.isEmpty() && placer.freeing.isEmpty()
           || placer.placements.size() >= MOST_PLACEMENTS) {
         break;
       }
-      if (job.spec.kind() == Kind.GANG) {
+      if (job.spec.kind() == JobKind.GANG) {
         placer.planGang(job);
       } else {
         placer.planTasks(job);
@@ -261,10 +261,10 @@
     if (spec.spotAllowed() && !machine.spot) {
       cost += STEADY_S;
     }
-    if (spec.kind() == Kind.SERVICE) {
+    if (spec.kind() == JobKind.SERVICE) {
       cost += room.added(job, machine) * SAME_JOB_S;
       for (Assignment assignment : machine.assignments.values()) {
-        if (assignment.job != null && assignment.job.spec.kind() == Kind.SERVICE) {
+        if (assignment.job != null && assignment.job.spec.kind() == JobKind.SERVICE) {
           cost += assignment.job == job ? SAME_JOB_S : NEIGHBOUR_S;
         }
       }
--- a/src/main/java/madderrudder/coordination/scheduling/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -9,12 +9,12 @@
 import java.util.Objects;
 import java.util.PriorityQueue;
 import java.util.Set;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
-import madderrudder.protocol.Kind;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 
@@ -27,7 +27,7 @@
   private static final double FETCH_WEIGHT = 40;
 
   private final Cluster cluster;
-  private final Policy policy;
+  private final OperatorPolicy policy;
   private final long nowMicros;
   private final Map<Machine, Resources> coming = new HashMap<>();
   private final Map<String, Resources> usage;
@@ -48,7 +48,7 @@
     }
   }
 
-  private Preemption(Cluster cluster, Policy policy, Demand demand, long nowMicros) {
+  private Preemption(Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     this.cluster = cluster;
     this.policy = policy;
     this.nowMicros = nowMicros;
@@ -64,7 +64,7 @@
 
   /** To be called after placement: whatever still waits has found no free room. */
   public static Set<Assignment> plan(
-      Cluster cluster, Policy policy, Demand demand, long nowMicros) {
+      Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     Preemption preemption = new Preemption(cluster, policy, demand, nowMicros);
     RoundUsage room = new RoundUsage(cluster);
     for (Job job : demand.waiting()) {
@@ -75,7 +75,7 @@
           && job.nextWaiting(0) >= 0
           && demand.confidence().suffices(job)
           && !preemption.hopeless(job)) {
-        if (job.spec.kind() == Kind.GANG) {
+        if (job.spec.kind() == JobKind.GANG) {
           preemption.makeRoomForGang(job, room);
         } else {
           preemption.new Making(job, room).forEach();
@@ -220,7 +220,7 @@
 
   /** Room is made in a hurry: where the image has to be fetched first, it is worth less. */
   private static double fetching(Job job, Machine machine) {
-    boolean hurried = job.spec.priority() == Priority.PRODUCTION || job.spec.kind() == Kind.GANG;
+    boolean hurried = job.spec.priority() == Priority.PRODUCTION || job.spec.kind() == JobKind.GANG;
     return !hurried || machine.hasImage(job.spec.image())
         ? 0
         : FETCH_WEIGHT * job.spec.imageGb() / machine.type.fetchGbPerS();
@@ -266,7 +266,7 @@
           && assignment.durable
           && !victims.contains(assignment)
           && assignment.job != null
-          && assignment.job.spec.kind() != Kind.GANG
+          && assignment.job.spec.kind() != JobKind.GANG
           && mayStop(job, assignment)
           && !cluster.endsSoon(assignment, nowMicros)) {
         candidates.add(assignment);
@@ -290,7 +290,7 @@
     }
     Resources theirs = usage.getOrDefault(victim.team, Resources.NONE);
     return guaranteed
-        && victim.job.spec.kind() != Kind.SERVICE
+        && victim.job.spec.kind() != JobKind.SERVICE
         && victim.job.team != job.team
         && !demand.guaranteed().contains(victim.job)
         && !victim.job.team.guarantees(theirs);
@@ -306,7 +306,7 @@
 
   /** Processor time that would be done again; services last. */
   private double loss(Assignment assignment) {
-    if (assignment.job.spec.kind() == Kind.SERVICE) {
+    if (assignment.job.spec.kind() == JobKind.SERVICE) {
       return 1e9;
     }
     long ran = assignment.runningMicros < 0 ? 0 : nowMicros - assignment.runningMicros;
--- a/src/main/java/madderrudder/coordination/scheduling/RecallDrain.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RecallDrain.java
@@ -5,7 +5,7 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Machine;
-import madderrudder.protocol.Kind;
+import madderrudder.protocol.JobKind;
 
 /**
  * Decides what is stopped on machines that the cloud is about to take away: what is not expected to
@@ -25,7 +25,7 @@
           if (assignment.job != null
               && !assignment.unwanted
               && !assignment.completed
-              && assignment.job.spec.kind() != Kind.SERVICE
+              && assignment.job.spec.kind() != JobKind.SERVICE
               && cluster.runTimes.leftMicros(assignment, nowMicros)
                   > machine.recallMicros - nowMicros) {
             stops.add(assignment);
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToIntFunction;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.coordination.reconciliation.Confidence;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
-import madderrudder.coordination.state.Rental;
+import madderrudder.coordination.state.ScaleOutRequest;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
@@ -30,14 +30,14 @@
   private static final double LACKING = 1e6;
 
   private final Cluster cluster;
-  private final Policy policy;
+  private final OperatorPolicy policy;
   private final long nowMicros;
-  private final ToIntFunction<Rental.Shelf> most;
+  private final ToIntFunction<ScaleOutRequest.CapacityPool> most;
   private final Confidence confidence;
   private final RoundUsage room;
   private final List<Coming> coming = new ArrayList<>();
-  private final Map<Rental.Shelf, Integer> perShelf = new HashMap<>();
-  private final Map<RentalKey, Rental> rentals = new LinkedHashMap<>();
+  private final Map<ScaleOutRequest.CapacityPool, Integer> perShelf = new HashMap<>();
+  private final Map<RentalKey, ScaleOutRequest> rentals = new LinkedHashMap<>();
   private int budgetLeft;
 
   /** Steady room that is missing for work that must start before a machine could boot for it. */
@@ -58,16 +58,16 @@
     }
   }
 
-  private record RentalKey(Rental.Shelf shelf, boolean counted) {}
+  private record RentalKey(ScaleOutRequest.CapacityPool shelf, boolean counted) {}
 
   private ScaleOutPlanner(
       Cluster cluster,
-      Policy policy,
+      OperatorPolicy policy,
       Demand demand,
       long nowMicros,
       int budgetLeft,
-      ToIntFunction<Rental.Shelf> most,
-      List<Rental> underWay) {
+      ToIntFunction<ScaleOutRequest.CapacityPool> most,
+      List<ScaleOutRequest> underWay) {
     this.cluster = cluster;
     this.policy = policy;
     this.nowMicros = nowMicros;
@@ -83,10 +83,12 @@
       }
       if (!machine.retiring && !machine.lapsed) {
         perShelf.merge(
-            new Rental.Shelf(machine.type.name(), machine.zone, machine.spot), 1, Integer::sum);
+            new ScaleOutRequest.CapacityPool(machine.type.name(), machine.zone, machine.spot),
+            1,
+            Integer::sum);
       }
     }
-    for (Rental rental : underWay) {
+    for (ScaleOutRequest rental : underWay) {
       lackMilliCpus -= rental.spot() ? 0 : rental.count() * rental.type().capacity().milliCpus();
       for (int i = 0; i < rental.count(); i++) {
         coming.add(
@@ -122,14 +124,14 @@
   }
 
   /** {@code most}: how many machines of a type, zone and kind may be asked for now. */
-  public static List<Rental> plan(
+  public static List<ScaleOutRequest> plan(
       Cluster cluster,
-      Policy policy,
+      OperatorPolicy policy,
       Demand demand,
       long nowMicros,
       int budgetLeft,
-      ToIntFunction<Rental.Shelf> most,
-      List<Rental> underWay) {
+      ToIntFunction<ScaleOutRequest.CapacityPool> most,
+      List<ScaleOutRequest> underWay) {
     ScaleOutPlanner planner =
         new ScaleOutPlanner(cluster, policy, demand, nowMicros, budgetLeft, most, underWay);
     for (Job job : demand.waiting()) {
@@ -282,9 +284,9 @@
       return null;
     }
     boolean spotToo =
-        policy.spotMode() == Policy.SpotMode.ALWAYS
-            || policy.spotMode() == Policy.SpotMode.UNCOUNTED && !counted;
-    Rental best = null;
+        policy.spotMode() == OperatorPolicy.SpotMode.ALWAYS
+            || policy.spotMode() == OperatorPolicy.SpotMode.UNCOUNTED && !counted;
+    ScaleOutRequest best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : cluster.types.values()) {
       long fit = job.spec.perTask().timesIn(type.capacity());
@@ -296,7 +298,7 @@
           if (spot ? !spotToo : spotToo && !steadyToo) {
             continue;
           }
-          Rental rental = new Rental(type, zone, spot, 1, counted);
+          ScaleOutRequest rental = new ScaleOutRequest(type, zone, spot, 1, counted);
           if (!suits(job, type, zone, spot) || asked(rental) >= most.applyAsInt(rental.shelf())) {
             continue;
           }
@@ -306,7 +308,7 @@
               (lacking ? LACKING : 0)
                   + type.price(spot) / Math.min(fit, Math.max(1, waiting))
                   + 1e-4 * perShelf.getOrDefault(rental.shelf(), 0)
-                  + (job.spec.kind() == Kind.SERVICE ? 1e-3 * room.planned(job, zone) : 0);
+                  + (job.spec.kind() == JobKind.SERVICE ? 1e-3 * room.planned(job, zone) : 0);
           if (cost < bestCost) {
             best = rental;
             bestCost = cost;
@@ -327,12 +329,12 @@
     rentals.merge(
         new RentalKey(best.shelf(), counted),
         best,
-        (a, b) -> new Rental(a.type(), a.zone(), a.spot(), a.count() + 1, a.counted()));
+        (a, b) -> new ScaleOutRequest(a.type(), a.zone(), a.spot(), a.count() + 1, a.counted()));
     return new Coming(best.type(), best.zone(), best.spot(), best.type().capacity());
   }
 
-  private int asked(Rental rental) {
-    Rental so = rentals.get(new RentalKey(rental.shelf(), rental.counted()));
+  private int asked(ScaleOutRequest rental) {
+    ScaleOutRequest so = rentals.get(new RentalKey(rental.shelf(), rental.counted()));
     return so == null ? 0 : so.count();
   }
 }
--- a/src/main/java/madderrudder/coordination/state/Assignment.java
+++ b/src/main/java/madderrudder/coordination/state/Assignment.java
@@ -2,7 +2,7 @@
 
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
-import madderrudder.protocol.TaskReport.Phase;
+import madderrudder.protocol.TaskStatus.Phase;
 
 /** A task that is, or may be, on a machine under one attempt number. */
 public final class Assignment {
@@ -11,7 +11,7 @@
   public final TaskId task;
   public final long attempt;
   public final Machine machine;
-  private final Machine.Key key;
+  private final Machine.TaskAttempt key;
   public final String team;
   public final Resources takes;
 
@@ -22,7 +22,7 @@
   public final boolean inherited;
 
   /** The page of the log that names it, once one does. */
-  public Written page;
+  public LogReference page;
 
   /** A page that names this task is durable, so it may be started. */
   public boolean durable;
@@ -71,7 +71,7 @@
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    key = new Machine.Key(task, attempt);
+    key = new Machine.TaskAttempt(task, attempt);
     this.team = team;
     this.takes = takes;
     this.job = job;
@@ -79,7 +79,7 @@
     this.placedMicros = nowMicros;
   }
 
-  public Machine.Key key() {
+  public Machine.TaskAttempt key() {
     return key;
   }
 
--- a/src/main/java/madderrudder/coordination/state/RentalRequestLimits.java
+++ b/src/main/java/madderrudder/coordination/state/CapacityPoolLimits.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import madderrudder.coordination.state.Rental.Shelf;
+import madderrudder.coordination.state.ScaleOutRequest.CapacityPool;
 
 /**
  * How many machines of each type, zone and kind are worth asking for, judged by what came of the
@@ -11,7 +11,7 @@
  * once used up the budget of a whole day's peak: after a refusal one machine is asked for, and
  * several times as many after each request that was filled.
  */
-public final class RentalRequestLimits {
+public final class CapacityPoolLimits {
   /** The cloud lets this many machines of one kind be rented by one request. */
   public static final int MOST_PER_REQUEST = 50;
 
@@ -29,7 +29,7 @@
    */
   private static final int GROWTH = 8;
 
-  private final Map<Shelf, State> states = new HashMap<>();
+  private final Map<CapacityPool, State> states = new HashMap<>();
 
   /** What is known of one shelf. */
   private static final class State {
@@ -38,18 +38,18 @@
     int failedBoots;
   }
 
-  private State state(Shelf shelf) {
+  private State state(CapacityPool shelf) {
     return states.computeIfAbsent(shelf, s -> new State());
   }
 
   /** How many are worth asking for now; 0 for none. */
-  public int most(Shelf shelf, long nowMicros) {
+  public int most(CapacityPool shelf, long nowMicros) {
     State state = states.get(shelf);
     return state == null ? MOST_PER_REQUEST : state.emptyUntilMicros > nowMicros ? 0 : state.most;
   }
 
   /** So many were asked for, and so many came. */
-  public void answered(Shelf shelf, int asked, int came, long nowMicros) {
+  public void answered(CapacityPool shelf, int asked, int came, long nowMicros) {
     State state = state(shelf);
     if (came < asked) {
       state.most = Math.max(1, came / 2);
@@ -60,12 +60,12 @@
   }
 
   /** A machine of the shelf has come up. */
-  public void booted(Shelf shelf) {
+  public void booted(CapacityPool shelf) {
     state(shelf).failedBoots = 0;
   }
 
   /** A machine of the shelf has not come up by far. */
-  public void bootFailed(Shelf shelf, long nowMicros) {
+  public void bootFailed(CapacityPool shelf, long nowMicros) {
     State state = state(shelf);
     if (++state.failedBoots >= FAILED_BOOTS) {
       state.most = 1;
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -113,13 +113,13 @@
   }
 
   /** The worker says that it has these tasks, which no record names there. */
-  public void strays(Machine machine, List<Machine.Stray> found) {
-    for (Machine.Stray stray : machine.strays) {
+  public void strays(Machine machine, List<Machine.OrphanTask> found) {
+    for (Machine.OrphanTask stray : machine.strays) {
       giveBack(machine, stray.team(), stray.takes());
       strayed.computeIfPresent(stray.key().task(), (task, count) -> count == 1 ? null : count - 1);
     }
     machine.strays = found;
-    for (Machine.Stray stray : found) {
+    for (Machine.OrphanTask stray : found) {
       take(machine, stray.team(), stray.takes());
       strayed.merge(stray.key().task(), 1, Integer::sum);
     }
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -5,11 +5,11 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.estimates.Likeness;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
-import madderrudder.protocol.Kind;
 
 /** A job in the leader's picture: which tasks are done, which are held on machines, which wait. */
 public final class Job {
@@ -25,7 +25,7 @@
   private static final long FOUND_BACKOFF_MICROS = 10_000_000;
 
   public final JobSpec spec;
-  public final Team team;
+  public final TeamQuota team;
 
   /** The version of its key; 0 until known. */
   public final long version;
@@ -83,7 +83,7 @@
   private boolean foundFaulty;
   private long probeAtMicros = Long.MIN_VALUE;
 
-  public Job(JobSpec spec, Team team, long version, long acceptedWallMicros, long nowMicros) {
+  public Job(JobSpec spec, TeamQuota team, long version, long acceptedWallMicros, long nowMicros) {
     this.spec = spec;
     this.team = team;
     this.version = version;
@@ -168,7 +168,7 @@
   }
 
   public boolean complete() {
-    return spec.kind() != Kind.SERVICE && undone() == 0;
+    return spec.kind() != JobKind.SERVICE && undone() == 0;
   }
 
   public long waitingSinceMicros(int task) {
--- a/src/main/java/madderrudder/coordination/state/Written.java
+++ b/src/main/java/madderrudder/coordination/state/LogReference.java
@@ -1,4 +1,4 @@
 package madderrudder.coordination.state;
 
 /** Where the store names a machine or a task. */
-public interface Written {}
+public interface LogReference {}
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import madderrudder.coordination.policy.Token;
+import madderrudder.coordination.policy.FencingToken;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
@@ -29,10 +29,10 @@
   private static final int MOST_TASKS = 400;
 
   /** A task under one attempt number. */
-  public record Key(TaskId task, long attempt) {}
+  public record TaskAttempt(TaskId task, long attempt) {}
 
   /** A task the worker reported that no record names; what it takes is known if its job is. */
-  public record Stray(Key key, String team, Resources takes) {}
+  public record OrphanTask(TaskAttempt key, String team, Resources takes) {}
 
   public final String id;
   public final MachineType type;
@@ -108,16 +108,16 @@
   long avoidUntilMicros;
   public boolean directInFlight;
   public long directBlockedUntilMicros;
-  public final Map<Key, Assignment> assignments = new LinkedHashMap<>();
+  public final Map<TaskAttempt, Assignment> assignments = new LinkedHashMap<>();
 
   /** Tasks the worker reported that no record names. Replaced as a whole, by the cluster. */
-  public List<Stray> strays = List.of();
+  public List<OrphanTask> strays = List.of();
 
   /** What all that may be on the machine takes; kept by the cluster. */
   Resources used = Resources.NONE;
 
   /** The page of the log that names it, once one does. */
-  public Written page;
+  public LogReference page;
 
   private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
   private final Map<String, Long> faults = new HashMap<>();
@@ -178,8 +178,8 @@
         && nowMicros - knownMicros <= LATE_BOOT * type.bootMicros() + BOOT_SLACK_MICROS;
   }
 
-  public Rental.Shelf shelf() {
-    return new Rental.Shelf(type.name(), zone, spot);
+  public ScaleOutRequest.CapacityPool shelf() {
+    return new ScaleOutRequest.CapacityPool(type.name(), zone, spot);
   }
 
   /** It was up, as far as the log tells, when this leader took over: its worker is to be heard. */
@@ -226,7 +226,7 @@
 
   /** What it is given from now on carries a higher token than anything before. */
   public void raise() {
-    given = Token.canRise(given) ? given + 1 : given;
+    given = FencingToken.canRise(given) ? given + 1 : given;
     proof = given;
   }
 
--- a/src/main/java/madderrudder/estimates/EstimatePages.java
+++ b/src/main/java/madderrudder/estimates/EstimatePages.java
@@ -14,7 +14,7 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 import madderrudder.estimates.Estimator.Grade;
-import madderrudder.estimates.Likeness.Kind;
+import madderrudder.estimates.Likeness.JobKind;
 
 /**
  * What an estimator knows as a few pages of text, so that whoever leads next goes on from there. A
@@ -60,7 +60,7 @@
    * Of a page: what is known of a kind, or what estimates of a grade have held. The other pair is
    * null.
    */
-  private record Entry(Kind kind, Evidence evidence, Grade grade, Scores scores) {
+  private record Entry(JobKind kind, Evidence evidence, Grade grade, Scores scores) {
     int mostBytes() {
       return kind != null
           ? evidence.mostBytes()
@@ -90,7 +90,7 @@
       byte what = in.get();
       Level level = Level.values()[in.get()];
       if (what == KIND) {
-        Kind kind = new Kind(level, text(in), text(in), text(in), in.getInt());
+        JobKind kind = new JobKind(level, text(in), text(in), text(in), in.getInt());
         return new Entry(kind, Evidence.read(in, level.window), null, null);
       }
       if (what != GRADE) {
@@ -128,7 +128,7 @@
   }
 
   /** The same in every process, unlike the hash of a record with an enum in it. */
-  private int page(Kind kind) {
+  private int page(JobKind kind) {
     return Math.floorMod(
         kind.level().name().hashCode() * 31
             + List.of(kind.jobClass(), kind.team(), kind.image(), kind.size()).hashCode(),
--- a/src/main/java/madderrudder/estimates/Estimator.java
+++ b/src/main/java/madderrudder/estimates/Estimator.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import madderrudder.estimates.Estimate.Basis;
-import madderrudder.estimates.Likeness.Kind;
+import madderrudder.estimates.Likeness.JobKind;
 
 /**
  * Learns from tasks that have run how long others will. Each level that has evidence takes n / (n +
@@ -78,7 +78,7 @@
   static final List<Level> KINDS = List.of(Level.WORK, Level.TEAM, Level.CLASS, Level.ALL);
 
   private final Way way;
-  private final Map<Kind, Evidence> kinds;
+  private final Map<JobKind, Evidence> kinds;
   private final Map<Grade, Scores> scores;
   private final Map<String, Siblings> jobs;
   private final Paces machines = new Paces(MACHINE_FORGETTING);
@@ -576,7 +576,7 @@
     return List.copyOf(byName.values());
   }
 
-  private static ClassSummary summary(Kind kind, Evidence evidence) {
+  private static ClassSummary summary(JobKind kind, Evidence evidence) {
     Mixture mixture = new Mixture();
     mixture.add(evidence.ratios, 1.0 / ONE, 1);
     return new ClassSummary(
@@ -589,7 +589,7 @@
   }
 
   /** The kinds, the least recently used first. */
-  Map<Kind, Evidence> kinds() {
+  Map<JobKind, Evidence> kinds() {
     return kinds;
   }
 
--- a/src/main/java/madderrudder/estimates/Likeness.java
+++ b/src/main/java/madderrudder/estimates/Likeness.java
@@ -6,14 +6,14 @@
 public record Likeness(String job, String jobClass, String team, String image, Resources takes) {
 
   /** The runs that are alike on a level; which job they belong to is kept apart from these. */
-  record Kind(Level level, String jobClass, String team, String image, int size) {}
+  record JobKind(Level level, String jobClass, String team, String image, int size) {}
 
-  Kind kind(Level level) {
+  JobKind kind(Level level) {
     return switch (level) {
-      case WORK -> new Kind(level, jobClass, team, image, size());
-      case TEAM -> new Kind(level, jobClass, team, "", 0);
-      case CLASS -> new Kind(level, jobClass, "", "", 0);
-      case ALL -> new Kind(level, "", "", "", 0);
+      case WORK -> new JobKind(level, jobClass, team, image, size());
+      case TEAM -> new JobKind(level, jobClass, team, "", 0);
+      case CLASS -> new JobKind(level, jobClass, "", "", 0);
+      case ALL -> new JobKind(level, "", "", "", 0);
       default -> throw new IllegalArgumentException("no kind on level " + level);
     };
   }
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -7,7 +7,7 @@
 import madderrudder.estimates.Run;
 import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.protocol.Fields;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 
 /** The words of a history of runs, in a controller's answer as in files. Times are in seconds. */
@@ -58,7 +58,7 @@
     out.writeStringField("end", run.complete() ? DONE : PART);
   }
 
-  public static Ended read(Fields in) throws MalformedMessage {
+  public static Ended read(Fields in) throws MalformedMessageException {
     Likeness like =
         new Likeness(
             in.text("job"),
@@ -69,7 +69,7 @@
                 thousandths(in, "cpus"), thousandths(in, "gpus"), thousandths(in, "memory_gb")));
     String end = in.text("end");
     if (!end.equals(DONE) && !end.equals(PART)) {
-      throw new MalformedMessage("field end is neither " + DONE + " nor " + PART);
+      throw new MalformedMessageException("field end is neither " + DONE + " nor " + PART);
     }
     Run run =
         new Run(
@@ -85,7 +85,7 @@
     return new Ended(Math.round(1e6 * in.amount("at_s", 0)), run);
   }
 
-  private static long thousandths(Fields in, String name) throws MalformedMessage {
+  private static long thousandths(Fields in, String name) throws MalformedMessageException {
     return Math.round(1e3 * in.amount(name, 0));
   }
 }
--- a/src/main/java/madderrudder/persistence/CommitQueue.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -10,7 +10,7 @@
 import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Write;
@@ -153,7 +153,7 @@
    *
    * @throws MalformedMessage if the field {@code term} is missing or not a count
    */
-  public static long readTerm(Fields helm) throws MalformedMessage {
+  public static long readTerm(Fields helm) throws MalformedMessageException {
     return helm.count("term");
   }
 
@@ -371,7 +371,7 @@
               } else {
                 giveUp("another leader has taken over");
               }
-            } catch (MalformedMessage e) {
+            } catch (MalformedMessageException e) {
               giveUp("the term key is unreadable");
             }
           } else if (reply.is(Outcome.GONE)) {
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -7,7 +7,7 @@
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 
 /** The values kept for jobs: the job itself, its progress in chunks, and how it ended. */
 public final class JobRecords {
@@ -30,7 +30,7 @@
         });
   }
 
-  public static Live readLive(Fields in) throws MalformedMessage {
+  public static Live readLive(Fields in) throws MalformedMessageException {
     return new Live(JobCodec.read(in), in.count("accepted_us"));
   }
 
@@ -42,7 +42,7 @@
         });
   }
 
-  public static Finished readFinished(Fields in) throws MalformedMessage {
+  public static Finished readFinished(Fields in) throws MalformedMessageException {
     JobState state =
         in.text("state").equals(JobCodec.word(JobState.DONE)) ? JobState.DONE : JobState.CANCELLED;
     return new Finished(state, in.smallCount("done"));
@@ -61,17 +61,18 @@
   }
 
   /** Whether the job's tasks were found to fail wherever they run. */
-  public static boolean readFaulty(Fields in) throws MalformedMessage {
+  public static boolean readFaulty(Fields in) throws MalformedMessageException {
     return in.flag("faulty", false);
   }
 
   /** Adds a stored chunk to the set. */
-  public static void readProgress(Fields in, int chunk, BitSet done) throws MalformedMessage {
+  public static void readProgress(Fields in, int chunk, BitSet done)
+      throws MalformedMessageException {
     byte[] bits;
     try {
       bits = Base64.getDecoder().decode(in.text("done"));
     } catch (IllegalArgumentException e) {
-      throw new MalformedMessage("progress is not base64");
+      throw new MalformedMessageException("progress is not base64");
     }
     BitSet.valueOf(bits).stream().forEach(bit -> done.set(chunk * CHUNK + bit));
   }
--- a/src/main/java/madderrudder/persistence/Keys.java
+++ b/src/main/java/madderrudder/persistence/Keys.java
@@ -1,6 +1,6 @@
 package madderrudder.persistence;
 
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 
 /** Where things are kept in the store. */
 public final class Keys {
@@ -50,11 +50,11 @@
     return PAGES + slot;
   }
 
-  public static int slot(String page) throws MalformedMessage {
+  public static int slot(String page) throws MalformedMessageException {
     try {
       return Integer.parseInt(page.substring(PAGES.length()));
     } catch (NumberFormatException e) {
-      throw new MalformedMessage("not a page: " + page);
+      throw new MalformedMessageException("not a page: " + page);
     }
   }
 
--- a/src/main/java/madderrudder/persistence/LogSegment.java
+++ b/src/main/java/madderrudder/persistence/LogSegment.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 
@@ -27,10 +27,10 @@
     List<Image> images) {
 
   /** Where a machine comes from, and whether it is being returned. */
-  public record MachineEntry(String id, Kind kind, long rentedWallMicros, boolean retiring) {}
+  public record MachineEntry(String id, JobKind kind, long rentedWallMicros, boolean retiring) {}
 
   /** What machines may have in common. */
-  public record Kind(String type, String zone, boolean spot, boolean owned) {}
+  public record JobKind(String type, String zone, boolean spot, boolean owned) {}
 
   /**
    * A task that may be on the machine. What it takes is kept too, since its job may be over, and
@@ -66,7 +66,7 @@
 
     private int mostBytes;
     private int bytes = HEAD_BYTES;
-    private final Map<Kind, List<String>> machines = new LinkedHashMap<>();
+    private final Map<JobKind, List<String>> machines = new LinkedHashMap<>();
     private final List<String> gone = new ArrayList<>();
     private final Map<JobShare, List<String>> placed = new LinkedHashMap<>();
     private final Map<String, List<String>> ended = new LinkedHashMap<>();
@@ -116,7 +116,7 @@
 
     /** False, here and below, if the page is too full for it. */
     public boolean add(MachineEntry machine) {
-      Kind kind = machine.kind();
+      JobKind kind = machine.kind();
       return put(
           machines,
           kind,
@@ -217,11 +217,12 @@
     }
   }
 
-  public static LogSegment read(Fields in) throws MalformedMessage {
+  public static LogSegment read(Fields in) throws MalformedMessageException {
     List<MachineEntry> machines = new ArrayList<>();
     for (Fields group : in.objects("machines")) {
-      Kind kind =
-          new Kind(group.text("type"), group.text("zone"), group.flag("spot"), group.flag("owned"));
+      JobKind kind =
+          new JobKind(
+              group.text("type"), group.text("zone"), group.flag("spot"), group.flag("owned"));
       for (String item : group.texts("of")) {
         String[] parts = item.split(" ");
         machines.add(new MachineEntry(text(parts, 0), kind, number(parts, 1), parts.length > 2));
@@ -258,17 +259,17 @@
     return new LogSegment(in.count("n"), machines, in.texts("gone"), placed, ended, images);
   }
 
-  private static long number(String[] parts, int at) throws MalformedMessage {
+  private static long number(String[] parts, int at) throws MalformedMessageException {
     try {
       return Long.parseLong(text(parts, at));
     } catch (NumberFormatException e) {
-      throw new MalformedMessage("not an entry of the log: " + String.join(" ", parts));
+      throw new MalformedMessageException("not an entry of the log: " + String.join(" ", parts));
     }
   }
 
-  private static String text(String[] parts, int at) throws MalformedMessage {
+  private static String text(String[] parts, int at) throws MalformedMessageException {
     if (at >= parts.length) {
-      throw new MalformedMessage("not an entry of the log: " + String.join(" ", parts));
+      throw new MalformedMessageException("not an entry of the log: " + String.join(" ", parts));
     }
     return parts[at];
   }
--- a/src/main/java/madderrudder/persistence/RentalBudget.java
+++ b/src/main/java/madderrudder/persistence/RentalBudget.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 
 /**
  * Counts the machines rented within a sliding window. The times are times of day, because the count
@@ -81,7 +81,7 @@
         });
   }
 
-  public void load(Fields in) throws MalformedMessage {
+  public void load(Fields in) throws MalformedMessageException {
     List<Spent> all = new ArrayList<>();
     for (Fields some : in.objects("spent")) {
       all.add(new Spent(some.count("us"), some.count("us"), some.smallCount("n")));
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -2,7 +2,7 @@
 
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 
 /** An open rental: committed before the cloud is called, dropped once its answer is recorded. */
 public record RentalRecord(
@@ -18,7 +18,7 @@
         });
   }
 
-  public static RentalRecord read(String request, Fields in) throws MalformedMessage {
+  public static RentalRecord read(String request, Fields in) throws MalformedMessageException {
     return new RentalRecord(
         request,
         in.text("type"),
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.function.Consumer;
 import madderrudder.persistence.StoreReply.Outcome;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Page;
 import madderrudder.protocol.StoreCodec.Write;
-import madderrudder.transport.HttpCalls;
+import madderrudder.transport.HttpCaller;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
@@ -33,7 +33,7 @@
   private static final long MOST_TURN_MICROS = 1_000_000;
 
   private final Scheduler scheduler;
-  private final HttpCalls calls;
+  private final HttpCaller calls;
   private final String address;
   private final RateLimiter requests;
   private final RateLimiter writes;
@@ -46,12 +46,12 @@
 
   /** Turns the body of a 200 into a value. */
   private interface Reader<T> {
-    T read(byte[] body) throws MalformedMessage;
+    T read(byte[] body) throws MalformedMessageException;
   }
 
   public StoreClient(
       Scheduler scheduler,
-      HttpCalls calls,
+      HttpCaller calls,
       String address,
       double requestsPerSecond,
       double writesPerSecond) {
@@ -234,7 +234,7 @@
           return StoreReply.of(Outcome.UNKNOWN);
         }
       }
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.info("store answered {} unreadably: {}", request.target(), e.getMessage());
       return StoreReply.of(Outcome.UNKNOWN);
     }
--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -27,7 +27,7 @@
 
   private CloudCodec() {}
 
-  public static List<MachineType> readCatalog(Fields body) throws MalformedMessage {
+  public static List<MachineType> readCatalog(Fields body) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Fields in : body.objects("builds")) {
       types.add(
@@ -55,7 +55,7 @@
         });
   }
 
-  public static List<String> readRented(byte[] body) throws MalformedMessage {
+  public static List<String> readRented(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).texts("fleet");
   }
 
@@ -70,7 +70,7 @@
         });
   }
 
-  public static Page readPage(byte[] body) throws MalformedMessage {
+  public static Page readPage(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
     List<Listed> machines = new ArrayList<>();
     for (Fields machine : in.objects("fleet")) {
--- a/src/main/java/madderrudder/protocol/Fields.java
+++ b/src/main/java/madderrudder/protocol/Fields.java
@@ -22,27 +22,27 @@
     return map.get(name) != null;
   }
 
-  public String text(String name) throws MalformedMessage {
+  public String text(String name) throws MalformedMessageException {
     if (map.get(name) instanceof String text) {
       return text;
     }
     throw wrong(name);
   }
 
-  public String text(String name, String absent) throws MalformedMessage {
+  public String text(String name, String absent) throws MalformedMessageException {
     return has(name) ? text(name) : absent;
   }
 
   /** An integer from 0 to 2^63 - 1. */
-  public long count(String name) throws MalformedMessage {
+  public long count(String name) throws MalformedMessageException {
     return count(map.get(name), name);
   }
 
-  public long count(String name, long absent) throws MalformedMessage {
+  public long count(String name, long absent) throws MalformedMessageException {
     return has(name) ? count(name) : absent;
   }
 
-  public int smallCount(String name) throws MalformedMessage {
+  public int smallCount(String name) throws MalformedMessageException {
     long value = count(name);
     if (value > Integer.MAX_VALUE) {
       throw wrong(name);
@@ -50,7 +50,7 @@
     return (int) value;
   }
 
-  private static long count(Object value, String name) throws MalformedMessage {
+  private static long count(Object value, String name) throws MalformedMessageException {
     if (value instanceof Long number && number >= 0) {
       return number;
     }
@@ -65,7 +65,7 @@
   }
 
   /** A finite decimal of at least 0. */
-  public double amount(String name) throws MalformedMessage {
+  public double amount(String name) throws MalformedMessageException {
     Object value = map.get(name);
     double number =
         value instanceof Long whole
@@ -79,12 +79,12 @@
     return number;
   }
 
-  public double amount(String name, double absent) throws MalformedMessage {
+  public double amount(String name, double absent) throws MalformedMessageException {
     return has(name) ? amount(name) : absent;
   }
 
   /** A duration in seconds, as whole microseconds. */
-  public long secondsAsMicros(String name) throws MalformedMessage {
+  public long secondsAsMicros(String name) throws MalformedMessageException {
     double seconds = amount(name);
     if (seconds > 1e9) {
       throw wrong(name);
@@ -92,29 +92,29 @@
     return Math.round(seconds * 1e6);
   }
 
-  public long secondsAsMicros(String name, long absent) throws MalformedMessage {
+  public long secondsAsMicros(String name, long absent) throws MalformedMessageException {
     return has(name) ? secondsAsMicros(name) : absent;
   }
 
-  public boolean flag(String name) throws MalformedMessage {
+  public boolean flag(String name) throws MalformedMessageException {
     if (map.get(name) instanceof Boolean flag) {
       return flag;
     }
     throw wrong(name);
   }
 
-  public boolean flag(String name, boolean absent) throws MalformedMessage {
+  public boolean flag(String name, boolean absent) throws MalformedMessageException {
     return has(name) ? flag(name) : absent;
   }
 
-  public Fields object(String name) throws MalformedMessage {
+  public Fields object(String name) throws MalformedMessageException {
     if (map.get(name) instanceof Map<?, ?> object) {
       return new Fields(object);
     }
     throw wrong(name);
   }
 
-  public List<Fields> objects(String name) throws MalformedMessage {
+  public List<Fields> objects(String name) throws MalformedMessageException {
     List<Fields> objects = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof Map<?, ?> object)) {
@@ -125,7 +125,7 @@
     return objects;
   }
 
-  public List<String> texts(String name) throws MalformedMessage {
+  public List<String> texts(String name) throws MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof String text)) {
@@ -136,7 +136,7 @@
     return texts;
   }
 
-  public List<Long> counts(String name) throws MalformedMessage {
+  public List<Long> counts(String name) throws MalformedMessageException {
     List<Long> counts = new ArrayList<>();
     for (Object element : list(name)) {
       counts.add(count(element, name));
@@ -144,7 +144,7 @@
     return counts;
   }
 
-  private List<?> list(String name) throws MalformedMessage {
+  private List<?> list(String name) throws MalformedMessageException {
     if (map.get(name) instanceof List<?> list) {
       return list;
     }
@@ -162,7 +162,7 @@
     return Json.render(out -> Json.writeTree(out, map));
   }
 
-  private static MalformedMessage wrong(String name) {
-    return new MalformedMessage("field " + name + " is missing or invalid");
+  private static MalformedMessageException wrong(String name) {
+    return new MalformedMessageException("field " + name + " is missing or invalid");
   }
 }
--- a/src/main/java/madderrudder/protocol/WorkerReport.java
+++ b/src/main/java/madderrudder/protocol/Heartbeat.java
@@ -6,7 +6,7 @@
  * What a worker says of its machine. {@code noticeMicros} is -1 unless the cloud takes it away
  * soon.
  */
-public record WorkerReport(
+public record Heartbeat(
     String machine,
     String addr,
     String type,
@@ -16,7 +16,7 @@
     long seq,
     long token,
     long noticeMicros,
-    List<TaskReport> tasks) {
+    List<TaskStatus> tasks) {
 
   /** The message with the larger (session, seq) is the newer one. */
   public boolean newerThan(long otherSession, long otherSeq) {
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -20,10 +20,10 @@
   }
 
   /** The id alone, so that a known job can be recognised before anything else is judged. */
-  public static String readId(Fields in) throws MalformedMessage {
+  public static String readId(Fields in) throws MalformedMessageException {
     String id = in.text("id");
     if (!validId(id)) {
-      throw new MalformedMessage("field id is missing or invalid");
+      throw new MalformedMessageException("field id is missing or invalid");
     }
     return id;
   }
@@ -32,13 +32,13 @@
    * A job; fails with the name of the field that is missing or invalid. Only {@code builds}, {@code
    * berth} and {@code tide_s} may be null, and so may be left out.
    */
-  public static JobSpec read(Fields in) throws MalformedMessage {
-    Kind kind =
+  public static JobSpec read(Fields in) throws MalformedMessageException {
+    JobKind kind =
         switch (in.text("cut")) {
-          case "array" -> Kind.ARRAY;
-          case "gang" -> Kind.GANG;
-          case "service" -> Kind.SERVICE;
-          default -> throw new MalformedMessage("field cut is invalid");
+          case "array" -> JobKind.ARRAY;
+          case "gang" -> JobKind.GANG;
+          case "service" -> JobKind.SERVICE;
+          default -> throw new MalformedMessageException("field cut is invalid");
         };
     Priority priority =
         switch (in.text("rank")) {
@@ -46,22 +46,22 @@
           case "urgent" -> Priority.HIGH;
           case "standard" -> Priority.NORMAL;
           case "idle" -> Priority.LOW;
-          default -> throw new MalformedMessage("field rank is invalid");
+          default -> throw new MalformedMessageException("field rank is invalid");
         };
     long tasks = in.count("strokes");
     if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new MalformedMessage("field strokes is out of range");
+      throw new MalformedMessageException("field strokes is out of range");
     }
     Resources perTask =
         Resources.of(in.amount("cores"), in.amount("accelerators"), in.amount("mem_gb"));
     if (perTask.milliCpus() == 0 && perTask.milliGpus() == 0) {
-      throw new MalformedMessage("field cores is out of range");
+      throw new MalformedMessageException("field cores is out of range");
     }
     Set<String> types = null;
     if (in.has("builds")) {
       types = new TreeSet<>(in.texts("builds"));
       if (types.isEmpty()) {
-        throw new MalformedMessage("field builds is empty");
+        throw new MalformedMessageException("field builds is empty");
       }
     }
     long deadlineMicros = in.secondsAsMicros("tide_s", 0);
@@ -86,10 +86,10 @@
         deadlineMicros);
   }
 
-  private static String name(Fields in, String field) throws MalformedMessage {
+  private static String name(Fields in, String field) throws MalformedMessageException {
     String text = in.text(field);
     if (text.isEmpty() || text.length() > MAX_NAME) {
-      throw new MalformedMessage("field " + field + " is missing or invalid");
+      throw new MalformedMessageException("field " + field + " is missing or invalid");
     }
     return text;
   }
--- a/src/main/java/madderrudder/protocol/Kind.java
+++ b/src/main/java/madderrudder/protocol/JobKind.java
@@ -1,7 +1,7 @@
 package madderrudder.protocol;
 
 /** How the tasks of a job belong together. */
-public enum Kind {
+public enum JobKind {
   /** Independent tasks, each runs to completion. */
   ARRAY,
   /** All tasks run at the same time or none does. */
--- a/src/main/java/madderrudder/protocol/JobSpec.java
+++ b/src/main/java/madderrudder/protocol/JobSpec.java
@@ -11,7 +11,7 @@
     String id,
     String jobClass,
     String team,
-    Kind kind,
+    JobKind kind,
     Priority priority,
     int tasks,
     Resources perTask,
--- a/src/main/java/madderrudder/protocol/Json.java
+++ b/src/main/java/madderrudder/protocol/Json.java
@@ -60,26 +60,26 @@
   }
 
   /** Reads one whole text as an object; anything else is malformed. */
-  public static Fields readObject(byte[] bytes) throws MalformedMessage {
+  public static Fields readObject(byte[] bytes) throws MalformedMessageException {
     Object value = read(bytes);
     if (value instanceof Map<?, ?> map) {
       return new Fields(map);
     }
-    throw new MalformedMessage("not a JSON object");
+    throw new MalformedMessageException("not a JSON object");
   }
 
-  private static Object read(byte[] bytes) throws MalformedMessage {
+  private static Object read(byte[] bytes) throws MalformedMessageException {
     try (JsonParser in = FACTORY.createParser(bytes)) {
       if (in.nextToken() == null) {
-        throw new MalformedMessage("empty");
+        throw new MalformedMessageException("empty");
       }
       Object value = value(in);
       if (in.nextToken() != null) {
-        throw new MalformedMessage("text after the JSON value");
+        throw new MalformedMessageException("text after the JSON value");
       }
       return value;
     } catch (IOException e) {
-      throw new MalformedMessage("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
   }
 
--- a/src/main/java/madderrudder/protocol/MeshFrame.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -12,7 +12,7 @@
  * What controllers tell one another. A frame is a length (4 bytes, without itself), a kind (1 byte)
  * and its fields, big-endian; texts are a length (2 bytes) and UTF-8.
  */
-public sealed interface MeshFrame {
+public sealed interface PeerMessage {
   int MAX_BYTES = 64 * 1024;
   int PREFIX_BYTES = 4;
 
@@ -21,17 +21,17 @@
    * thousandths, how many writes a second the sender leaves over for users, if it leads, and how
    * many its own users want.
    */
-  record Pulse(
+  record NodeStatus(
       String member,
       long term,
       String leader,
       boolean storeAnswers,
       int spareMilliWrites,
       int wantedMilliWrites)
-      implements MeshFrame {}
+      implements PeerMessage {}
 
   /** How far jobs have come, for display by nodes that don't lead. */
-  record Progress(long term, List<JobProgress> jobs) implements MeshFrame {}
+  record ProgressUpdate(long term, List<JobProgress> jobs) implements PeerMessage {}
 
   /** How far one job has come. */
   record JobProgress(String job, int done, int running) {}
@@ -40,10 +40,10 @@
    * How the sender, one process of many under its name, stands with its peers. {@code stampMicros}
    * is its own steady clock, which peers send back; {@code ageMicros}, how long it has lived;
    * {@code grantMicros}, if it leads in the term, for how long from then on a peer may answer
-   * workers in its stead; {@code answeredParts}, how many {@link Answered} of the same stamp came
-   * before.
+   * workers in its stead; {@code answeredParts}, how many {@link DelegatedRenewals} of the same
+   * stamp came before.
    */
-  record Standing(
+  record MembershipStatus(
       String member,
       long life,
       long stampMicros,
@@ -51,34 +51,36 @@
       long term,
       long grantMicros,
       int answeredParts,
-      List<Echo> echoes)
-      implements MeshFrame {}
+      List<StampEcho> echoes)
+      implements PeerMessage {}
 
   /** The stamp last heard of a process of a peer. */
-  record Echo(String member, long life, long stampMicros) {}
+  record StampEcho(String member, long life, long stampMicros) {}
 
   /** Machines that the sender has answered in a leader's stead lately. */
-  record Answered(String member, long life, long stampMicros, List<Answer> answers)
-      implements MeshFrame {}
+  record DelegatedRenewals(String member, long life, long stampMicros, List<LeaseRenewal> answers)
+      implements PeerMessage {}
 
   /** A machine was answered so long before the frame was sent. */
-  record Answer(String machine, int agoMillis) {}
+  record LeaseRenewal(String machine, int agoMillis) {}
 
   /** A worker's report, as it came, from a controller to the leader that the worker can't reach. */
-  record Relayed(String member, long number, String report) implements MeshFrame {}
+  record ForwardedHeartbeat(String member, long number, String report) implements PeerMessage {}
 
   /** The leader's answer to a relayed report, as the worker shall get it. */
-  record RelayAnswer(long number, String answer) implements MeshFrame {}
+  record ForwardedResponse(long number, String answer) implements PeerMessage {}
 
-  private static byte kind(MeshFrame frame) {
+  private static byte kind(PeerMessage frame) {
     return (byte)
-        (frame instanceof Pulse
+        (frame instanceof NodeStatus
             ? 1
-            : frame instanceof Progress
+            : frame instanceof ProgressUpdate
                 ? 2
-                : frame instanceof Standing
+                : frame instanceof MembershipStatus
                     ? 3
-                    : frame instanceof Answered ? 4 : frame instanceof Relayed ? 5 : 6);
+                    : frame instanceof DelegatedRenewals
+                        ? 4
+                        : frame instanceof ForwardedHeartbeat ? 5 : 6);
   }
 
   /** Whether a report or an answer to one, of so many bytes, can be carried. */
@@ -87,23 +89,23 @@
   }
 
   /** The frame, ready to be sent. */
-  static ByteBuffer encode(MeshFrame frame) {
+  static ByteBuffer encode(PeerMessage frame) {
     ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
     out.putInt(0).put(kind(frame));
-    if (frame instanceof Pulse pulse) {
+    if (frame instanceof NodeStatus pulse) {
       putText(out, pulse.member());
       out.putLong(pulse.term());
       putText(out, pulse.leader());
       out.put((byte) (pulse.storeAnswers() ? 1 : 0))
           .putInt(pulse.spareMilliWrites())
           .putInt(pulse.wantedMilliWrites());
-    } else if (frame instanceof Progress progress) {
+    } else if (frame instanceof ProgressUpdate progress) {
       out.putLong(progress.term()).putInt(progress.jobs().size());
       for (JobProgress job : progress.jobs()) {
         putText(out, job.job());
         out.putInt(job.done()).putInt(job.running());
       }
-    } else if (frame instanceof Standing standing) {
+    } else if (frame instanceof MembershipStatus standing) {
       putText(out, standing.member());
       out.putLong(standing.life())
           .putLong(standing.stampMicros())
@@ -112,24 +114,24 @@
           .putLong(standing.grantMicros())
           .putInt(standing.answeredParts())
           .putInt(standing.echoes().size());
-      for (Echo echo : standing.echoes()) {
+      for (StampEcho echo : standing.echoes()) {
         putText(out, echo.member());
         out.putLong(echo.life()).putLong(echo.stampMicros());
       }
-    } else if (frame instanceof Answered answered) {
+    } else if (frame instanceof DelegatedRenewals answered) {
       putText(out, answered.member());
       out.putLong(answered.life())
           .putLong(answered.stampMicros())
           .putInt(answered.answers().size());
-      for (Answer answer : answered.answers()) {
+      for (LeaseRenewal answer : answered.answers()) {
         putText(out, answer.machine());
         out.putInt(answer.agoMillis());
       }
-    } else if (frame instanceof Relayed relayed) {
+    } else if (frame instanceof ForwardedHeartbeat relayed) {
       putText(out, relayed.member());
       out.putLong(relayed.number());
       putText(out, relayed.report());
-    } else if (frame instanceof RelayAnswer answer) {
+    } else if (frame instanceof ForwardedResponse answer) {
       out.putLong(answer.number());
       putText(out, answer.answer());
     }
@@ -139,16 +141,16 @@
   }
 
   /** Reads the frame that fills the buffer, which no longer holds the length. */
-  static MeshFrame decode(ByteBuffer in) throws MalformedMessage {
+  static PeerMessage decode(ByteBuffer in) throws MalformedMessageException {
     try {
-      MeshFrame frame =
+      PeerMessage frame =
           switch (in.get()) {
             case 1 ->
-                new Pulse(
+                new NodeStatus(
                     text(in), in.getLong(), text(in), in.get() != 0, in.getInt(), in.getInt());
             case 2 -> progress(in);
             case 3 ->
-                new Standing(
+                new MembershipStatus(
                     text(in),
                     in.getLong(),
                     in.getLong(),
@@ -156,37 +158,37 @@
                     in.getLong(),
                     in.getLong(),
                     in.getInt(),
-                    list(in, 18, () -> new Echo(text(in), in.getLong(), in.getLong())));
+                    list(in, 18, () -> new StampEcho(text(in), in.getLong(), in.getLong())));
             case 4 ->
-                new Answered(
+                new DelegatedRenewals(
                     text(in),
                     in.getLong(),
                     in.getLong(),
-                    list(in, 6, () -> new Answer(text(in), in.getInt())));
-            case 5 -> new Relayed(text(in), in.getLong(), text(in));
-            case 6 -> new RelayAnswer(in.getLong(), text(in));
-            default -> throw new MalformedMessage("unknown mesh frame");
+                    list(in, 6, () -> new LeaseRenewal(text(in), in.getInt())));
+            case 5 -> new ForwardedHeartbeat(text(in), in.getLong(), text(in));
+            case 6 -> new ForwardedResponse(in.getLong(), text(in));
+            default -> throw new MalformedMessageException("unknown mesh frame");
           };
       if (in.hasRemaining()) {
-        throw new MalformedMessage("mesh frame too long");
+        throw new MalformedMessageException("mesh frame too long");
       }
       return frame;
     } catch (BufferUnderflowException e) {
-      throw new MalformedMessage("mesh frame too short");
+      throw new MalformedMessageException("mesh frame too short");
     }
   }
 
-  private static Progress progress(ByteBuffer in) throws MalformedMessage {
-    return new Progress(
+  private static ProgressUpdate progress(ByteBuffer in) throws MalformedMessageException {
+    return new ProgressUpdate(
         in.getLong(), list(in, 10, () -> new JobProgress(text(in), in.getInt(), in.getInt())));
   }
 
   /** A count and so many items, each of so many bytes at the least. */
   private static <T> List<T> list(ByteBuffer in, int leastBytes, Supplier<T> item)
-      throws MalformedMessage {
+      throws MalformedMessageException {
     int count = in.getInt();
     if (count < 0 || count > in.remaining() / leastBytes) {
-      throw new MalformedMessage("mesh frame with a bad count");
+      throw new MalformedMessageException("mesh frame with a bad count");
     }
     List<T> items = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
--- a/src/main/java/madderrudder/protocol/StoreCodec.java
+++ b/src/main/java/madderrudder/protocol/StoreCodec.java
@@ -62,27 +62,27 @@
     return Json.object(out -> out.writeNumberField("life_ms", lifeMicros / 1000));
   }
 
-  public static long readLease(byte[] body) throws MalformedMessage {
+  public static long readLease(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).count("mooring");
   }
 
-  public static long readRevision(byte[] body) throws MalformedMessage {
+  public static long readRevision(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).count("logline");
   }
 
-  public static List<String> readFailed(byte[] body) throws MalformedMessage {
+  public static List<String> readFailed(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).texts("failed");
   }
 
-  public static Item readItem(byte[] body) throws MalformedMessage {
+  public static Item readItem(byte[] body) throws MalformedMessageException {
     return item(Json.readObject(body));
   }
 
-  private static Item item(Fields in) throws MalformedMessage {
+  private static Item item(Fields in) throws MalformedMessageException {
     return new Item(in.text("path"), in.object("data"), in.count("entry"));
   }
 
-  public static Page readRange(byte[] body) throws MalformedMessage {
+  public static Page readRange(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
     List<Item> items = new ArrayList<>();
     for (Fields row : in.objects("rows")) {
@@ -91,7 +91,7 @@
     return new Page(items, in.flag("more", false), in.count("logline"));
   }
 
-  public static Page readEvents(byte[] body) throws MalformedMessage {
+  public static Page readEvents(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
     List<Item> items = new ArrayList<>();
     if (in.has("news")) {
--- a/src/main/java/madderrudder/protocol/TaskReport.java
+++ b/src/main/java/madderrudder/protocol/TaskStatus.java
@@ -1,7 +1,7 @@
 package madderrudder.protocol;
 
 /** One task as a worker reports it. {@code why} is null unless it exited. */
-public record TaskReport(TaskId task, long attempt, Phase phase, Why why, boolean saved) {
+public record TaskStatus(TaskId task, long attempt, Phase phase, ExitReason why, boolean saved) {
   /** Where the task stands on its machine. */
   public enum Phase {
     FETCHING,
@@ -12,7 +12,7 @@
   }
 
   /** Why a task exited, or why its start was refused. */
-  public enum Why {
+  public enum ExitReason {
     DONE,
     STOPPED,
     PEERS,
--- a/src/main/java/madderrudder/protocol/WorkerCodec.java
+++ b/src/main/java/madderrudder/protocol/WorkerCodec.java
@@ -4,22 +4,22 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.protocol.TaskReport.Phase;
-import madderrudder.protocol.TaskReport.Why;
+import madderrudder.protocol.TaskStatus.ExitReason;
+import madderrudder.protocol.TaskStatus.Phase;
 
 /** Messages exchanged with workers. */
 public final class WorkerCodec {
   private WorkerCodec() {}
 
-  public static WorkerReport readReport(byte[] body) throws MalformedMessage {
+  public static Heartbeat readReport(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
-    List<TaskReport> tasks = new ArrayList<>();
+    List<TaskStatus> tasks = new ArrayList<>();
     if (in.has("strokes")) {
       for (Fields task : in.objects("strokes")) {
         tasks.add(readTask(task));
       }
     }
-    return new WorkerReport(
+    return new Heartbeat(
         in.text("vessel"),
         in.text("addr", ""),
         in.text("build"),
@@ -32,7 +32,7 @@
         tasks);
   }
 
-  private static TaskReport readTask(Fields in) throws MalformedMessage {
+  private static TaskStatus readTask(Fields in) throws MalformedMessageException {
     Phase phase =
         switch (in.text("trim")) {
           case "fetching" -> Phase.FETCHING;
@@ -40,27 +40,27 @@
           case "running" -> Phase.RUNNING;
           case "flushing" -> Phase.SAVING;
           case "ended" -> Phase.EXITED;
-          default -> throw new MalformedMessage("field trim is invalid");
+          default -> throw new MalformedMessageException("field trim is invalid");
         };
-    Why why =
+    ExitReason why =
         phase != Phase.EXITED
             ? null
             : switch (in.text("wake", "")) {
-              case "done" -> Why.DONE;
-              case "halted" -> Why.STOPPED;
-              case "mates_gone" -> Why.PEERS;
-              case "alone" -> Why.ALONE;
-              case "no_room" -> Why.NO_ROOM;
-              case "busy" -> Why.BUSY;
-              case "unknown" -> Why.UNKNOWN;
-              default -> Why.ERROR;
+              case "done" -> ExitReason.DONE;
+              case "halted" -> ExitReason.STOPPED;
+              case "mates_gone" -> ExitReason.PEERS;
+              case "alone" -> ExitReason.ALONE;
+              case "no_room" -> ExitReason.NO_ROOM;
+              case "busy" -> ExitReason.BUSY;
+              case "unknown" -> ExitReason.UNKNOWN;
+              default -> ExitReason.ERROR;
             };
-    return new TaskReport(
+    return new TaskStatus(
         TaskId.parse(in.text("stroke")), in.count("launch"), phase, why, in.flag("stored", false));
   }
 
   /** The answer to a report. */
-  public static byte[] answer(long token, List<Order> orders) {
+  public static byte[] answer(long token, List<WorkerCommand> orders) {
     return Json.object(
         out -> {
           out.writeNumberField("helm", token);
@@ -69,7 +69,7 @@
   }
 
   /** The body of a direct call to a worker's address. */
-  public static byte[] direct(long token, long session, List<Order> orders) {
+  public static byte[] direct(long token, long session, List<WorkerCommand> orders) {
     return Json.object(
         out -> {
           out.writeNumberField("helm", token);
@@ -88,9 +88,10 @@
         });
   }
 
-  private static void writeOrders(JsonGenerator out, List<Order> orders) throws IOException {
+  private static void writeOrders(JsonGenerator out, List<WorkerCommand> orders)
+      throws IOException {
     out.writeArrayFieldStart("orders");
-    for (Order order : orders) {
+    for (WorkerCommand order : orders) {
       out.writeStartObject();
       out.writeStringField(
           "order",
@@ -101,7 +102,7 @@
           });
       out.writeStringField("stroke", order.task().toString());
       out.writeNumberField("launch", order.attempt());
-      if (order.op() == Order.Op.STOP) {
+      if (order.op() == WorkerCommand.Op.STOP) {
         out.writeNumberField("slack_s", order.graceMicros() / 1e6);
       }
       out.writeEndObject();
--- a/src/main/java/madderrudder/replay/HistoryClient.java
+++ b/src/main/java/madderrudder/replay/HistoryClient.java
@@ -10,7 +10,7 @@
 import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 
 /**
  * Collects from controllers what has run. Only the leader knows; each is asked until one answers.
@@ -56,12 +56,13 @@
       }
       next = answer.count("next");
       return runs.size();
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IOException("a controller's answer is malformed: " + e.getMessage(), e);
     }
   }
 
-  private Fields ask(long after) throws IOException, InterruptedException, MalformedMessage {
+  private Fields ask(long after)
+      throws IOException, InterruptedException, MalformedMessageException {
     StringBuilder why = new StringBuilder("no controller answers as the leader:");
     for (URI controller : controllers) {
       HttpRequest request =
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -17,7 +17,7 @@
 import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVRecord;
@@ -152,7 +152,7 @@
       Fields fields = Json.readObject(text);
       ended = RunHistoryCodec.read(fields);
       bestMicros = fields.secondsAsMicros(BEST, 0);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       bad(line, e.getMessage());
       return;
     }
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -8,7 +8,7 @@
 import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
@@ -64,7 +64,7 @@
         table.print(fields.plain(HistoryReader.BEST));
       }
       table.println();
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException("what was just written can't be read", e);
     }
   }
--- a/src/main/java/madderrudder/service/Node.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -10,25 +10,27 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import madderrudder.coordination.dealings.Catalog;
-import madderrudder.coordination.dealings.CloudClient;
-import madderrudder.coordination.dealings.Leader;
-import madderrudder.coordination.membership.Deputy;
-import madderrudder.coordination.membership.Election;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Safety;
+import madderrudder.config.PlatformSettings;
+import madderrudder.coordination.cloud.CloudClient;
+import madderrudder.coordination.cloud.MachineTypeCatalog;
+import madderrudder.coordination.leader.Leader;
+import madderrudder.coordination.membership.HeartbeatDelegate;
+import madderrudder.coordination.membership.LeaderElection;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.coordination.registry.LeaderDependencies;
 import madderrudder.metrics.Metrics;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.persistence.StoreClient;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
-import madderrudder.protocol.MeshFrame;
-import madderrudder.protocol.MeshFrame.JobProgress;
-import madderrudder.transport.HttpCalls;
-import madderrudder.transport.HttpExchange;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessage.JobProgress;
+import madderrudder.transport.HttpCaller;
+import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
-import madderrudder.transport.Peers;
+import madderrudder.transport.PeerMessenger;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -37,8 +39,8 @@
  * One controller: routes requests to the desks, and leads while elected. It knows its clock,
  * network and randomness only through what it is given.
  */
-public final class Node implements HttpExchange {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class ControllerNode implements HttpHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
   private static final long PULSE_MICROS = 400_000;
   private static final long PEER_SILENT_MICROS = 2_000_000;
   private static final int MOST_PROGRESS = 5_000;
@@ -53,13 +55,13 @@
   private static final String WITHDRAW = "/withdraw";
 
   private final Scheduler scheduler;
-  private final Settings settings;
+  private final PlatformSettings settings;
   private final StoreClient store;
-  private final Catalog catalog;
-  private final Election election;
-  private final UserDesk users;
-  private final Peers peers;
-  private final Leader.Surroundings surroundings;
+  private final MachineTypeCatalog catalog;
+  private final LeaderElection election;
+  private final JobEndpoint users;
+  private final PeerMessenger peers;
+  private final LeaderDependencies surroundings;
   private final Map<String, Heard> heard = new HashMap<>();
   private final Map<String, JobProgress> told =
       new LinkedHashMap<>() {
@@ -68,10 +70,10 @@
           return size() > MOST_PROGRESS;
         }
       };
-  private final Deputy deputy;
-  private final ReportDesk reports;
+  private final HeartbeatDelegate deputy;
+  private final HeartbeatEndpoint reports;
   private final Metrics metrics = new Metrics();
-  private final WriteShares writes;
+  private final WriteRateAllocator writes;
   private long lastPulseMicros = -1;
   private Leader leader;
   private int pulses;
@@ -80,13 +82,13 @@
   /** What a peer last said, and when. */
   private record Heard(boolean storeAnswers, long atMicros) {}
 
-  public Node(
+  public ControllerNode(
       Scheduler scheduler,
-      HttpCalls calls,
-      Peers peers,
+      HttpCaller calls,
+      PeerMessenger peers,
       RandomGenerator random,
-      Settings settings,
-      Policy policy) {
+      PlatformSettings settings,
+      OperatorPolicy policy) {
     this.scheduler = scheduler;
     this.settings = settings;
     this.peers = peers;
@@ -100,19 +102,20 @@
             deployment.state().requestsPerSecond() * REQUESTS_SHARE / deployment.members(),
             deployment.state().writesPerSecond() * WRITES_SHARE / deployment.members());
     writes =
-        new WriteShares(deployment.state().writesPerSecond() * WRITES_SHARE, deployment.members());
+        new WriteRateAllocator(
+            deployment.state().writesPerSecond() * WRITES_SHARE, deployment.members());
     CloudClient cloud =
         new CloudClient(
             scheduler, calls, settings.cloudAddress(), deployment.cloud().requestsPerSecond());
-    catalog = new Catalog(scheduler, store, cloud);
+    catalog = new MachineTypeCatalog(scheduler, store, cloud);
     election =
-        new Election(
+        new LeaderElection(
             scheduler,
             store,
             random,
             settings.member(),
             policy.holdMicros(),
-            new Election.Listener() {
+            new LeaderElection.Listener() {
               @Override
               public void elected(long term, long helmVersion) {
                 lead(term, helmVersion);
@@ -124,13 +127,13 @@
               }
             });
     users =
-        new UserDesk(
+        new JobEndpoint(
             scheduler, store, catalog, deployment.teams(), deployment.state(), this::progress);
     deputy =
-        new Deputy(
-            scheduler, Safety.of(deployment.workers()), settings.member(), random.nextLong());
+        new HeartbeatDelegate(
+            scheduler, SafetyBounds.of(deployment.workers()), settings.member(), random.nextLong());
     surroundings =
-        new Leader.Surroundings(
+        new LeaderDependencies(
             scheduler,
             store,
             calls,
@@ -144,12 +147,12 @@
             metrics,
             deputy::harmlessUntilMicros);
     reports =
-        new ReportDesk(
-            new ReportDesk.Surroundings(
+        new HeartbeatEndpoint(
+            new HeartbeatEndpoint.Surroundings(
                 scheduler,
                 election,
                 deputy,
-                new Detours(random, settings.maxSockets()),
+                new WorkerRedirects(random, settings.maxSockets()),
                 peers,
                 settings.member(),
                 () -> leader,
@@ -198,8 +201,8 @@
     }
     store.userWrites(writes.perSecond(now));
     peers.broadcast(
-        MeshFrame.encode(
-            new MeshFrame.Pulse(
+        PeerMessage.encode(
+            new PeerMessage.NodeStatus(
                 settings.member(),
                 election.highestTerm(),
                 name == null ? "" : name,
@@ -208,50 +211,51 @@
                 (int) (1000 * writes.wanted()))));
     if (leader != null && leader.ready() && ++pulses % PULSES_PER_PROGRESS == 0) {
       peers.broadcast(
-          MeshFrame.encode(new MeshFrame.Progress(leader.number(), leader.someProgress())));
+          PeerMessage.encode(
+              new PeerMessage.ProgressUpdate(leader.number(), leader.someProgress())));
     }
     long grantMicros = leader == null ? 0 : leader.grantMicros();
     if (grantMicros > 0) {
       deputy.harmlessUntil(now + grantMicros);
     }
-    List<MeshFrame.Echo> echoes =
+    List<PeerMessage.StampEcho> echoes =
         grantMicros > 0 ? leader.granted(deputy.echoes(), grantMicros) : deputy.echoes();
     deputy
         .frames(election.highestTerm(), grantMicros, echoes)
-        .forEach(frame -> peers.broadcast(MeshFrame.encode(frame)));
+        .forEach(frame -> peers.broadcast(PeerMessage.encode(frame)));
   }
 
   /** A frame from another controller. */
   public void frame(ByteBuffer bytes) {
     try {
-      MeshFrame frame = MeshFrame.decode(bytes);
-      if (frame instanceof MeshFrame.Pulse pulse) {
+      PeerMessage frame = PeerMessage.decode(bytes);
+      if (frame instanceof PeerMessage.NodeStatus pulse) {
         heard.put(pulse.member(), new Heard(pulse.storeAnswers(), scheduler.nowMicros()));
         election.heard(pulse.term(), pulse.leader());
         writes.heard(pulse.member(), pulse.wantedMilliWrites() / 1000.0, scheduler.nowMicros());
         if (leader == null && pulse.member().equals(election.leader())) {
           writes.lent(pulse.spareMilliWrites() / 1000.0, scheduler.nowMicros());
         }
-      } else if (frame instanceof MeshFrame.Progress progress) {
+      } else if (frame instanceof PeerMessage.ProgressUpdate progress) {
         if (progress.term() >= election.highestTerm()) {
           progress.jobs().forEach(job -> told.put(job.job(), job));
         }
-      } else if (frame instanceof MeshFrame.Standing standing) {
+      } else if (frame instanceof PeerMessage.MembershipStatus standing) {
         election.heard(standing.term(), null);
         deputy.take(standing, election.highestTerm());
         if (leader != null) {
           leader.heard(standing, deputy.echo(standing));
         }
-      } else if (frame instanceof MeshFrame.Answered answered) {
+      } else if (frame instanceof PeerMessage.DelegatedRenewals answered) {
         if (leader != null) {
           leader.heard(answered);
         }
-      } else if (frame instanceof MeshFrame.Relayed relayed) {
+      } else if (frame instanceof PeerMessage.ForwardedHeartbeat relayed) {
         reports.take(relayed);
-      } else if (frame instanceof MeshFrame.RelayAnswer answer) {
+      } else if (frame instanceof PeerMessage.ForwardedResponse answer) {
         reports.take(answer);
       }
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       logMalformed("a peer", e);
     }
   }
@@ -291,7 +295,7 @@
               answer.accept(
                   healthy()
                       ? HttpResponse.of(200, Json.object(out -> out.writeBooleanField("ok", true)))
-                      : UserDesk.unavailable("not ready")));
+                      : JobEndpoint.unavailable("not ready")));
     } else if (path.equals("/metrics")) {
       only(
           "GET",
@@ -330,7 +334,7 @@
   /** What has run after the number, which only the leader knows. */
   private HttpResponse history(String after) {
     if (leader == null || !leader.ready()) {
-      return UserDesk.unavailable(
+      return JobEndpoint.unavailable(
           "only the leader knows, "
               + (election.leader() == null ? "which is not known" : election.leader()));
     }
@@ -363,7 +367,7 @@
     }
   }
 
-  private void logMalformed(String who, MalformedMessage cause) {
+  private void logMalformed(String who, MalformedMessageException cause) {
     if (malformedLogged) {
       LOG.debug("malformed message from {}: {}", who, cause.getMessage());
     } else {
--- a/src/main/java/madderrudder/service/ReportDesk.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -11,19 +11,19 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import madderrudder.coordination.dealings.Leader;
-import madderrudder.coordination.membership.Deputy;
-import madderrudder.coordination.membership.Election;
-import madderrudder.coordination.policy.Token;
+import madderrudder.coordination.leader.Leader;
+import madderrudder.coordination.membership.HeartbeatDelegate;
+import madderrudder.coordination.membership.LeaderElection;
+import madderrudder.coordination.policy.FencingToken;
+import madderrudder.protocol.Heartbeat;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
-import madderrudder.protocol.MeshFrame;
-import madderrudder.protocol.MeshFrame.RelayAnswer;
-import madderrudder.protocol.MeshFrame.Relayed;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessage.ForwardedHeartbeat;
+import madderrudder.protocol.PeerMessage.ForwardedResponse;
 import madderrudder.protocol.WorkerCodec;
-import madderrudder.protocol.WorkerReport;
 import madderrudder.transport.HttpResponse;
-import madderrudder.transport.Peers;
+import madderrudder.transport.PeerMessenger;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -33,8 +33,8 @@
  * leader; if it can't reach it, its report is passed on, or, where the leader can't be reached from
  * here either, answered without commands for as long as the leader has granted that.
  */
-final class ReportDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
+final class HeartbeatEndpoint {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
 
   /** Within the four seconds that a worker waits, with time for what follows. */
   private static final long HOMELESS_MICROS = 2_500_000;
@@ -46,8 +46,8 @@
 
   private final Surroundings around;
   private final Scheduler scheduler;
-  private final Election election;
-  private final Deputy deputy;
+  private final LeaderElection election;
+  private final HeartbeatDelegate deputy;
   private final boolean deputies;
   private final long leaderlessMicros;
 
@@ -63,21 +63,21 @@
   private long stoodIn;
 
   /** A report that came while it was not clear who answers it. */
-  private record Homeless(WorkerReport report, byte[] body, Consumer<HttpResponse> answer) {}
+  private record Homeless(Heartbeat report, byte[] body, Consumer<HttpResponse> answer) {}
 
   /** What a controller has at hand for this. */
   record Surroundings(
       Scheduler scheduler,
-      Election election,
-      Deputy deputy,
-      Detours detours,
-      Peers peers,
+      LeaderElection election,
+      HeartbeatDelegate deputy,
+      WorkerRedirects detours,
+      PeerMessenger peers,
       String member,
       Supplier<Leader> leader,
       BooleanSupplier storeAnswers) {}
 
   /** Nobody leading for {@code leaderlessMicros} is more than a change of leader. */
-  ReportDesk(Surroundings around, boolean deputies, long leaderlessMicros, int maxSockets) {
+  HeartbeatEndpoint(Surroundings around, boolean deputies, long leaderlessMicros, int maxSockets) {
     this.around = around;
     scheduler = around.scheduler();
     election = around.election();
@@ -102,10 +102,10 @@
   }
 
   void report(byte[] body, Consumer<HttpResponse> answer) {
-    WorkerReport report;
+    Heartbeat report;
     try {
       report = read(body);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       logMalformed(e);
       answer.accept(HttpResponse.of(400, Json.error(e.getMessage())));
       return;
@@ -118,10 +118,10 @@
     }
   }
 
-  private WorkerReport read(byte[] body) throws MalformedMessage {
-    WorkerReport report = WorkerCodec.readReport(body);
+  private Heartbeat read(byte[] body) throws MalformedMessageException {
+    Heartbeat report = WorkerCodec.readReport(body);
     if (!election.heardToken(report.token())) {
-      throw new MalformedMessage("no leader has given the token " + report.token());
+      throw new MalformedMessageException("no leader has given the token " + report.token());
     }
     return report;
   }
@@ -218,13 +218,13 @@
       LOG.info("answering workers in the stead of {}", election.leader());
     }
     stoodIn++;
-    long token = Token.echo(arrived.report().token(), deputy.term());
+    long token = FencingToken.echo(arrived.report().token(), deputy.term());
     arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(token, List.of())));
   }
 
   private void relay(String name, Homeless arrived) {
     standingIn = false;
-    if (!MeshFrame.carries(arrived.body().length)) {
+    if (!PeerMessage.carries(arrived.body().length)) {
       standIn(arrived);
       return;
     }
@@ -239,7 +239,9 @@
           }
         });
     String body = new String(arrived.body(), StandardCharsets.UTF_8);
-    around.peers().send(name, MeshFrame.encode(new Relayed(around.member(), number, body)));
+    around
+        .peers()
+        .send(name, PeerMessage.encode(new ForwardedHeartbeat(around.member(), number, body)));
     scheduler.after(
         RELAY_MICROS,
         () -> {
@@ -250,9 +252,9 @@
   }
 
   /** A report that another controller passes on, to this one as the leader. */
-  void take(Relayed passed) {
+  void take(ForwardedHeartbeat passed) {
     try {
-      WorkerReport report = read(passed.report().getBytes(StandardCharsets.UTF_8));
+      Heartbeat report = read(passed.report().getBytes(StandardCharsets.UTF_8));
       Leader here = around.leader().get();
       if (here == null) {
         return;
@@ -266,23 +268,23 @@
                 reply.orders() == null
                     ? new byte[0]
                     : WorkerCodec.answer(reply.token(), reply.orders());
-            if (MeshFrame.carries(body.length)) {
+            if (PeerMessage.carries(body.length)) {
               around
                   .peers()
                   .send(
                       passed.member(),
-                      MeshFrame.encode(
-                          new RelayAnswer(
+                      PeerMessage.encode(
+                          new ForwardedResponse(
                               passed.number(), new String(body, StandardCharsets.UTF_8))));
             }
           });
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       logMalformed(e);
     }
   }
 
   /** The leader's answer to a report that was passed on. */
-  void take(RelayAnswer reply) {
+  void take(ForwardedResponse reply) {
     Consumer<String> open = relayed.remove(reply.number());
     if (open != null) {
       open.accept(reply.answer());
@@ -295,7 +297,7 @@
     answer.accept(HttpResponse.of(421, WorkerCodec.redirect(other ? name : null)));
   }
 
-  private void logMalformed(MalformedMessage cause) {
+  private void logMalformed(MalformedMessageException cause) {
     if (malformedLogged) {
       LOG.debug("malformed report: {}", cause.getMessage());
     } else {
--- a/src/main/java/madderrudder/service/JobRules.java
+++ b/src/main/java/madderrudder/service/JobAdmission.java
@@ -2,19 +2,20 @@
 
 import java.util.Collection;
 import java.util.Map;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.TeamQuota;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Resources;
 
 /** Tells jobs that can never run from those that can. */
-final class JobRules {
-  private JobRules() {}
+final class JobAdmission {
+  private JobAdmission() {}
 
   /** Why the job can never run, or null if it can. */
-  static String impossible(JobSpec job, Map<String, Team> teams, Collection<MachineType> types) {
-    Team team = teams.get(job.team());
+  static String impossible(
+      JobSpec job, Map<String, TeamQuota> teams, Collection<MachineType> types) {
+    TeamQuota team = teams.get(job.team());
     if (team == null) {
       return "unknown team";
     }
@@ -28,7 +29,8 @@
     if (!fits) {
       return "a task fits no allowed machine type";
     }
-    Resources atOnce = job.kind() == Kind.ARRAY ? job.perTask() : job.perTask().times(job.tasks());
+    Resources atOnce =
+        job.kind() == JobKind.ARRAY ? job.perTask() : job.perTask().times(job.tasks());
     if (!team.allows(atOnce)) {
       return "more than the team's limit";
     }
--- a/src/main/java/madderrudder/service/UserDesk.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import madderrudder.coordination.dealings.Catalog;
+import madderrudder.coordination.cloud.MachineTypeCatalog;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.persistence.JobRecords;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.LiveJobChecker;
@@ -19,8 +19,8 @@
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
-import madderrudder.protocol.MeshFrame.JobProgress;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.PeerMessage.JobProgress;
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Write;
@@ -32,7 +32,7 @@
  * so no node can give an older answer than another; only endings, which never change, are
  * remembered.
  */
-final class UserDesk {
+final class JobEndpoint {
   private static final int MOST_REMEMBERED = 5_000;
   private static final int MOST_SEEN_LIVE = 2_000;
 
@@ -44,12 +44,12 @@
 
   private final Scheduler scheduler;
   private final StoreClient store;
-  private final Catalog catalog;
-  private final Map<String, Team> teams;
+  private final MachineTypeCatalog catalog;
+  private final Map<String, TeamQuota> teams;
   private final int mostValueBytes;
   private final Function<String, JobProgress> progress;
   private final LiveJobChecker checks;
-  private final Returns returns = new Returns();
+  private final RetryAfterPolicy returns = new RetryAfterPolicy();
   private final Map<String, JobRecords.Finished> remembered = bounded(MOST_REMEMBERED);
 
   /**
@@ -61,11 +61,11 @@
   /** What the store says of a job: live, finished, or neither. */
   private record Known(JobRecords.Live live, long version, JobRecords.Finished finished) {}
 
-  UserDesk(
+  JobEndpoint(
       Scheduler scheduler,
       StoreClient store,
-      Catalog catalog,
-      Map<String, Team> teams,
+      MachineTypeCatalog catalog,
+      Map<String, TeamQuota> teams,
       Deployment.StateLimits limits,
       Function<String, JobProgress> progress) {
     this.scheduler = scheduler;
@@ -107,14 +107,14 @@
     try {
       fields = Json.readObject(body);
       id = JobCodec.readId(fields);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       answer.accept(HttpResponse.of(400, Json.error(e.getMessage())));
       return;
     }
     JobSpec spec;
     try {
       spec = JobCodec.read(fields);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       refuse(id, HttpResponse.of(400, Json.error(e.getMessage())), answer);
       return;
     }
@@ -122,7 +122,7 @@
       refuse(id, unavailable("the machine types are not known yet"), answer);
       return;
     }
-    String impossible = JobRules.impossible(spec, teams, catalog.types().values());
+    String impossible = JobAdmission.impossible(spec, teams, catalog.types().values());
     if (impossible != null) {
       refuse(id, HttpResponse.of(422, Json.error(impossible)), answer);
       return;
@@ -294,7 +294,7 @@
       Known known = new Known(JobRecords.readLive(item.value()), item.version(), null);
       seenLive.put(id, known);
       return known;
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       return null;
     }
   }
@@ -310,7 +310,7 @@
       JobRecords.Finished end = JobRecords.readFinished(reply.value().value());
       remembered.put(id, end);
       return new Known(null, 0, end);
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       return null;
     }
   }
--- a/src/main/java/madderrudder/service/Returns.java
+++ b/src/main/java/madderrudder/service/RetryAfterPolicy.java
@@ -5,7 +5,7 @@
  * return in a second, at once again, each time for as many as the store takes in a second. They are
  * spread over as many seconds as it takes to serve those who were refused lately.
  */
-final class Returns {
+final class RetryAfterPolicy {
   private static final long SECOND_MICROS = 1_000_000;
 
   /**
--- a/src/main/java/madderrudder/service/Detours.java
+++ b/src/main/java/madderrudder/service/WorkerRedirects.java
@@ -12,7 +12,7 @@
  * time on it before. Where several of a zone were back lately, others of the zone are not sent in
  * vain first.
  */
-final class Detours {
+final class WorkerRedirects {
   /**
    * A worker waits four seconds for an answer and one more before it tries the next node, of which
    * there may be two.
@@ -42,7 +42,7 @@
   private record Detour(boolean served, long untilMicros) {}
 
   /** {@code most} workers are remembered: as many as can be connected. */
-  Detours(RandomGenerator random, int most) {
+  WorkerRedirects(RandomGenerator random, int most) {
     this.random = random;
     this.most = most;
   }
--- a/src/main/java/madderrudder/service/WriteShares.java
+++ b/src/main/java/madderrudder/service/WriteRateAllocator.java
@@ -9,7 +9,7 @@
  * Each controller works its own share out from what it has heard lately; one that is not heard
  * keeps an equal part, so that together they never take more.
  */
-final class WriteShares {
+final class WriteRateAllocator {
   private static final long FRESH_MICROS = 2_000_000;
   private static final double RECENT_WEIGHT = 0.5;
 
@@ -28,7 +28,7 @@
 
   private record Heard(double wanted, long atMicros) {}
 
-  WriteShares(double usersPerSecond, int members) {
+  WriteRateAllocator(double usersPerSecond, int members) {
     this.usersPerSecond = usersPerSecond;
     this.members = members;
   }
--- a/src/main/java/madderrudder/transport/Loop.java
+++ b/src/main/java/madderrudder/transport/EventLoop.java
@@ -13,8 +13,8 @@
  * The one thread that owns all state. It is handed to the asynchronous channel group as its pool,
  * so completion handlers arrive here directly and nothing else needs a lock.
  */
-public final class Loop extends AbstractExecutorService implements Scheduler {
-  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoop extends AbstractExecutorService implements Scheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
   private static final int TURN = 64;
 
   private final ConcurrentLinkedQueue<Runnable> ready = new ConcurrentLinkedQueue<>();
--- a/src/main/java/madderrudder/transport/HttpClient.java
+++ b/src/main/java/madderrudder/transport/HttpClient.java
@@ -13,7 +13,7 @@
  * Sends requests over kept connections, one request at a time on each. A connection is reused only
  * while it is young in idleness, so that one the peer has dropped is rarely met.
  */
-public final class HttpClient implements HttpCalls {
+public final class HttpClient implements HttpCaller {
   private static final long REUSE_MICROS = 30_000_000;
   private static final int KEEP = 4;
 
--- a/src/main/java/madderrudder/transport/HttpClientConnection.java
+++ b/src/main/java/madderrudder/transport/HttpClientConnection.java
@@ -67,7 +67,7 @@
     waiting = answer;
     sent = false;
     deadline = scheduler.after(timeoutMicros, this::fail);
-    ByteBuffer out = HttpHeads.request(address, request);
+    ByteBuffer out = HttpMessageWriter.request(address, request);
     if (connected) {
       write(out);
       return;
