--- a/src/main/java/madderrudder/transport/HttpExchange.java
+++ b/src/main/java/madderrudder/transport/HttpHandler.java
@@ -3,6 +3,6 @@
 import java.util.function.Consumer;
 
 /** What answers requests. The answer may come later, but comes at most once. */
-public interface HttpExchange {
+public interface HttpHandler {
   void handle(HttpRequest request, Consumer<HttpResponse> answer);
 }
--- a/src/main/java/madderrudder/transport/HttpHeads.java
+++ b/src/main/java/madderrudder/transport/HttpMessageWriter.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Renders messages, head and body in one buffer so that a message costs one write. */
-final class HttpHeads {
-  private HttpHeads() {}
+final class HttpMessageWriter {
+  private HttpMessageWriter() {}
 
   static ByteBuffer request(String address, HttpRequest request) {
     StringBuilder head = new StringBuilder(128);
--- a/src/main/java/madderrudder/transport/HttpServer.java
+++ b/src/main/java/madderrudder/transport/HttpServer.java
@@ -22,7 +22,7 @@
   private static final long SWEEP_MICROS = 5_000_000;
 
   private final Scheduler scheduler;
-  private final HttpExchange exchange;
+  private final HttpHandler exchange;
   private final int maxConnections;
   private final AsynchronousServerSocketChannel listener;
   private final Set<HttpServerConnection> open = new LinkedHashSet<>();
@@ -32,7 +32,7 @@
       AsynchronousChannelGroup group,
       InetSocketAddress listen,
       int maxConnections,
-      HttpExchange exchange)
+      HttpHandler exchange)
       throws IOException {
     this.scheduler = scheduler;
     this.exchange = exchange;
--- a/src/main/java/madderrudder/transport/HttpServerConnection.java
+++ b/src/main/java/madderrudder/transport/HttpServerConnection.java
@@ -14,7 +14,7 @@
 
   private final Scheduler scheduler;
   private final AsynchronousSocketChannel channel;
-  private final HttpExchange exchange;
+  private final HttpHandler exchange;
   private final Consumer<HttpServerConnection> onClose;
   private final HttpParser parser = HttpParser.forRequests(MAX_BODY);
   private final ByteBuffer in = ByteBuffer.allocate(4096);
@@ -25,7 +25,7 @@
   HttpServerConnection(
       Scheduler scheduler,
       AsynchronousSocketChannel channel,
-      HttpExchange exchange,
+      HttpHandler exchange,
       Consumer<HttpServerConnection> onClose) {
     this.scheduler = scheduler;
     this.channel = channel;
@@ -98,7 +98,7 @@
   }
 
   private void write(HttpResponse response, boolean thenClose) {
-    ByteBuffer out = HttpHeads.response(response, thenClose);
+    ByteBuffer out = HttpMessageWriter.response(response, thenClose);
     channel.write(
         out,
         null,
--- a/src/main/java/madderrudder/transport/Peers.java
+++ b/src/main/java/madderrudder/transport/PeerMessenger.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** Sends frames to the other controllers; they may be lost, and may come late. */
-public interface Peers {
+public interface PeerMessenger {
   /** To all of them that can be reached. */
   void broadcast(ByteBuffer frame);
 
--- a/src/main/java/madderrudder/transport/Mesh.java
+++ b/src/main/java/madderrudder/transport/PeerTransport.java
@@ -20,8 +20,8 @@
  * Length-prefixed frames between controllers, each over a connection that its sender opens. Nothing
  * here is relied on for safety: a frame that can't be sent is dropped.
  */
-public final class Mesh implements Peers {
-  private static final Logger LOG = LoggerFactory.getLogger(Mesh.class);
+public final class PeerTransport implements PeerMessenger {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerTransport.class);
   private static final long RETRY_MICROS = 1_000_000;
   private static final long STUCK_MICROS = 3_000_000;
   private static final long ACCEPT_PAUSE_MICROS = 200_000;
@@ -42,7 +42,7 @@
   private final Map<String, Link> links = new LinkedHashMap<>();
   private final Deque<Incoming> incoming = new ArrayDeque<>();
 
-  public Mesh(
+  public PeerTransport(
       Scheduler scheduler,
       AsynchronousChannelGroup group,
       InetSocketAddress listen,
@@ -95,7 +95,7 @@
 
           @Override
           public void failed(Throwable cause, Void unused) {
-            scheduler.after(ACCEPT_PAUSE_MICROS, Mesh.this::accept);
+            scheduler.after(ACCEPT_PAUSE_MICROS, PeerTransport.this::accept);
           }
         });
   }
--- a/src/test/java/madderrudder/LayersTest.java
+++ b/src/test/java/madderrudder/LayersTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The rooms of the house: who may use whom. What a room may use is written out here; all else of
- * the project it may not.
+ * The layers of the program: which package may use which. What a package may use is written out
+ * here; all else of the project it may not.
  */
 class LayersTest {
   private static final JavaClasses ALL =
@@ -37,12 +37,22 @@
         "coordination.reconciliation|protocol coordination.policy coordination.state",
         "coordination.scheduling|protocol estimates coordination.policy coordination.state coordination.reconciliation",
         "coordination.membership|transport protocol persistence coordination.policy",
-        "coordination.dealings|transport protocol estimates persistence metrics coordination.policy coordination.state "
-            + "coordination.reconciliation coordination.scheduling coordination.membership",
-        "service|transport protocol persistence metrics coordination.policy coordination.membership coordination.dealings",
-        "cli|transport protocol estimates persistence metrics coordination.policy coordination.membership coordination.dealings service"
+        "coordination.cloud|transport protocol persistence coordination.state",
+        "coordination.registry|transport protocol estimates persistence metrics coordination.policy coordination.state "
+            + "coordination.membership coordination.cloud",
+        "coordination.scaleout|transport protocol persistence coordination.policy coordination.state "
+            + "coordination.reconciliation coordination.scheduling coordination.membership coordination.cloud coordination.registry",
+        "coordination.heartbeat|transport protocol estimates metrics coordination.policy coordination.state "
+            + "coordination.reconciliation coordination.membership coordination.registry coordination.scaleout",
+        "coordination.leader|transport protocol persistence metrics coordination.policy coordination.state "
+            + "coordination.reconciliation coordination.scheduling coordination.membership coordination.cloud "
+            + "coordination.registry coordination.scaleout coordination.heartbeat",
+        "config|transport protocol coordination.policy",
+        "service|transport protocol persistence metrics config coordination.policy coordination.membership "
+            + "coordination.cloud coordination.registry coordination.leader",
+        "cli|transport protocol estimates persistence metrics config coordination.policy coordination.membership service"
       })
-  void usesNothingAboveIt(String room, String below) {
+  void usesNothingAboveIt(String layer, String below) {
     List<String> allowed =
         new java.util.ArrayList<>(
             List.of(
@@ -51,13 +61,13 @@
                 "org.slf4j..",
                 "org.HdrHistogram..",
                 "org.apache.commons.cli..",
-                "madderrudder." + room));
+                "madderrudder." + layer));
     if (below != null) {
       List.of(below.split(" ")).forEach(name -> allowed.add("madderrudder." + name));
     }
     classes()
         .that()
-        .resideInAPackage("madderrudder." + room)
+        .resideInAPackage("madderrudder." + layer)
         .should()
         .onlyDependOnClassesThat()
         .resideInAnyPackage(allowed.toArray(String[]::new))
@@ -65,8 +75,8 @@
   }
 
   /**
-   * Decisions get picture, clock and policy as data: nothing in them reaches the outside, or asks
-   * what time it is.
+   * Decisions get the cluster state, the clock and the policy as data: nothing in them reaches the
+   * outside, or asks what time it is.
    */
   @Test
   void decisionsArePure() {
@@ -95,7 +105,7 @@
   }
 
   @Test
-  void noRoomsUseEachOtherInACircle() {
+  void packagesAreFreeOfCycles() {
     slices().matching("madderrudder.(**)").should().beFreeOfCycles().check(ALL);
   }
 }
--- a/src/test/java/madderrudder/cli/PackagedProgramIT.java
+++ b/src/test/java/madderrudder/cli/PackagedProgramIT.java
@@ -22,10 +22,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.zip.ZipEntry;
-import madderrudder.service.SettingsTest;
+import madderrudder.config.SettingsTest;
 import madderrudder.sim.LoopbackWorld;
+import madderrudder.transport.EventLoop;
 import madderrudder.transport.HttpServer;
-import madderrudder.transport.Loop;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -141,7 +141,7 @@
 
   @Test
   void servesUsersOverRealSockets() throws Exception {
-    Loop loop = new Loop();
+    EventLoop loop = new EventLoop();
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
     LoopbackWorld world = new LoopbackWorld(loop);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/src/test/java/madderrudder/service/SettingsPropertiesTest.java
+++ b/src/test/java/madderrudder/config/SettingsPropertiesTest.java
@@ -1,4 +1,4 @@
-package madderrudder.service;
+package madderrudder.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,10 +8,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
+import madderrudder.config.SExpression.Atom;
+import madderrudder.config.SExpression.Items;
+import madderrudder.config.SExpression.Malformed;
 import madderrudder.protocol.Documents;
-import madderrudder.service.SExpression.Atom;
-import madderrudder.service.SExpression.Items;
-import madderrudder.service.SExpression.Malformed;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
@@ -140,8 +140,8 @@
   void platformSettingsAreTakenOrEachProblemIsNamed(@ForAll("platformSettings") byte[] text) {
     boolean taken = true;
     try {
-      Settings.parse(text);
-    } catch (Settings.Invalid e) {
+      PlatformSettings.parse(text);
+    } catch (PlatformSettings.Invalid e) {
       taken = false;
       assertFalse(e.problems().isEmpty());
       assertTrue(e.problems().stream().noneMatch(String::isBlank), e.getMessage());
--- a/src/test/java/madderrudder/service/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -1,4 +1,4 @@
-package madderrudder.service;
+package madderrudder.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.protocol.Resources;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,13 +27,13 @@
               "cloud":{"rps":2.0,"list_lag_s":4.0},"limits":{"max_sockets":900},"clock_off_ms":250.0}}
             """;
 
-  private static Settings parse(String text) throws Settings.Invalid {
-    return Settings.parse(text.getBytes(StandardCharsets.UTF_8));
+  private static PlatformSettings parse(String text) throws PlatformSettings.Invalid {
+    return PlatformSettings.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void readsWhatThePlatformHandsOver() throws Settings.Invalid {
-    Settings settings = parse(GOOD);
+  void readsWhatThePlatformHandsOver() throws PlatformSettings.Invalid {
+    PlatformSettings settings = parse(GOOD);
     assertEquals(14_000_000, settings.deployment().workers().leaseMicros());
     assertEquals(2, settings.deployment().members());
     assertEquals(900, settings.maxSockets());
@@ -41,8 +41,8 @@
 
   /** Teams shared out by accelerators alone have a limit of 0 processors, which stands for none. */
   @Test
-  void aLimitOfNoneLeavesTheResourceFree() throws Settings.Invalid {
-    Team team =
+  void aLimitOfNoneLeavesTheResourceFree() throws PlatformSettings.Invalid {
+    TeamQuota team =
         parse(
                 GOOD.replace(
                     "\"cpus\":32.0,\"cpus_max\":72.0,\"gpus\":0.0,\"gpus_max\":0.0",
@@ -54,7 +54,7 @@
     assertFalse(team.allows(Resources.of(1, 21, 0)));
     assertTrue(team.guarantees(Resources.of(5_000, 9, 0)));
     assertFalse(team.guarantees(Resources.of(1, 10, 0)));
-    Team free =
+    TeamQuota free =
         parse(GOOD.replace("\"cpus\":32.0", "\"cpus\":0.0")).deployment().teams().get("alto");
     assertFalse(free.guarantees(Resources.of(1, 0, 0)));
     assertFalse(free.allows(Resources.of(73, 0, 0)));
@@ -62,9 +62,9 @@
 
   @Test
   void namesEveryProblemAtOnce() {
-    Settings.Invalid invalid =
+    PlatformSettings.Invalid invalid =
         assertThrows(
-            Settings.Invalid.class,
+            PlatformSettings.Invalid.class,
             () ->
                 parse(
                     GOOD.replace("\"lease_s\":14.0", "\"lease_s\":0")
@@ -80,22 +80,22 @@
 
   @Test
   void refusesTimesWithoutASafeBound() {
-    Settings.Invalid invalid =
+    PlatformSettings.Invalid invalid =
         assertThrows(
-            Settings.Invalid.class,
+            PlatformSettings.Invalid.class,
             () -> parse(GOOD.replace("\"cancel_s\":44.0", "\"cancel_s\":18.0")));
     assertTrue(invalid.getMessage().contains("cancel_s"));
   }
 
   @Test
   void readsTheOperatorsFile() throws SExpression.Malformed {
-    Policy policy =
+    OperatorPolicy policy =
         OperatorSettings.parse(
             "; ours\n(madderrudder (threshold-s 2.5) (budget \"7\") (spot never))");
     assertEquals(2_500_000, policy.thresholdMicros());
     assertEquals(7, policy.budget());
-    assertEquals(Policy.SpotMode.NEVER, policy.spotMode());
-    assertEquals(Policy.defaults().idleMicros(), policy.idleMicros());
+    assertEquals(OperatorPolicy.SpotMode.NEVER, policy.spotMode());
+    assertEquals(OperatorPolicy.defaults().idleMicros(), policy.idleMicros());
   }
 
   @ParameterizedTest
--- a/src/test/java/madderrudder/coordination/membership/GrantModel.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationModel.java
@@ -11,7 +11,7 @@
  * held for as long as it pleases. Whole ticks stand for time; clocks are exact here, since the
  * code's margins take up their drift. docs/deputies.md.
  */
-final class GrantModel {
+final class DelegationModel {
   // How long may be answered without news, a hold, and how long a leader is quiet before its deputy
   // answers; a
   // cancelled task must be gone within a lease and the first of these.
@@ -57,7 +57,7 @@
     }
   }
 
-  GrantModel(int deputies, int lease, Fault fault) {
+  DelegationModel(int deputies, int lease, Fault fault) {
     this.deputies = deputies;
     this.lease = lease;
     this.fault = fault;
@@ -356,7 +356,7 @@
     return true;
   }
 
-  /** As {@link Deputies#dropped}. */
+  /** As {@link DelegationTracker#dropped}. */
   private boolean dropped(byte[] s, int leader) {
     int end = s[ANSWERED + leader] + lease;
     for (int d = 0; d < deputies; d++) {
--- a/src/test/java/madderrudder/coordination/membership/GrantModelTest.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationModelTest.java
@@ -3,14 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import madderrudder.coordination.membership.GrantModel.Fault;
-import madderrudder.coordination.membership.GrantModel.Story;
+import madderrudder.coordination.membership.DelegationModel.Fault;
+import madderrudder.coordination.membership.DelegationModel.Story;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A longer search: {@code mvn test -Dtest=GrantModelTest -DargLine="-DmodelTicks=2 -Xmx8g"}. */
+/**
+ * A longer search: {@code mvn test -Dtest=DelegationModelTest -DargLine="-DmodelTicks=2 -Xmx8g"}.
+ */
 @Timeout(600)
-class GrantModelTest {
+class DelegationModelTest {
   private static final int MORE_TICKS = Integer.getInteger("modelTicks", 0);
   private static final int MOST_STATES = 20_000_000;
   private static final Story CALM = new Story(false, false, false);
@@ -19,7 +21,8 @@
   private static final Story SECOND_LEADER = new Story(true, false, false);
 
   private static String explore(int deputies, int lease, Story story, int ticks, Fault fault) {
-    return new GrantModel(deputies, lease, fault).explore(story, ticks + MORE_TICKS, MOST_STATES);
+    return new DelegationModel(deputies, lease, fault)
+        .explore(story, ticks + MORE_TICKS, MOST_STATES);
   }
 
   private static void holds(int leastStates, String found) {
--- a/src/test/java/madderrudder/coordination/membership/DeputiesTest.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationTest.java
@@ -7,27 +7,27 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import madderrudder.coordination.policy.Safety;
-import madderrudder.protocol.MeshFrame;
-import madderrudder.protocol.MeshFrame.Answer;
-import madderrudder.protocol.MeshFrame.Answered;
-import madderrudder.protocol.MeshFrame.Echo;
-import madderrudder.protocol.MeshFrame.Standing;
-import madderrudder.protocol.WorkerReport;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessage.DelegatedRenewals;
+import madderrudder.protocol.PeerMessage.LeaseRenewal;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.StampEcho;
 import madderrudder.transport.Scheduler;
 import org.junit.jupiter.api.Test;
 
 /**
  * Grants on both sides: when a deputy may answer, and when its leader may take a worker for empty.
  */
-class DeputiesTest {
+class DelegationTest {
   private static final long SECOND = 1_000_000;
   private static final long LEASE = 10 * SECOND;
   private static final long LIFE = 7;
 
-  private static final Safety SAFETY = new Safety(LEASE, 20 * SECOND);
+  private static final SafetyBounds SAFETY = new SafetyBounds(LEASE, 20 * SECOND);
 
-  private final Deputies deputies = new Deputies(SAFETY, 0);
+  private final DelegationTracker deputies = new DelegationTracker(SAFETY, 0);
   private long nowMicros = 100 * SECOND;
   private final Scheduler clock =
       new Scheduler() {
@@ -51,19 +51,19 @@
           action.run();
         }
       };
-  private final Deputy deputy = new Deputy(clock, SAFETY, "n-1", LIFE);
+  private final HeartbeatDelegate deputy = new HeartbeatDelegate(clock, SAFETY, "n-1", LIFE);
 
-  private static Standing says(long life, int parts) {
-    return new Standing("n-1", life, 5, 0, 3, 0, parts, List.of());
+  private static MembershipStatus says(long life, int parts) {
+    return new MembershipStatus("n-1", life, 5, 0, 3, 0, parts, List.of());
   }
 
-  private static Echo stamp(long micros) {
-    return new Echo("n-0", 1, micros);
+  private static StampEcho stamp(long micros) {
+    return new StampEcho("n-0", 1, micros);
   }
 
-  private Standing grant(long term, long forMicros, long life, long stampMicros) {
-    return new Standing(
-        "n-0", 1, 55, 0, term, forMicros, 0, List.of(new Echo("n-1", life, stampMicros)));
+  private MembershipStatus grant(long term, long forMicros, long life, long stampMicros) {
+    return new MembershipStatus(
+        "n-0", 1, 55, 0, term, forMicros, 0, List.of(new StampEcho("n-1", life, stampMicros)));
   }
 
   @Test
@@ -80,7 +80,7 @@
   @Test
   void aDeputyThatIsHeardCostsNoTime() {
     deputies.heard(says(LIFE, 0), stamp(0), 0);
-    assertTrue(deputies.grant(new Echo("n-1", LIFE, 0), 15 * SECOND));
+    assertTrue(deputies.grant(new StampEcho("n-1", LIFE, 0), 15 * SECOND));
     assertFalse(deputies.dropped(0, LEASE + 1));
     assertFalse(deputies.dropped(0, 25 * SECOND));
     assertTrue(deputies.dropped(0, 25 * SECOND + 1));
@@ -99,14 +99,15 @@
   @Test
   void whatOneMayHaveAnsweredIsWaitedForWithTheOther() {
     deputies.heard(says(LIFE, 0), stamp(0), 0);
-    assertTrue(deputies.grant(new Echo("n-1", LIFE, 0), 8 * SECOND));
-    deputies.heard(new Standing("n-2", 9, 5, 0, 3, 0, 0, List.of()), stamp(8 * SECOND), 8 * SECOND);
-    assertTrue(deputies.grant(new Echo("n-2", 9, 0), 15 * SECOND));
+    assertTrue(deputies.grant(new StampEcho("n-1", LIFE, 0), 8 * SECOND));
+    deputies.heard(
+        new MembershipStatus("n-2", 9, 5, 0, 3, 0, 0, List.of()), stamp(8 * SECOND), 8 * SECOND);
+    assertTrue(deputies.grant(new StampEcho("n-2", 9, 0), 15 * SECOND));
     assertFalse(
         deputies.dropped(0, 18 * SECOND + 1), "n-2 has told of its answers up to 10.5 s only");
     assertTrue(deputies.dropped(0, 25 * SECOND + 1));
     deputies.heard(
-        new Standing("n-2", 9, 6, 0, 3, 0, 0, List.of()), stamp(18 * SECOND), 18 * SECOND);
+        new MembershipStatus("n-2", 9, 6, 0, 3, 0, 0, List.of()), stamp(18 * SECOND), 18 * SECOND);
     assertTrue(deputies.dropped(0, 18 * SECOND + 1));
   }
 
@@ -114,11 +115,11 @@
   @Test
   void aWordWithAPartMissingProvesNothing() {
     deputies.heard(says(LIFE, 0), stamp(0), 0);
-    assertTrue(deputies.grant(new Echo("n-1", LIFE, 0), 15 * SECOND));
-    deputies.heard(new Answered("n-1", LIFE, 5, List.of(new Answer("m-1", 0))));
+    assertTrue(deputies.grant(new StampEcho("n-1", LIFE, 0), 15 * SECOND));
+    deputies.heard(new DelegatedRenewals("n-1", LIFE, 5, List.of(new LeaseRenewal("m-1", 0))));
     deputies.heard(says(LIFE, 2), stamp(LEASE), LEASE);
     assertFalse(deputies.dropped(0, LEASE + 1));
-    deputies.heard(new Answered("n-1", LIFE, 5, List.of(new Answer("m-1", 0))));
+    deputies.heard(new DelegatedRenewals("n-1", LIFE, 5, List.of(new LeaseRenewal("m-1", 0))));
     deputies.heard(says(LIFE, 2), stamp(LEASE), LEASE);
     assertTrue(deputies.dropped(0, LEASE + 1));
   }
@@ -130,9 +131,9 @@
   @Test
   void aRestartEndsTheGrantAndALateWordOfAnEarlierProcessDoesNot() {
     deputies.heard(says(LIFE, 0), stamp(0), SECOND);
-    assertTrue(deputies.grant(new Echo("n-1", LIFE, 0), 30 * SECOND));
+    assertTrue(deputies.grant(new StampEcho("n-1", LIFE, 0), 30 * SECOND));
     assertFalse(
-        deputies.grant(new Echo("n-1", LIFE + 1, 0), 31 * SECOND),
+        deputies.grant(new StampEcho("n-1", LIFE + 1, 0), 31 * SECOND),
         "no such process is known to live");
     deputies.heard(says(LIFE + 1, 0), stamp(SECOND - 1), 2 * SECOND);
     assertFalse(deputies.dropped(0, 13 * SECOND));
@@ -142,7 +143,7 @@
     // The late word of the first process neither brings its grant back nor counts as the second
     // one's.
     deputies.heard(says(LIFE, 0), stamp(2 * SECOND), 5 * SECOND);
-    assertFalse(deputies.grant(new Echo("n-1", LIFE, 0), 31 * SECOND));
+    assertFalse(deputies.grant(new StampEcho("n-1", LIFE, 0), 31 * SECOND));
     assertTrue(deputies.dropped(0, 14 * SECOND + 1));
   }
 
@@ -150,14 +151,14 @@
   @Test
   void aRestartSoonAfterItsLastWordCostsNoTime() {
     deputies.heard(says(LIFE, 0), stamp(8 * SECOND), 8 * SECOND);
-    assertTrue(deputies.grant(new Echo("n-1", LIFE, 0), 30 * SECOND));
+    assertTrue(deputies.grant(new StampEcho("n-1", LIFE, 0), 30 * SECOND));
     deputies.heard(
-        new Standing("n-1", LIFE + 1, 5, SECOND, 3, 0, 0, List.of()),
+        new MembershipStatus("n-1", LIFE + 1, 5, SECOND, 3, 0, 0, List.of()),
         stamp(11 * SECOND),
         11 * SECOND);
-    assertTrue(deputies.grant(new Echo("n-1", LIFE + 1, 0), 40 * SECOND));
+    assertTrue(deputies.grant(new StampEcho("n-1", LIFE + 1, 0), 40 * SECOND));
     deputies.heard(
-        new Standing("n-1", LIFE + 1, 6, SECOND, 3, 0, 0, List.of()),
+        new MembershipStatus("n-1", LIFE + 1, 6, SECOND, 3, 0, 0, List.of()),
         stamp(11 * SECOND),
         11 * SECOND);
     assertTrue(deputies.dropped(0, 11 * SECOND));
@@ -207,7 +208,7 @@
     deputy.take(grant(4, SECOND, LIFE, 102 * SECOND), 4);
     deputy.take(grant(5, 0, LIFE, 140 * SECOND), 5);
     deputy.take(grant(5, 50 * SECOND, LIFE + 1, 140 * SECOND), 5);
-    assertEquals(100 * SECOND + Safety.shortened(20 * SECOND), deputy.harmlessUntilMicros());
+    assertEquals(100 * SECOND + SafetyBounds.shortened(20 * SECOND), deputy.harmlessUntilMicros());
     deputy.harmlessUntil(125 * SECOND);
     deputy.harmlessUntil(110 * SECOND);
     assertEquals(125 * SECOND, deputy.harmlessUntilMicros());
@@ -219,10 +220,10 @@
    */
   @Test
   void othersStandBackInTwoRounds() {
-    StoodBack stoodBack = new StoodBack(3, Set.of("n-1", "n-2"));
-    Standing one = says(LIFE, 0);
-    Standing two = new Standing("n-2", 1, 5, 0, 3, 0, 0, List.of());
-    Standing unknowing = new Standing("n-1", LIFE + 1, 5, 0, 2, 0, 0, List.of());
+    TermAcknowledgements stoodBack = new TermAcknowledgements(3, Set.of("n-1", "n-2"));
+    MembershipStatus one = says(LIFE, 0);
+    MembershipStatus two = new MembershipStatus("n-2", 1, 5, 0, 3, 0, 0, List.of());
+    MembershipStatus unknowing = new MembershipStatus("n-1", LIFE + 1, 5, 0, 2, 0, 0, List.of());
     assertFalse(stoodBack.heard(one, stamp(9 * SECOND), 10 * SECOND));
     assertFalse(stoodBack.heard(one, stamp(11 * SECOND), 11 * SECOND), "the other has not said it");
     assertFalse(stoodBack.heard(two, stamp(11 * SECOND), 12 * SECOND));
@@ -239,8 +240,8 @@
         stoodBack.all() && !stoodBack.heard(one, stamp(15 * SECOND), 16 * SECOND), "said once");
   }
 
-  private static WorkerReport report(String machine, long seq) {
-    return new WorkerReport(machine, "", "box", "east", false, 1, seq, 3, -1, List.of());
+  private static Heartbeat report(String machine, long seq) {
+    return new Heartbeat(machine, "", "box", "east", false, 1, seq, 3, -1, List.of());
   }
 
   /**
@@ -257,17 +258,18 @@
         deputy.answers(report("m-000001", 4)) || deputy.answers(report("m-000002", 3)),
         "a copy was answered");
     assertTrue(deputy.answers(report("m-000000", 5)));
-    List<MeshFrame> frames = deputy.frames(3, 0, List.of());
+    List<PeerMessage> frames = deputy.frames(3, 0, List.of());
     List<String> told = new ArrayList<>();
-    for (MeshFrame frame : frames) {
-      assertTrue(MeshFrame.encode(frame).remaining() < MeshFrame.MAX_BYTES);
-      if (frame instanceof Answered part) {
+    for (PeerMessage frame : frames) {
+      assertTrue(PeerMessage.encode(frame).remaining() < PeerMessage.MAX_BYTES);
+      if (frame instanceof DelegatedRenewals part) {
         part.answers().forEach(answer -> told.add(answer.machine() + " " + answer.agoMillis()));
       }
     }
     assertEquals(9_000, told.size());
     assertTrue(told.contains("m-000001 1000") && told.contains("m-000000 0"));
-    assertEquals(frames.size() - 1, ((Standing) frames.get(frames.size() - 1)).answeredParts());
+    assertEquals(
+        frames.size() - 1, ((MembershipStatus) frames.get(frames.size() - 1)).answeredParts());
     nowMicros += LEASE + 2 * SECOND;
     assertEquals(1, deputy.frames(3, 0, List.of()).size() - 1);
   }
--- a/src/test/java/madderrudder/coordination/reconciliation/ConfidenceTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ConfidenceTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Objectives;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.ServiceLevelObjectives;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.EstimatedRunTimes;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
@@ -27,7 +27,7 @@
   private static final MachineType TYPE =
       new MachineType(
           "small", Resources.of(4, 0, 16), 30, 1, 1, 0.5, 10 * SECOND, List.of("east", "west"));
-  private final Team team = new Team("alto", Resources.NONE, Resources.of(100, 0, 0));
+  private final TeamQuota team = new TeamQuota("alto", Resources.NONE, Resources.of(100, 0, 0));
   private final Cluster cluster =
       new Cluster(
           new Deployment(
@@ -38,7 +38,7 @@
               new Deployment.CloudLimits(1, SECOND),
               3,
               0,
-              Objectives.none()),
+              ServiceLevelObjectives.none()),
           new EstimatedRunTimes());
 
   /** Twenty machines in a zone that were up long ago, of which some have reported. */
@@ -59,7 +59,7 @@
             "req-000001",
             "class",
             "alto",
-            Kind.ARRAY,
+            JobKind.ARRAY,
             Priority.NORMAL,
             1,
             Resources.of(1, 0, 1),
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -17,7 +17,7 @@
  * step: every course of events, with reports and direct starts that are held for as long as it
  * pleases, and come again as copies. What a leader concludes is asked of the very {@link
  * TaskReconciler} that the service uses. That a leader takes a lease for ended only once it has is
- * taken for granted here: {@code GrantModel} explores that.
+ * taken for granted here: {@code DelegationModel} explores that.
  */
 final class ReconciliationModel {
   private static final int MACHINES = 2;
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
@@ -10,26 +10,26 @@
 import java.util.Map;
 import java.util.Set;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Objectives;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Safety;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.coordination.policy.ServiceLevelObjectives;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.EstimatedRunTimes;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
-import madderrudder.coordination.state.Rental;
-import madderrudder.coordination.state.RentalRequestLimits;
 import madderrudder.coordination.state.RunTimes;
+import madderrudder.coordination.state.ScaleOutRequest;
 import madderrudder.estimates.Run;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
-import madderrudder.protocol.TaskReport.Phase;
+import madderrudder.protocol.TaskStatus.Phase;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path of the design, decision by decision. */
@@ -38,33 +38,33 @@
   private static final MachineType TYPE =
       new MachineType(
           "box", Resources.of(4, 0, 16), 30, 1, 1.0, 0.3, 10 * SECOND, List.of("east", "west"));
-  private static final Policy POLICY =
-      new Policy(
+  private static final OperatorPolicy POLICY =
+      new OperatorPolicy(
           20 * SECOND,
           5 * SECOND,
           10,
           300 * SECOND,
           60 * SECOND,
-          Policy.SpotMode.UNCOUNTED,
+          OperatorPolicy.SpotMode.UNCOUNTED,
           3 * SECOND,
           0.5,
           0,
           false,
           false);
 
-  private final Map<String, Team> teams =
+  private final Map<String, TeamQuota> teams =
       Map.of(
-          "alto", new Team("alto", Resources.of(8, 0, 0), Resources.of(16, 0, 0)),
-          "basso", new Team("basso", Resources.of(4, 0, 0), Resources.of(16, 0, 0)),
-          "canto", new Team("canto", Resources.of(16, 0, 0), Resources.of(16, 0, 0)));
-  private final Cluster cluster = cluster(Objectives.none());
+          "alto", new TeamQuota("alto", Resources.of(8, 0, 0), Resources.of(16, 0, 0)),
+          "basso", new TeamQuota("basso", Resources.of(4, 0, 0), Resources.of(16, 0, 0)),
+          "canto", new TeamQuota("canto", Resources.of(16, 0, 0), Resources.of(16, 0, 0)));
+  private final Cluster cluster = cluster(ServiceLevelObjectives.none());
   private long attempts;
 
-  private Cluster cluster(Objectives objectives) {
+  private Cluster cluster(ServiceLevelObjectives objectives) {
     return cluster(objectives, new EstimatedRunTimes());
   }
 
-  private Cluster cluster(Objectives objectives, RunTimes runTimes) {
+  private Cluster cluster(ServiceLevelObjectives objectives, RunTimes runTimes) {
     return new Cluster(
         new Deployment(
             List.of("east", "west"),
@@ -114,11 +114,11 @@
   @Test
   void whatEndsSoonIsNotStopped() {
     Set<Assignment> ending = new HashSet<>();
-    Cluster known = cluster(Objectives.none(), new KnownRunTimes(ending));
+    Cluster known = cluster(ServiceLevelObjectives.none(), new KnownRunTimes(ending));
     Machine machine = machine("m-0", "east", true);
     known.add(machine);
-    Job old = job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 2, 2, false);
-    Job urgent = job("req-2", "basso", Kind.ARRAY, Priority.PRODUCTION, 1, 2, false);
+    Job old = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
+    Job urgent = job("req-2", "basso", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false);
     known.jobs.put("req-1", old);
     known.jobs.put("req-2", urgent);
     Assignment one = put(old, 0, machine);
@@ -127,7 +127,7 @@
     ending.add(one);
     assertEquals(Set.of(), Preemption.plan(known, POLICY, Demand.of(known, 0), SECOND));
     // It frees room for one task only.
-    known.jobs.put("req-3", job("req-3", "canto", Kind.ARRAY, Priority.PRODUCTION, 1, 2, false));
+    known.jobs.put("req-3", job("req-3", "canto", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false));
     assertEquals(Set.of(other), Preemption.plan(known, POLICY, Demand.of(known, 0), SECOND));
   }
 
@@ -137,15 +137,15 @@
   @Test
   void roomThatComesFreeIsKeptForAGang() {
     Set<Assignment> ending = new HashSet<>();
-    Cluster known = cluster(Objectives.none(), new KnownRunTimes(ending));
+    Cluster known = cluster(ServiceLevelObjectives.none(), new KnownRunTimes(ending));
     Machine free = machine("m-0", "east", true);
     Machine freeing = machine("m-1", "east", true);
     known.add(free);
     known.add(freeing);
-    Job old = job("req-1", "alto", Kind.ARRAY, Priority.LOW, 1, 3, false);
+    Job old = job("req-1", "alto", JobKind.ARRAY, Priority.LOW, 1, 3, false);
     Assignment last = put(old, 0, freeing);
-    Job gang = job("req-2", "canto", Kind.GANG, Priority.HIGH, 2, 3, false);
-    Job small = job("req-3", "basso", Kind.ARRAY, Priority.LOW, 1, 1, false);
+    Job gang = job("req-2", "canto", JobKind.GANG, Priority.HIGH, 2, 3, false);
+    Job small = job("req-3", "basso", JobKind.ARRAY, Priority.LOW, 1, 1, false);
     List.of(old, gang, small).forEach(job -> known.jobs.put(job.spec.id(), job));
     assertEquals(
         List.of(freeing),
@@ -170,7 +170,7 @@
   private Job job(
       String id,
       String team,
-      Kind kind,
+      JobKind kind,
       Priority priority,
       int tasks,
       double cpus,
@@ -217,7 +217,7 @@
     return assignment;
   }
 
-  private List<Rental> rentals(long now, int budget) {
+  private List<ScaleOutRequest> rentals(long now, int budget) {
     return ScaleOutPlanner.plan(
         cluster, POLICY, Demand.of(cluster, 0), now, budget, shelf -> 50, List.of());
   }
@@ -230,7 +230,7 @@
   @Test
   void cancellationsThatHaveNotComeThroughHoldGrantsBack() {
     Machine machine = machine("m-0", "east", true);
-    Job job = job("req-1", "canto", Kind.ARRAY, Priority.NORMAL, 3, 1, false);
+    Job job = job("req-1", "canto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
     Assignment first = put(job, 0, machine);
     Assignment second = put(job, 1, machine);
     assertEquals(100, cluster.settledMicros(100));
@@ -244,7 +244,9 @@
     assertEquals(100, cluster.settledMicros(100));
     cluster.strays(
         machine,
-        List.of(new Machine.Stray(new Machine.Key(new TaskId("req-9", 0), 1), "", Resources.NONE)));
+        List.of(
+            new Machine.OrphanTask(
+                new Machine.TaskAttempt(new TaskId("req-9", 0), 1), "", Resources.NONE)));
     assertEquals(Cluster.LONG_AGO, cluster.settledMicros(100));
     cluster.strays(machine, List.of());
     assertEquals(100, cluster.settledMicros(100));
@@ -254,7 +256,7 @@
   void freeOwnedRoomTakesEachTaskAndRentedRoomOnlyAfterTheThreshold() {
     Machine owned = machine("m-0", "east", true);
     Machine rented = machine("m-1", "east", false);
-    job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 2, 4, false);
+    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
     List<Placement> early = Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND);
     assertEquals(List.of(owned), early.stream().map(Placement::machine).toList());
     rented.heardMicros = 21 * SECOND;
@@ -266,12 +268,12 @@
   @Test
   void rentsForHeldTasksAfterTheThresholdWithinTheBudgetAndSteadyOnly() {
     Machine owned = machine("m-0", "east", true);
-    put(job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 1, 4, false), 0, owned);
-    job("req-2", "basso", Kind.ARRAY, Priority.NORMAL, 3, 4, false);
+    put(job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 4, false), 0, owned);
+    job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 3, 4, false);
     assertEquals(List.of(), rentals(19 * SECOND, 10));
     assertEquals(List.of(), rentals(21 * SECOND, 0));
-    List<Rental> rented = rentals(21 * SECOND, 2);
-    assertEquals(2, rented.stream().mapToInt(Rental::count).sum());
+    List<ScaleOutRequest> rented = rentals(21 * SECOND, 2);
+    assertEquals(2, rented.stream().mapToInt(ScaleOutRequest::count).sum());
     assertTrue(rented.stream().allMatch(r -> r.counted() && !r.spot()));
   }
 
@@ -279,14 +281,14 @@
   void bootingMachinesCountAsRoom() {
     Machine booting = machine("m-1", "east", false);
     booting.reported = false;
-    job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 2, 2, false);
+    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
     assertEquals(List.of(), rentals(SECOND, 10));
   }
 
   @Test
   void whatNoOwnedMachineFitsIsRentedForAtOnceAndNotCounted() {
-    job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 2, 2, false);
-    List<Rental> rented = rentals(0, 0);
+    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
+    List<ScaleOutRequest> rented = rentals(0, 0);
     assertEquals(1, rented.size());
     assertFalse(rented.get(0).counted());
     assertTrue(rented.get(0).spot());
@@ -297,12 +299,12 @@
     Machine east = machine("m-0", "east", true);
     machine("m-1", "east", true);
     machine("m-2", "east", true);
-    Job service = job("req-1", "alto", Kind.SERVICE, Priority.PRODUCTION, 3, 1, true);
+    Job service = job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 3, 1, true);
     put(service, 0, east);
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
     cluster.jobs.clear();
-    put(job("req-2", "basso", Kind.ARRAY, Priority.NORMAL, 1, 3, false), 0, east);
-    job("req-3", "basso", Kind.ARRAY, Priority.NORMAL, 9, 4, false);
+    put(job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 3, false), 0, east);
+    job("req-3", "basso", JobKind.ARRAY, Priority.NORMAL, 9, 4, false);
     machine("m-3", "east", true);
     machine("m-4", "west", true);
     // 3 of 16 processors are in use; three tasks of 4 still fit under the limit, a fourth does not.
@@ -313,14 +315,14 @@
   void productionStopsLowerWorkThatLosesLeastAndNothingThatComesBeforeIt() {
     Machine first = machine("m-0", "east", true);
     Machine second = machine("m-1", "east", true);
-    Job batch = job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 2, 4, false);
+    Job batch = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
     Assignment old = put(batch, 0, first);
     Assignment young = put(batch, 1, second);
     old.runningMicros = 0;
     young.runningMicros = 25 * SECOND;
     first.heardMicros = 30 * SECOND;
     second.heardMicros = 30 * SECOND;
-    job("req-2", "basso", Kind.SERVICE, Priority.PRODUCTION, 1, 1, false);
+    job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
         Set.of(young), Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 30 * SECOND));
   }
@@ -331,11 +333,11 @@
   @Test
   void stoppedWorkComesAfterWhatItWasStoppedFor() {
     Machine only = machine("m-0", "east", true);
-    Job borrower = job("req-1", "alto", Kind.ARRAY, Priority.HIGH, 4, 4, false);
+    Job borrower = job("req-1", "alto", JobKind.ARRAY, Priority.HIGH, 4, 4, false);
     Assignment stopped = put(borrower, 0, only);
     put(borrower, 1, machine("m-1", "east", true));
     put(borrower, 2, machine("m-2", "east", true));
-    Job guaranteed = job("req-2", "basso", Kind.ARRAY, Priority.NORMAL, 1, 4, false);
+    Job guaranteed = job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 4, false);
     Set<Assignment> victims = Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND);
     assertEquals(1, victims.size());
     assertEquals(borrower, victims.iterator().next().job);
@@ -355,16 +357,17 @@
   @Test
   void ordinaryWorkLeavesHeadroom() {
     // Twelve tasks are beyond the guarantee; what lies within one is exempt.
-    Cluster hasty = cluster(new Objectives(Map.of("class", SECOND), Map.of(), Map.of()));
+    Cluster hasty =
+        cluster(new ServiceLevelObjectives(Map.of("class", SECOND), Map.of(), Map.of()));
     hasty.types = cluster.types;
     for (String id : List.of("m-0", "m-1")) {
       hasty.add(heardLater(machine(id, "east", true)));
     }
-    Job ordinary = job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 12, 2, false);
+    Job ordinary = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 12, 2, false);
     hasty.jobs.put("req-1", ordinary);
     assertEquals(2, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), SECOND).size());
     assertEquals(4, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
-    hasty.jobs.put("req-2", job("req-2", "basso", Kind.ARRAY, Priority.HIGH, 4, 2, false));
+    hasty.jobs.put("req-2", job("req-2", "basso", JobKind.ARRAY, Priority.HIGH, 4, 2, false));
     assertEquals(4, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), SECOND).size());
     hasty.jobs.remove("req-2");
     // Where nothing can be rented it once waited beside that room for ever; nobody is to do so for
@@ -380,7 +383,7 @@
   @Test
   void aMachineIsPassedOverForAMinute() {
     Machine only = heardLater(machine("m-0", "east", true));
-    job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 1, 1, false);
+    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
     only.fault("req-7", SECOND, 120 * SECOND, 60 * SECOND);
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 2 * SECOND).size());
     only.fault("req-8", 2 * SECOND, 120 * SECOND, 60 * SECOND);
@@ -395,9 +398,9 @@
   void replicasSpreadOverMachines() {
     Machine crowded = machine("m-0", "east", true);
     Machine other = machine("m-1", "east", true);
-    put(job("req-1", "alto", Kind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, crowded);
-    put(job("req-2", "alto", Kind.ARRAY, Priority.NORMAL, 1, 1, false), 0, other);
-    job("req-3", "basso", Kind.SERVICE, Priority.PRODUCTION, 1, 1, false);
+    put(job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, crowded);
+    put(job("req-2", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false), 0, other);
+    job("req-3", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
         List.of(other),
         Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).stream()
@@ -411,25 +414,25 @@
   @Test
   void nothingIsStoppedWhereTheTaskMayNotGoYet() {
     put(
-        job("req-1", "basso", Kind.SERVICE, Priority.PRODUCTION, 1, 4, false),
+        job("req-1", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false),
         0,
         machine("m-0", "east", true));
     Machine rented = machine("m-1", "east", false);
-    put(job("req-2", "alto", Kind.ARRAY, Priority.LOW, 3, 4, false), 0, rented);
-    job("req-3", "alto", Kind.SERVICE, Priority.PRODUCTION, 1, 4, false);
+    put(job("req-2", "alto", JobKind.ARRAY, Priority.LOW, 3, 4, false), 0, rented);
+    job("req-3", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false);
     assertEquals(Set.of(), Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND));
     cluster.machines.values().forEach(machine -> machine.heardMicros = 21 * SECOND);
     assertEquals(1, Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 21 * SECOND).size());
   }
 
-  private static Policy at(long thresholdMicros) {
-    return new Policy(
+  private static OperatorPolicy at(long thresholdMicros) {
+    return new OperatorPolicy(
         thresholdMicros,
         SECOND,
         10,
         300 * SECOND,
         60 * SECOND,
-        Policy.SpotMode.UNCOUNTED,
+        OperatorPolicy.SpotMode.UNCOUNTED,
         3 * SECOND,
         0,
         0,
@@ -445,9 +448,9 @@
   void whatThereIsForAGangIsKeptUntilItHasAllOfIt() {
     Machine free = machine("m-0", "east", true);
     Machine partly = machine("m-1", "east", true);
-    Job small = job("req-1", "basso", Kind.ARRAY, Priority.LOW, 9, 1, false);
+    Job small = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 1, false);
     Assignment going = put(small, 0, partly);
-    Job gang = job("req-2", "alto", Kind.GANG, Priority.HIGH, 2, 4, false);
+    Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
     // Until the other machine is being emptied for it, the gang lacks one; the free one is kept.
     assertEquals(
         List.of(partly, partly, partly),
@@ -467,8 +470,8 @@
   @Test
   void nothingIsKeptForAGangThatCannotBeHeld() {
     machine("m-0", "east", true);
-    job("req-1", "alto", Kind.GANG, Priority.HIGH, 2, 4, false);
-    Job small = job("req-2", "basso", Kind.ARRAY, Priority.LOW, 4, 1, false);
+    job("req-1", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
+    Job small = job("req-2", "basso", JobKind.ARRAY, Priority.LOW, 4, 1, false);
     assertTrue(
         Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND).stream()
             .allMatch(placement -> placement.job() == small));
@@ -481,18 +484,18 @@
     Machine light = machine("m-0", "east", true);
     Machine heavy = machine("m-1", "east", true);
     Machine other = machine("m-2", "west", true);
-    Job batch = job("req-1", "basso", Kind.ARRAY, Priority.LOW, 9, 2, false);
+    Job batch = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 2, false);
     Assignment cheap = put(batch, 0, light);
     put(batch, 1, heavy);
     put(batch, 2, heavy);
     Assignment alone = put(batch, 3, other);
-    Job running = job("req-2", "alto", Kind.GANG, Priority.LOW, 1, 2, false);
+    Job running = job("req-2", "alto", JobKind.GANG, Priority.LOW, 1, 2, false);
     Assignment member = put(running, 0, other);
-    job("req-3", "alto", Kind.GANG, Priority.HIGH, 1, 4, false);
+    job("req-3", "alto", JobKind.GANG, Priority.HIGH, 1, 4, false);
     assertEquals(Set.of(cheap), Preemption.plan(cluster, at(0), Demand.of(cluster, 0), SECOND));
     cluster.jobs.remove("req-3");
     // A machine with a gang's task on it is never emptied, so a gang of three finds only two.
-    Job three = job("req-4", "canto", Kind.GANG, Priority.HIGH, 3, 4, false);
+    Job three = job("req-4", "canto", JobKind.GANG, Priority.HIGH, 3, 4, false);
     assertEquals(Set.of(), Preemption.plan(cluster, at(0), Demand.of(cluster, 0), SECOND));
     cluster.release(member, SECOND);
     cluster.jobs.remove("req-2");
@@ -508,10 +511,11 @@
    */
   @Test
   void aPromptGangComesBeforeLowerWorkWithinGuarantees() {
-    Cluster hasty = cluster(new Objectives(Map.of("class", SECOND), Map.of(), Map.of()));
+    Cluster hasty =
+        cluster(new ServiceLevelObjectives(Map.of("class", SECOND), Map.of(), Map.of()));
     for (Cluster each : List.of(cluster, hasty)) {
-      Job bulk = job("req-1", "basso", Kind.ARRAY, Priority.LOW, 1, 4, false);
-      Job gang = job("req-2", "alto", Kind.GANG, Priority.HIGH, 3, 4, false);
+      Job bulk = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 1, 4, false);
+      Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 3, 4, false);
       each.jobs.put("req-1", bulk);
       each.jobs.put("req-2", gang);
       assertEquals(Set.of(bulk), Demand.of(each, 0).guaranteed());
@@ -523,11 +527,11 @@
   @Test
   void whatCannotEndBeforeItsMachineIsTakenIsStopped() {
     Machine going = machine("m-0", "east", false);
-    Job batch = job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 3, 1, false);
+    Job batch = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
     Assignment young = put(batch, 0, going);
     Assignment nearlyDone = put(batch, 1, going);
     Assignment replica =
-        put(job("req-2", "basso", Kind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, going);
+        put(job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, going);
     Assignment elsewhere = put(batch, 2, machine("m-1", "east", false));
     young.runningMicros = 10 * SECOND;
     nearlyDone.runningMicros = 0;
@@ -572,7 +576,7 @@
     }
     for (int i = 0; i < jobs; i++) {
       large.jobs.put(
-          "req-" + i, job("req-" + i, "alto", Kind.ARRAY, Priority.NORMAL, 300, 0.01, false));
+          "req-" + i, job("req-" + i, "alto", JobKind.ARRAY, Priority.NORMAL, 300, 0.01, false));
     }
     assertTrue(Placer.plan(large, POLICY, Demand.of(large, 0), SECOND).size() > 300);
     assertTrue(large.looks <= (long) jobs * machines, large.looks + " looks to place");
@@ -608,14 +612,14 @@
    */
   @Test
   void ordinaryWorkRentsSteadyMachinesUntilProductionHasItsHeadroom() {
-    Policy patient =
-        new Policy(
+    OperatorPolicy patient =
+        new OperatorPolicy(
             0,
             SECOND,
             100,
             300 * SECOND,
             SECOND,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3 * SECOND,
             0.25,
             0.5,
@@ -623,21 +627,21 @@
             false);
     Cluster hasty =
         cluster(
-            new Objectives(
+            new ServiceLevelObjectives(
                 Map.of("desk", SECOND), Map.of("class", List.of(100 * SECOND)), Map.of()));
     hasty.types = cluster.types;
-    hasty.jobs.put("req-1", job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 3, 4, false));
+    hasty.jobs.put("req-1", job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 4, false));
     assertTrue(
         ScaleOutPlanner.plan(
                 hasty, patient, Demand.of(hasty, 0), SECOND, 100, shelf -> 50, List.of())
             .stream()
-            .allMatch(Rental::spot));
+            .allMatch(ScaleOutRequest::spot));
     JobSpec desk =
         new JobSpec(
             "req-2",
             "desk",
             "basso",
-            Kind.SERVICE,
+            JobKind.SERVICE,
             Priority.PRODUCTION,
             1,
             Resources.of(1, 0, 1),
@@ -669,19 +673,21 @@
             service,
             false,
             0));
-    List<Rental> rented =
+    List<ScaleOutRequest> rented =
         ScaleOutPlanner.plan(
             hasty, patient, Demand.of(hasty, 0), SECOND, 100, shelf -> 50, List.of());
     // A quarter of 16 processors is wanted and 3 of the steady ones are free of production: one
     // more is rented.
-    assertEquals(1, rented.stream().filter(rental -> !rental.spot()).mapToInt(Rental::count).sum());
-    assertEquals(2, rented.stream().filter(Rental::spot).mapToInt(Rental::count).sum());
+    assertEquals(
+        1, rented.stream().filter(rental -> !rental.spot()).mapToInt(ScaleOutRequest::count).sum());
+    assertEquals(
+        2, rented.stream().filter(ScaleOutRequest::spot).mapToInt(ScaleOutRequest::count).sum());
   }
 
   /** Replicas of a zone that was cut off were missing for a lease and then for a boot as well. */
   @Test
   void machinesBootForProductionOnSilentOnesBeforeTheirLeasesAreOver() {
-    Job service = job("req-1", "alto", Kind.SERVICE, Priority.PRODUCTION, 2, 4, false);
+    Job service = job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 2, 4, false);
     Machine silent = machine("m-0", "east", false);
     put(service, 0, silent);
     put(service, 1, machine("m-1", "east", false));
@@ -690,8 +696,8 @@
     cluster.machines.values().forEach(machine -> machine.heardMicros = later);
     assertEquals(List.of(), rentals(later, 10));
     silent.heardMicros = 0;
-    List<Rental> rented = rentals(later, 10);
-    assertEquals(1, rented.stream().mapToInt(Rental::count).sum());
+    List<ScaleOutRequest> rented = rentals(later, 10);
+    assertEquals(1, rented.stream().mapToInt(ScaleOutRequest::count).sum());
     // What is on its way counts as room, so that nothing is rented twice.
     assertEquals(
         List.of(),
@@ -707,11 +713,12 @@
   void whatCanStillBeInTimeComesBeforeWhatIsLate() {
     Cluster wanted =
         cluster(
-            new Objectives(Map.of(), Map.of("class", List.of(60 * SECOND, 90 * SECOND)), Map.of()));
+            new ServiceLevelObjectives(
+                Map.of(), Map.of("class", List.of(60 * SECOND, 90 * SECOND)), Map.of()));
     // Both take 30 s, and were accepted at 0 s and 1 us; the first is due at 60 s and can't make it
     // any more.
     for (String id : List.of("req-1", "req-2")) {
-      Job job = job(id, "alto", Kind.ARRAY, Priority.NORMAL, 40, 2, false);
+      Job job = job(id, "alto", JobKind.ARRAY, Priority.NORMAL, 40, 2, false);
       wanted.jobs.put(id, job);
     }
     Job late = wanted.jobs.get("req-1");
@@ -730,7 +737,7 @@
   @Test
   void aGangIsPlacedWholeOrNotAtAll() {
     machine("m-0", "east", true);
-    job("req-1", "alto", Kind.GANG, Priority.NORMAL, 2, 3, false);
+    job("req-1", "alto", JobKind.GANG, Priority.NORMAL, 2, 3, false);
     assertEquals(List.of(), Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND));
     machine("m-1", "west", true);
     assertEquals(2, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
@@ -745,7 +752,7 @@
     for (int i = 0; i < 4; i++) {
       machine("m-" + i, "east", true);
     }
-    Job wrong = job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 300, 1, false);
+    Job wrong = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 300, 1, false);
     for (int i = 0; i < 4; i++) {
       wrong.failed(i, "m-" + i, 0);
     }
@@ -778,9 +785,9 @@
   @Test
   void whatIsOverlookedMovesAhead() {
     Machine there = machine("m-0", "east", true);
-    Job large = job("req-1", "alto", Kind.ARRAY, Priority.LOW, 400, 1, false);
-    Job other = job("req-2", "basso", Kind.ARRAY, Priority.NORMAL, 100, 1, false);
-    Job guaranteed = job("req-3", "canto", Kind.ARRAY, Priority.NORMAL, 1, 1, false);
+    Job large = job("req-1", "alto", JobKind.ARRAY, Priority.LOW, 400, 1, false);
+    Job other = job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 100, 1, false);
+    Job guaranteed = job("req-3", "canto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
     assertEquals(List.of(guaranteed, other, large), Demand.of(cluster, 89 * SECOND).waiting());
     other.done.set(0);
     assertEquals(List.of(guaranteed, large, other), Demand.of(cluster, 91 * SECOND).waiting());
@@ -793,7 +800,7 @@
    */
   @Test
   void aBootThatIsFarTooLateIsNoRoom() {
-    job("req-1", "alto", Kind.ARRAY, Priority.NORMAL, 1, 3, false);
+    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 3, false);
     Machine late = new Machine("m-0", TYPE, "east", false, false, 0, 0);
     cluster.add(late);
     assertEquals(List.of(), rentals(21 * SECOND, 10));
@@ -808,8 +815,8 @@
    */
   @Test
   void emptyShelvesAndFailingBootsAreAskedLess() {
-    RentalRequestLimits shelves = new RentalRequestLimits();
-    Rental.Shelf shelf = new Rental.Shelf("box", "east", true);
+    CapacityPoolLimits shelves = new CapacityPoolLimits();
+    ScaleOutRequest.CapacityPool shelf = new ScaleOutRequest.CapacityPool("box", "east", true);
     assertEquals(50, shelves.most(shelf, 0));
     shelves.answered(shelf, 50, 0, 0);
     assertEquals(0, shelves.most(shelf, 19 * SECOND));
@@ -836,10 +843,10 @@
   @Test
   void answeringWithoutNewsEndsBeforeACancelledTaskIsDue() {
     Deployment.WorkerTimes workers = cluster.deployment.workers();
-    Safety safety = Safety.of(workers);
+    SafetyBounds safety = SafetyBounds.of(workers);
     double drift = 1.0005 / 0.9995;
     assertTrue((safety.answerMicros() + workers.leaseMicros()) * drift < workers.cancelMicros());
     assertTrue(safety.leaseMicros() > workers.leaseMicros() * drift);
-    assertTrue(Safety.holdEndMicros(0, 3 * SECOND) * drift < 3 * SECOND);
+    assertTrue(SafetyBounds.holdEndMicros(0, 3 * SECOND) * drift < 3 * SECOND);
   }
 }
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -10,12 +10,12 @@
 import madderrudder.persistence.LogSegment.Ended;
 import madderrudder.persistence.LogSegment.Entry;
 import madderrudder.persistence.LogSegment.Image;
-import madderrudder.persistence.LogSegment.Kind;
+import madderrudder.persistence.LogSegment.JobKind;
 import madderrudder.persistence.LogSegment.MachineEntry;
 import madderrudder.persistence.LogSegment.Share;
 import madderrudder.protocol.Documents;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 import net.jqwik.api.Arbitraries;
@@ -64,13 +64,13 @@
   @Provide
   Arbitrary<List<Record>> entries() {
     Arbitrary<Long> numbers = Arbitraries.longs().greaterOrEqual(0);
-    Arbitrary<Kind> kinds =
+    Arbitrary<JobKind> kinds =
         Combinators.combine(
                 Arbitraries.of("g8", "small"),
                 Arbitraries.of("east", "west"),
                 Arbitraries.of(true, false),
                 Arbitraries.of(true, false))
-            .as(Kind::new);
+            .as(JobKind::new);
     Arbitrary<Record> machine =
         Combinators.combine(machines(), kinds, numbers, Arbitraries.of(true, false))
             .as(MachineEntry::new);
@@ -90,7 +90,7 @@
   void aPageHoldsWhatFitsAndNoMore(
       @ForAll("entries") List<Record> entries,
       @ForAll @IntRange(min = 200, max = 16_384) int mostBytes)
-      throws MalformedMessage {
+      throws MalformedMessageException {
     LogSegment.Builder builder = new LogSegment.Builder(mostBytes);
     List<Record> taken = new ArrayList<>();
     for (Record entry : entries) {
@@ -126,7 +126,7 @@
     try {
       LogSegment.read(Json.readObject(text));
       read = true;
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       read = false;
     }
     Statistics.collect(read);
@@ -138,7 +138,7 @@
   void progressReadsBackTheSame(
       @ForAll @IntRange(min = 0, max = 3) int chunk,
       @ForAll List<@IntRange(min = 0, max = JobRecords.CHUNK - 1) Integer> tasks)
-      throws MalformedMessage {
+      throws MalformedMessageException {
     BitSet done = new BitSet();
     tasks.forEach(task -> done.set(chunk * JobRecords.CHUNK + task));
     BitSet read = new BitSet();
--- a/src/test/java/madderrudder/persistence/RecordsTest.java
+++ b/src/test/java/madderrudder/persistence/RecordsTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
@@ -21,7 +21,7 @@
   private static final long WINDOW = 300_000_000;
 
   @Test
-  void progressOfTheLargestJobFitsInValuesAndComesBack() throws MalformedMessage {
+  void progressOfTheLargestJobFitsInValuesAndComesBack() throws MalformedMessageException {
     SplittableRandom random = new SplittableRandom(5);
     BitSet done = new BitSet();
     for (int i = 0; i < 100_000; i++) {
@@ -38,7 +38,7 @@
 
   /** A page keeps within its size whatever is put in, and says again what went in. */
   @Test
-  void pagesOfTheLogKeepWithinAValueAndComeBack() throws MalformedMessage {
+  void pagesOfTheLogKeepWithinAValueAndComeBack() throws MalformedMessageException {
     SplittableRandom random = new SplittableRandom(7);
     for (int size : new int[] {2048, 4096, 15 * 1024}) {
       LogSegment.Builder builder = new LogSegment.Builder(size);
@@ -56,7 +56,7 @@
         LogSegment.MachineEntry entry =
             new LogSegment.MachineEntry(
                 machine,
-                new LogSegment.Kind(
+                new LogSegment.JobKind(
                     "g8", random.nextBoolean() ? "itä" : "länsi", random.nextBoolean(), true),
                 i << 30,
                 random.nextBoolean());
@@ -94,7 +94,7 @@
    * 16, which the store refuses, and with it whatever the leader writes after.
    */
   @Test
-  void pagesKeepWithinAValueWhateverImagesAreCalled() throws MalformedMessage {
+  void pagesKeepWithinAValueWhateverImagesAreCalled() throws MalformedMessageException {
     for (String letter : List.of("\u0001", "\"", "\u20ac", "\ud83d\ude00")) {
       LogSegment.Builder builder = new LogSegment.Builder(15 * 1024);
       int count = 0;
@@ -114,13 +114,13 @@
    * An entry of blanks ended the reading of the whole log with an exception instead of a complaint.
    */
   @Test
-  void aPageWithoutAMachinesNameIsMalformed() throws MalformedMessage {
+  void aPageWithoutAMachinesNameIsMalformed() throws MalformedMessageException {
     Fields page =
         Json.readObject(
             ("{\"n\":1,\"machines\":[{\"type\":\"a\",\"zone\":\"b\",\"spot\":true,\"owned\":true,"
                     + "\"of\":[\" \"]}],\"gone\":[],\"placed\":[],\"ended\":[],\"images\":[]}")
                 .getBytes());
-    assertThrows(MalformedMessage.class, () -> LogSegment.read(page));
+    assertThrows(MalformedMessageException.class, () -> LogSegment.read(page));
   }
 
   /**
@@ -129,7 +129,7 @@
    */
   @Test
   void pagesAreReadInTheOrderOfTheirNumbers() {
-    LogSegment.Kind kind = new LogSegment.Kind("g8", "a", false, true);
+    LogSegment.JobKind kind = new LogSegment.JobKind("g8", "a", false, true);
     LogSegment.Share share = new LogSegment.Share("alto", Resources.of(1, 0, 1));
     TaskId first = new TaskId("req-000001", 0);
     TaskId second = new TaskId("req-000001", 1);
@@ -168,7 +168,7 @@
    */
   @Test
   void aTaskReplacedUnderItsAttemptStaysNamed() {
-    LogSegment.Kind kind = new LogSegment.Kind("g8", "a", false, true);
+    LogSegment.JobKind kind = new LogSegment.JobKind("g8", "a", false, true);
     LogSegment.Share share = new LogSegment.Share("alto", Resources.of(1, 0, 1));
     TaskId task = new TaskId("req-000001", 0);
     LogSegment.Entry replaced = new LogSegment.Entry(task, 5, share, "m-2");
@@ -196,7 +196,7 @@
 
   /** The count survives a take-over by a node whose clock differs by all that is allowed. */
   @Test
-  void budgetNeverLetsMoreThroughWithinTheWindow() throws MalformedMessage {
+  void budgetNeverLetsMoreThroughWithinTheWindow() throws MalformedMessageException {
     RentalBudget first = new RentalBudget(3, WINDOW, 1_000_000);
     assertTrue(first.reserve(3, 1_000_000_000));
     assertFalse(first.reserve(1, 1_000_000_000 + WINDOW));
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import madderrudder.protocol.JobState;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
@@ -35,8 +35,8 @@
           + "\"ended\":[{\"j\":\"job-1\",\"of\":[\"1 1 m1\"]}],"
           + "\"images\":[{\"i\":\"img\",\"gb\":1.5,\"of\":[\"m1\"]}]}";
 
-  private static final LogSegment.Kind KIND =
-      new LogSegment.Kind("m5.large", "zone-a", false, true);
+  private static final LogSegment.JobKind KIND =
+      new LogSegment.JobKind("m5.large", "zone-a", false, true);
   private static final LogSegment.MachineEntry MACHINE =
       new LogSegment.MachineEntry("m1", KIND, 5_000_000, false);
   private static final LogSegment.Entry PLACED =
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void termKeyInItsStoredFormIsRead() throws MalformedMessage {
+  void termKeyInItsStoredFormIsRead() throws MalformedMessageException {
     assertEquals(7, CommitQueue.readTerm(Json.readObject(bytes(TERM_KEY))));
   }
 
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void finishedJobInItsStoredFormIsRead() throws MalformedMessage {
+  void finishedJobInItsStoredFormIsRead() throws MalformedMessageException {
     assertEquals(
         new JobRecords.Finished(JobState.DONE, 12),
         JobRecords.readFinished(Json.readObject(bytes(FINISHED))));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void progressInItsStoredFormIsRead() throws MalformedMessage {
+  void progressInItsStoredFormIsRead() throws MalformedMessageException {
     BitSet done = new BitSet();
     JobRecords.readProgress(Json.readObject(bytes(PROGRESS)), 1, done);
     assertEquals(BitSet.valueOf(new long[] {5}), done.get(JobRecords.CHUNK, 2 * JobRecords.CHUNK));
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void rentalInItsStoredFormIsRead() throws MalformedMessage {
+  void rentalInItsStoredFormIsRead() throws MalformedMessageException {
     assertEquals(
         new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false),
         RentalRecord.read("req-1", Json.readObject(bytes(RENTAL))));
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void rentalBudgetInItsStoredFormIsRead() throws MalformedMessage {
+  void rentalBudgetInItsStoredFormIsRead() throws MalformedMessageException {
     RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
     budget.load(Json.readObject(bytes(BUDGET)));
     assertEquals(1, budget.left(2_000_000));
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void logSegmentInItsStoredFormIsRead() throws MalformedMessage {
+  void logSegmentInItsStoredFormIsRead() throws MalformedMessageException {
     assertEquals(
         new LogSegment(
             9, List.of(MACHINE), List.of("m0"), List.of(PLACED), List.of(ENDED), List.of(IMAGE)),
--- a/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
+++ b/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
@@ -7,15 +7,15 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import madderrudder.protocol.MeshFrame.Answer;
-import madderrudder.protocol.MeshFrame.Answered;
-import madderrudder.protocol.MeshFrame.Echo;
-import madderrudder.protocol.MeshFrame.JobProgress;
-import madderrudder.protocol.MeshFrame.Progress;
-import madderrudder.protocol.MeshFrame.Pulse;
-import madderrudder.protocol.MeshFrame.RelayAnswer;
-import madderrudder.protocol.MeshFrame.Relayed;
-import madderrudder.protocol.MeshFrame.Standing;
+import madderrudder.protocol.PeerMessage.DelegatedRenewals;
+import madderrudder.protocol.PeerMessage.ForwardedHeartbeat;
+import madderrudder.protocol.PeerMessage.ForwardedResponse;
+import madderrudder.protocol.PeerMessage.JobProgress;
+import madderrudder.protocol.PeerMessage.LeaseRenewal;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.NodeStatus;
+import madderrudder.protocol.PeerMessage.ProgressUpdate;
+import madderrudder.protocol.PeerMessage.StampEcho;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -57,14 +57,14 @@
    * through.
    */
   private interface Reading {
-    void read() throws MalformedMessage;
+    void read() throws MalformedMessageException;
   }
 
   private static boolean reads(Reading reading) {
     try {
       reading.read();
       return true;
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       return false;
     }
   }
@@ -155,10 +155,10 @@
   }
 
   @Provide
-  Arbitrary<MeshFrame> frames() {
+  Arbitrary<PeerMessage> frames() {
     Arbitrary<String> names =
         Arbitraries.strings().withCharRange('\u0000', '\ud7ff').ofMaxLength(60);
-    Arbitrary<MeshFrame> pulses =
+    Arbitrary<PeerMessage> pulses =
         Combinators.combine(
                 names,
                 Arbitraries.longs(),
@@ -166,15 +166,15 @@
                 Arbitraries.of(true, false),
                 Arbitraries.integers(),
                 Arbitraries.integers())
-            .as(Pulse::new);
+            .as(NodeStatus::new);
     Arbitrary<JobProgress> job =
         Combinators.combine(names, Arbitraries.integers(), Arbitraries.integers())
             .as(JobProgress::new);
-    Arbitrary<MeshFrame> progress =
-        Combinators.combine(Arbitraries.longs(), job.list().ofMaxSize(50)).as(Progress::new);
-    Arbitrary<Echo> echo =
-        Combinators.combine(names, Arbitraries.longs(), Arbitraries.longs()).as(Echo::new);
-    Arbitrary<MeshFrame> standing =
+    Arbitrary<PeerMessage> progress =
+        Combinators.combine(Arbitraries.longs(), job.list().ofMaxSize(50)).as(ProgressUpdate::new);
+    Arbitrary<StampEcho> echo =
+        Combinators.combine(names, Arbitraries.longs(), Arbitraries.longs()).as(StampEcho::new);
+    Arbitrary<PeerMessage> standing =
         Combinators.combine(
                 names,
                 Arbitraries.longs(),
@@ -184,43 +184,45 @@
                 Arbitraries.longs(),
                 Arbitraries.integers(),
                 echo.list().ofMaxSize(5))
-            .as(Standing::new);
-    Arbitrary<Answer> answer = Combinators.combine(names, Arbitraries.integers()).as(Answer::new);
-    Arbitrary<MeshFrame> answered =
+            .as(MembershipStatus::new);
+    Arbitrary<LeaseRenewal> answer =
+        Combinators.combine(names, Arbitraries.integers()).as(LeaseRenewal::new);
+    Arbitrary<PeerMessage> answered =
         Combinators.combine(
                 names, Arbitraries.longs(), Arbitraries.longs(), answer.list().ofMaxSize(50))
-            .as(Answered::new);
+            .as(DelegatedRenewals::new);
     Arbitrary<String> bodies = Arbitraries.strings().withCharRange(' ', '~').ofMaxLength(3_000);
-    Arbitrary<MeshFrame> relayed =
-        Combinators.combine(names, Arbitraries.longs(), bodies).as(Relayed::new);
-    Arbitrary<MeshFrame> relayAnswers =
-        Combinators.combine(Arbitraries.longs(), bodies).as(RelayAnswer::new);
+    Arbitrary<PeerMessage> relayed =
+        Combinators.combine(names, Arbitraries.longs(), bodies).as(ForwardedHeartbeat::new);
+    Arbitrary<PeerMessage> relayAnswers =
+        Combinators.combine(Arbitraries.longs(), bodies).as(ForwardedResponse::new);
     return Arbitraries.oneOf(pulses, progress, standing, answered, relayed, relayAnswers);
   }
 
   private static ByteBuffer withoutLength(ByteBuffer frame) {
-    assertEquals(frame.remaining() - MeshFrame.PREFIX_BYTES, frame.getInt());
+    assertEquals(frame.remaining() - PeerMessage.PREFIX_BYTES, frame.getInt());
     return frame.slice();
   }
 
   @Property(seed = "26")
-  void aFrameReadsBackTheSame(@ForAll("frames") MeshFrame frame) throws MalformedMessage {
-    assertEquals(frame, MeshFrame.decode(withoutLength(MeshFrame.encode(frame))));
+  void aFrameReadsBackTheSame(@ForAll("frames") PeerMessage frame)
+      throws MalformedMessageException {
+    assertEquals(frame, PeerMessage.decode(withoutLength(PeerMessage.encode(frame))));
   }
 
   @Property(seed = "27", tries = 2000)
   void anyFrameIsReadOrMalformed(
-      @ForAll("frames") MeshFrame frame,
+      @ForAll("frames") PeerMessage frame,
       @ForAll @Size(max = 6) List<Integer> places,
       @ForAll byte value) {
-    ByteBuffer bytes = withoutLength(MeshFrame.encode(frame));
+    ByteBuffer bytes = withoutLength(PeerMessage.encode(frame));
     for (int place : places) {
       bytes.put(Math.floorMod(place, bytes.limit()), value);
     }
     if (places.size() % 2 == 1) {
       bytes.limit(Math.floorMod(places.get(0), bytes.limit()) + 1);
     }
-    Statistics.collect(reads(() -> MeshFrame.decode(bytes)));
+    Statistics.collect(reads(() -> PeerMessage.decode(bytes)));
     Statistics.coverage(coverage -> coverage.check(false).percentage(share -> share > 10));
   }
 }
--- a/src/test/java/madderrudder/protocol/CodecTest.java
+++ b/src/test/java/madderrudder/protocol/CodecTest.java
@@ -24,14 +24,14 @@
     return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
   }
 
-  private static JobSpec job(String text) throws MalformedMessage {
+  private static JobSpec job(String text) throws MalformedMessageException {
     return JobCodec.read(Json.readObject(json(text)));
   }
 
   @Test
-  void readsAndKeepsAJob() throws MalformedMessage {
+  void readsAndKeepsAJob() throws MalformedMessageException {
     JobSpec job = job(JOB);
-    assertEquals(Kind.GANG, job.kind());
+    assertEquals(JobKind.GANG, job.kind());
     assertEquals(new Resources(8000, 1000, 64000), job.perTask());
     assertEquals(240_000_000, job.estimateMicros());
     assertEquals(job, JobCodec.read(Json.readObject(Json.object(out -> JobCodec.write(out, job)))));
@@ -64,7 +64,7 @@
       })
   void refusesInvalidFields(String change) {
     String[] parts = change.split("\\|");
-    assertThrows(MalformedMessage.class, () -> job(JOB.replace(parts[0], parts[1])));
+    assertThrows(MalformedMessageException.class, () -> job(JOB.replace(parts[0], parts[1])));
   }
 
   /** Jobs that lacked one of the last seven were once taken, with a value that nobody had said. */
@@ -89,18 +89,19 @@
         "mark_s",
         "stow_s"
       })
-  void aJobNeedsEachFieldThatMayNotBeNull(String field) throws MalformedMessage {
+  void aJobNeedsEachFieldThatMayNotBeNull(String field) throws MalformedMessageException {
     String text = JOB.replace("16", "1");
     assertEquals(1, job(text).tasks());
     String value = "'" + field + "':('[^']*'|[^,]*)";
-    assertThrows(MalformedMessage.class, () -> job(text.replaceFirst(value + ",", "")));
+    assertThrows(MalformedMessageException.class, () -> job(text.replaceFirst(value + ",", "")));
     assertThrows(
-        MalformedMessage.class, () -> job(text.replaceFirst(value, "'" + field + "':null")));
+        MalformedMessageException.class,
+        () -> job(text.replaceFirst(value, "'" + field + "':null")));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"'builds':['g8'],", "'berth':null,", "'tide_s':900.0,"})
-  void whatMayBeNullMayBeLeftOut(String field) throws MalformedMessage {
+  void whatMayBeNullMayBeLeftOut(String field) throws MalformedMessageException {
     assertTrue(JOB.contains(field));
     assertEquals(16, job(JOB.replace(field, "")).tasks());
   }
@@ -108,28 +109,29 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "7", "{", "{}}", "{'a':1}x", "nul", "{'a':}"})
   void refusesWhatIsNoObject(String text) {
-    assertThrows(MalformedMessage.class, () -> Json.readObject(json(text)));
+    assertThrows(MalformedMessageException.class, () -> Json.readObject(json(text)));
   }
 
   @Test
   void refusesNestingWithoutEnd() {
-    assertThrows(MalformedMessage.class, () -> Json.readObject(json("{'a':" + "[".repeat(30_000))));
+    assertThrows(
+        MalformedMessageException.class, () -> Json.readObject(json("{'a':" + "[".repeat(30_000))));
   }
 
   /** Read as infinite, a number beyond all bounds was written again as a text. */
   @Test
-  void numbersBeyondAllBoundsAreKeptAndTakenForNoAmount() throws MalformedMessage {
+  void numbersBeyondAllBoundsAreKeptAndTakenForNoAmount() throws MalformedMessageException {
     Fields read = Json.readObject(json("{'a':1e999,'b':-1e-999,'c':-1e99999999999999}"));
     assertEquals(
         "{\"a\":1e999,\"b\":-0.0,\"c\":-1e99999999999999}",
         new String(read.render(), StandardCharsets.UTF_8));
-    assertThrows(MalformedMessage.class, () -> read.amount("a"));
-    assertThrows(MalformedMessage.class, () -> read.count("a"));
+    assertThrows(MalformedMessageException.class, () -> read.amount("a"));
+    assertThrows(MalformedMessageException.class, () -> read.count("a"));
   }
 
   @Test
-  void readsAReport() throws MalformedMessage {
-    WorkerReport report =
+  void readsAReport() throws MalformedMessageException {
+    Heartbeat report =
         WorkerCodec.readReport(
             json(
                 "{'vessel':'m-1','addr':'10.1.0.2:9000','build':'g8',"
@@ -138,34 +140,35 @@
                     + "{'stroke':'req-000398/0','launch':1,'trim':'ended','wake':'done'}]}"));
     assertEquals(3_500_000, report.noticeMicros());
     assertEquals(new TaskId("req-000412", 3), report.tasks().get(0).task());
-    assertEquals(TaskReport.Why.DONE, report.tasks().get(1).why());
+    assertEquals(TaskStatus.ExitReason.DONE, report.tasks().get(1).why());
     assertTrue(report.newerThan(2, 87) && report.newerThan(1, 99) && !report.newerThan(2, 88));
   }
 
   @Test
-  void meshFramesComeBackAndNoiseIsRefused() throws MalformedMessage {
-    List<MeshFrame> frames =
+  void meshFramesComeBackAndNoiseIsRefused() throws MalformedMessageException {
+    List<PeerMessage> frames =
         List.of(
-            new MeshFrame.Pulse("bollard-1", 7, "", true, 1500, 250),
-            new MeshFrame.Progress(9, List.of(new MeshFrame.JobProgress("req-000001", 3, 4))));
+            new PeerMessage.NodeStatus("bollard-1", 7, "", true, 1500, 250),
+            new PeerMessage.ProgressUpdate(
+                9, List.of(new PeerMessage.JobProgress("req-000001", 3, 4))));
     SplittableRandom random = new SplittableRandom(3);
     int refused = 0;
-    for (MeshFrame frame : frames) {
-      ByteBuffer bytes = MeshFrame.encode(frame);
+    for (PeerMessage frame : frames) {
+      ByteBuffer bytes = PeerMessage.encode(frame);
       assertEquals(bytes.remaining() - 4, bytes.getInt());
       byte[] body = new byte[bytes.remaining()];
       bytes.get(body);
-      assertEquals(frame, MeshFrame.decode(ByteBuffer.wrap(body)));
+      assertEquals(frame, PeerMessage.decode(ByteBuffer.wrap(body)));
       for (int cut = 0; cut < body.length; cut++) {
         ByteBuffer shorter = ByteBuffer.wrap(body, 0, cut);
-        assertThrows(MalformedMessage.class, () -> MeshFrame.decode(shorter));
+        assertThrows(MalformedMessageException.class, () -> PeerMessage.decode(shorter));
       }
       for (int round = 0; round < 2_000; round++) {
         byte[] noise = body.clone();
         noise[random.nextInt(noise.length)] = (byte) random.nextInt();
         try {
-          MeshFrame.decode(ByteBuffer.wrap(noise));
-        } catch (MalformedMessage e) {
+          PeerMessage.decode(ByteBuffer.wrap(noise));
+        } catch (MalformedMessageException e) {
           refused++;
         }
       }
@@ -174,7 +177,7 @@
   }
 
   @Test
-  void amountsAreExact() throws MalformedMessage {
+  void amountsAreExact() throws MalformedMessageException {
     JobSpec job = job(JOB.replace("8.0", "0.1").replace("64.0", "0.7"));
     assertEquals(job.perTask().times(30), Resources.of(3, 30, 21));
     assertArrayEquals("{\"error\":\"a\"}".getBytes(StandardCharsets.UTF_8), Json.error("a"));
--- a/src/test/java/madderrudder/service/JobRulesTest.java
+++ b/src/test/java/madderrudder/service/JobAdmissionTest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.TeamQuota;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class JobRulesTest {
-  private static final Map<String, Team> TEAMS =
-      Map.of("alto", new Team("alto", Resources.NONE, Resources.of(20, 0, 0)));
+class JobAdmissionTest {
+  private static final Map<String, TeamQuota> TEAMS =
+      Map.of("alto", new TeamQuota("alto", Resources.NONE, Resources.of(20, 0, 0)));
   private static final List<MachineType> TYPES =
       List.of(
           new MachineType("small", Resources.of(4, 0, 16), 30, 1, 1, 1, 1, List.of("east", "west")),
@@ -49,7 +49,7 @@
       })
   void jobsThatCanNeverRunAreRefused(
       String team,
-      Kind kind,
+      JobKind kind,
       int tasks,
       double cpus,
       String type,
@@ -77,6 +77,6 @@
             0,
             0,
             0);
-    assertEquals(why, JobRules.impossible(job, TEAMS, TYPES));
+    assertEquals(why, JobAdmission.impossible(job, TEAMS, TYPES));
   }
 }
--- a/src/test/java/madderrudder/service/ReturnsTest.java
+++ b/src/test/java/madderrudder/service/RetryAfterPolicyTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ReturnsTest {
+class RetryAfterPolicyTest {
   /**
    * In each second come back no more than are served in it, and no fewer than keep it busy, up to
    * the longest absence.
@@ -16,7 +16,7 @@
   @CsvSource({"10,20,1", "100,20,5", "1000,20,8", "60,0.5,8"})
   void thoseRefusedComeBackSpreadOverTheTimeItTakesToServeThem(
       int refused, double perSecond, int seconds) {
-    Returns returns = new Returns();
+    RetryAfterPolicy returns = new RetryAfterPolicy();
     for (int i = 0; i < refused; i++) {
       returns.afterSeconds(0, perSecond);
     }
@@ -34,7 +34,7 @@
 
   @Test
   void oneWhoIsRefusedAloneIsBackInASecond() {
-    Returns returns = new Returns();
+    RetryAfterPolicy returns = new RetryAfterPolicy();
     for (int i = 0; i < 500; i++) {
       returns.afterSeconds(i, 1);
     }
--- a/src/test/java/madderrudder/service/DetoursTest.java
+++ b/src/test/java/madderrudder/service/WorkerRedirectsTest.java
@@ -6,10 +6,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class DetoursTest {
+class WorkerRedirectsTest {
   private static final long SECOND = 1_000_000;
 
-  private final Detours detours = new Detours(new SplittableRandom(1), 100);
+  private final WorkerRedirects detours = new WorkerRedirects(new SplittableRandom(1), 100);
 
   @Test
   void aWorkerThatIsSoonBackIsServedForAWhileAndThenSentAgain() {
--- a/src/test/java/madderrudder/service/WriteSharesTest.java
+++ b/src/test/java/madderrudder/service/WriteRateAllocatorTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class WriteSharesTest {
+class WriteRateAllocatorTest {
   private static final long SECOND = 1_000_000;
 
   /**
@@ -14,7 +14,7 @@
    */
   @Test
   void whoseUsersWantMoreGetsMore() {
-    WriteShares busy = new WriteShares(9, 3);
+    WriteRateAllocator busy = new WriteRateAllocator(9, 3);
     for (int i = 0; i < 20; i++) {
       busy.wanted(100);
     }
@@ -32,9 +32,9 @@
   void sharesNeverExceedWhatThereIs() {
     SplittableRandom random = new SplittableRandom(3);
     for (int round = 0; round < 200; round++) {
-      WriteShares[] nodes = new WriteShares[3];
+      WriteRateAllocator[] nodes = new WriteRateAllocator[3];
       for (int i = 0; i < 3; i++) {
-        nodes[i] = new WriteShares(9, 3);
+        nodes[i] = new WriteRateAllocator(9, 3);
         nodes[i].wanted(random.nextDouble(50));
       }
       boolean cut = random.nextBoolean();
--- a/src/test/java/madderrudder/sim/ColdStartFigures.java
+++ b/src/test/java/madderrudder/sim/ColdStartFigures.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.protocol.Kind;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.TaskId;
 
 /**
@@ -38,14 +38,14 @@
   }
 
   private static String run(long seed, int machines, int gapS, int back) {
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             1_000_000,
             1_000_000,
             4 * machines,
             300_000_000,
             20_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
@@ -132,7 +132,7 @@
     Set<TaskId> held = new HashSet<>(world.rules.held());
     int lacking = 0;
     for (String job : world.rules.acceptedBefore(DOWN_S * World.SECOND)) {
-      if (world.rules.isLive(job) && world.rules.spec(job).kind() == Kind.SERVICE) {
+      if (world.rules.isLive(job) && world.rules.spec(job).kind() == JobKind.SERVICE) {
         for (int task = 0; task < world.rules.spec(job).tasks(); task++) {
           TaskId id = new TaskId(job, task);
           lacking += held.contains(id) && world.rules.holderOf(id) != null ? 0 : 1;
--- a/src/test/java/madderrudder/sim/ColdStartTest.java
+++ b/src/test/java/madderrudder/sim/ColdStartTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import java.util.Set;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,14 +25,14 @@
 
   private static World day(long seed, World.Size size) {
     boolean large = size == World.Size.LARGE;
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             1_000_000,
             1_000_000,
             large ? 600 : 20,
             300_000_000,
             20_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
--- a/src/test/java/madderrudder/sim/GapTest.java
+++ b/src/test/java/madderrudder/sim/GapTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -141,14 +141,14 @@
     return courses.stream();
   }
 
-  private static Policy policy(boolean deputies) {
-    return new Policy(
+  private static OperatorPolicy policy(boolean deputies) {
+    return new OperatorPolicy(
         3_000_000,
         1_000_000,
         60,
         100_000_000,
         15_000_000,
-        Policy.SpotMode.ALWAYS,
+        OperatorPolicy.SpotMode.ALWAYS,
         3_000_000,
         0.1,
         0.1,
@@ -159,7 +159,7 @@
   @ParameterizedTest
   @MethodSource("courses")
   void cancelledTasksAreGoneInTime(Course course) {
-    Policy policy = policy(course.deputies());
+    OperatorPolicy policy = policy(course.deputies());
     Deployment.WorkerTimes workers = course.times().workers;
     World world = new World(course.seed(), workers, workers, policy);
     world.users.begin(3 * SECOND, 100 * SECOND);
--- a/src/test/java/madderrudder/sim/LoopbackWorld.java
+++ b/src/test/java/madderrudder/sim/LoopbackWorld.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Objectives;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.ServiceLevelObjectives;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.protocol.Resources;
-import madderrudder.transport.HttpExchange;
+import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
@@ -27,13 +27,13 @@
     Deployment deployment =
         new Deployment(
             List.of("east", "west"),
-            Map.of("alto", new Team("alto", Resources.of(32, 0, 0), Resources.of(72, 0, 0))),
+            Map.of("alto", new TeamQuota("alto", Resources.of(32, 0, 0), Resources.of(72, 0, 0))),
             World.usualWorkers(),
             new Deployment.StateLimits(200, 80, 16 * 1024, 48),
             new Deployment.CloudLimits(2, 4_000_000),
             1,
             0,
-            Objectives.none());
+            ServiceLevelObjectives.none());
     store = new SimStore(sim, deployment.state());
     SimNet net = new SimNet(sim, 0);
     cloud =
@@ -50,12 +50,12 @@
     real.every(STEP_MICROS, () -> sim.runUntil(real.nowMicros() - beginMicros, () -> {}));
   }
 
-  public HttpExchange store() {
-    HttpExchange exchange = store.exchangeFor("n-0");
+  public HttpHandler store() {
+    HttpHandler exchange = store.exchangeFor("n-0");
     return (HttpRequest request, Consumer<HttpResponse> answer) -> exchange.handle(request, answer);
   }
 
-  public HttpExchange cloud() {
+  public HttpHandler cloud() {
     return cloud;
   }
 }
--- a/src/test/java/madderrudder/sim/Meeting.java
+++ b/src/test/java/madderrudder/sim/Meeting.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 
@@ -50,7 +50,7 @@
                         "req-70000" + i,
                         "pair",
                         SimUsers.GUEST,
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         Priority.HIGH,
                         2 + i % 2,
                         Resources.of(0.5, 0, 1),
@@ -372,7 +372,7 @@
                         String.format("req-6%05d", quarter),
                         "swarm",
                         SimUsers.GUEST,
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         Priority.LOW,
                         1,
                         Resources.of(0.25, 0, 0.5),
@@ -557,7 +557,7 @@
                         "req-5000" + (10 + i),
                         i % 2 == 0 ? "rush" : "heap",
                         TEAMS.get(i % 3),
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         i % 2 == 0 ? Priority.HIGH : Priority.LOW,
                         6,
                         Resources.of(2, 0, 4),
@@ -598,7 +598,7 @@
                         "req-40000" + i,
                         "bound",
                         SimUsers.GUEST,
-                        array ? Kind.ARRAY : Kind.GANG,
+                        array ? JobKind.ARRAY : JobKind.GANG,
                         Priority.HIGH,
                         array ? 5 : 2,
                         Resources.of(1, 0, 2),
@@ -894,7 +894,7 @@
                 "req-" + (300_000 + world.users.submitted.size()),
                 "stand",
                 TEAMS.get(i % TEAMS.size()),
-                Kind.SERVICE,
+                JobKind.SERVICE,
                 Priority.PRODUCTION,
                 1,
                 Resources.of(4, 0, 8),
--- a/src/test/java/madderrudder/sim/MeetingsTest.java
+++ b/src/test/java/madderrudder/sim/MeetingsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
@@ -27,14 +27,14 @@
   private static final int MOST_TRIES = 9;
   private static final int ALWAYS = 3;
   private static final long SECOND = World.SECOND;
-  private static final Policy POLICY =
-      new Policy(
+  private static final OperatorPolicy POLICY =
+      new OperatorPolicy(
           3_000_000,
           1_000_000,
           60,
           100_000_000,
           15_000_000,
-          Policy.SpotMode.ALWAYS,
+          OperatorPolicy.SpotMode.ALWAYS,
           3_000_000,
           0.1,
           0.1,
--- a/src/test/java/madderrudder/sim/RandomDaysTest.java
+++ b/src/test/java/madderrudder/sim/RandomDaysTest.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,14 +32,14 @@
   private static final long DAY = 460 * World.SECOND;
 
   private static World day(long seed, Deployment.WorkerTimes believed) {
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             3_000_000,
             1_000_000,
             20,
             100_000_000,
             15_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
@@ -96,14 +96,14 @@
   @ParameterizedTest
   @MethodSource("largeSeeds")
   void rulesHoldInALargeDeployment(long seed) {
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             1_000_000,
             1_000_000,
             600,
             300_000_000,
             20_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
@@ -211,14 +211,14 @@
     Deployment.WorkerTimes patient =
         new Deployment.WorkerTimes(
             1_500_000, leaseMicros, 20 * World.SECOND, 4 * World.SECOND, cancelMicros);
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             3_000_000,
             1_000_000,
             20,
             100_000_000,
             15_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
@@ -426,7 +426,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoStartsInAnOutageLearnsWhoLeads(long seed) throws MalformedMessage {
+  void whoStartsInAnOutageLearnsWhoLeads(long seed) throws MalformedMessageException {
     World world = calmDay(seed, true);
     String leader = world.leader();
     String back =
--- a/src/test/java/madderrudder/sim/Rules.java
+++ b/src/test/java/madderrudder/sim/Rules.java
@@ -16,8 +16,8 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import madderrudder.coordination.policy.Deployment;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 
@@ -145,7 +145,7 @@
           "not_written_ahead", task + " starts on " + machine.id + ", and the log names " + named);
     }
     JobSpec job = submitted.get(task.job());
-    if (job.kind() != Kind.GANG) {
+    if (job.kind() != JobKind.GANG) {
       begins(job.id());
     }
     if (job.types() != null && !job.types().contains(machine.type)
@@ -331,7 +331,7 @@
               .mapToObj(index -> new TaskId(id, index))
               .filter(task -> holderOf(task) == null && !isCompleted(task))
               .toList();
-      int wanted = job.kind() == Kind.GANG ? waiting.size() : 1;
+      int wanted = job.kind() == JobKind.GANG ? waiting.size() : 1;
       if (waiting.isEmpty()
           || !isLive(id)
           || mistaken.contains(id)
@@ -481,7 +481,7 @@
 
   private boolean served(JobSpec job) {
     return begunAt.containsKey(job.id())
-        && (job.kind() != Kind.ARRAY
+        && (job.kind() != JobKind.ARRAY
             || mistaken.contains(job.id())
             || askedToCancel.contains(job.id())
             || isDone(job.id()));
--- a/src/test/java/madderrudder/sim/RunTimesDayTest.java
+++ b/src/test/java/madderrudder/sim/RunTimesDayTest.java
@@ -6,10 +6,10 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.persistence.Keys;
 import madderrudder.protocol.Fields;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,14 +19,14 @@
 @Timeout(60)
 class RunTimesDayTest {
   private static World day(long seed, World.Size size) {
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             1_000_000,
             1_000_000,
             600,
             300_000_000,
             20_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
@@ -37,11 +37,11 @@
     return world;
   }
 
-  private static Fields learned(World world) throws MalformedMessage {
+  private static Fields learned(World world) throws MalformedMessageException {
     return world.ask(world.leader(), "/metrics").object("run_times");
   }
 
-  private static long runs(World world) throws MalformedMessage {
+  private static long runs(World world) throws MalformedMessageException {
     Fields classes = learned(world).object("ratio_to_guess");
     return classes.has("sweep") ? classes.object("sweep").count("runs") : 0;
   }
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aNewLeaderKnowsWhatEarlierOnesHaveLearned() throws MalformedMessage {
+  void aNewLeaderKnowsWhatEarlierOnesHaveLearned() throws MalformedMessageException {
     World world = day(2, World.Size.SMALL);
     world.run(120 * World.SECOND);
     assertTrue(runs(world) >= 8, "only " + runs(world) + " runs learned");
@@ -79,7 +79,7 @@
         "{\"d\":\"no base64!\"}",
         "{\"d\":\"AQAAAAAAAAAAeJwDAAAAAAE=\"}"
       })
-  void damagedPagesAreLeftOutOfATakeOver(String page) throws MalformedMessage {
+  void damagedPagesAreLeftOutOfATakeOver(String page) throws MalformedMessageException {
     World world = day(2, World.Size.SMALL);
     world.run(100 * World.SECOND);
     String before = world.leader();
@@ -120,7 +120,7 @@
 
   /** About 400 machines: what is learned takes no more than a hundredth of what is written. */
   @Test
-  void learningTakesFewWrites() throws MalformedMessage {
+  void learningTakesFewWrites() throws MalformedMessageException {
     World world = day(4, World.Size.LARGE);
     world.run(60 * World.SECOND);
     long written = world.store.written;
@@ -137,7 +137,7 @@
 
   /** Operators collect what has run, a part at a time. */
   @Test
-  void whatHasRunCanBeCollected() throws MalformedMessage {
+  void whatHasRunCanBeCollected() throws MalformedMessageException {
     World world = day(5, World.Size.LARGE);
     world.run(90 * World.SECOND);
     long next = 0;
--- a/src/test/java/madderrudder/sim/SimCloud.java
+++ b/src/test/java/madderrudder/sim/SimCloud.java
@@ -9,9 +9,9 @@
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
-import madderrudder.transport.HttpExchange;
+import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 
@@ -19,7 +19,7 @@
  * A stand-in for the cloud: two types in two zones, limited room, machines that boot slowly or
  * never.
  */
-final class SimCloud implements HttpExchange {
+final class SimCloud implements HttpHandler {
   private static final Map<String, Resources> TYPES =
       Map.of("small", Resources.of(4, 0, 16), "big", Resources.of(16, 0, 64));
 
@@ -210,7 +210,7 @@
         }
         default -> request.method().equals("GET") ? list() : rent(Json.readObject(request.body()));
       };
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError("the cloud got nonsense", e);
     }
   }
@@ -226,7 +226,7 @@
     return HttpResponse.of(200, best.body());
   }
 
-  private HttpResponse rent(Fields in) throws MalformedMessage {
+  private HttpResponse rent(Fields in) throws MalformedMessageException {
     String charter = in.text("charter");
     List<String> rented = answered.get(charter);
     if (rented == null) {
@@ -238,7 +238,7 @@
                       return m.type.equals(in.text("build"))
                           && m.zone.equals(in.text("berth"))
                           && m.spot == in.flag("driftwood");
-                    } catch (MalformedMessage e) {
+                    } catch (MalformedMessageException e) {
                       throw new AssertionError(e);
                     }
                   })
--- a/src/test/java/madderrudder/sim/SimNet.java
+++ b/src/test/java/madderrudder/sim/SimNet.java
@@ -8,8 +8,8 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import madderrudder.transport.HttpCalls;
-import madderrudder.transport.HttpExchange;
+import madderrudder.transport.HttpCaller;
+import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
@@ -50,7 +50,7 @@
   int lateReports;
 
   /** What answers at an address, and on which host. */
-  private record Served(String host, HttpExchange exchange) {}
+  private record Served(String host, HttpHandler exchange) {}
 
   /** A cut between two hosts; what it holds goes on when it ends. */
   private static final class Cut {
@@ -67,7 +67,7 @@
     this.loss = loss;
   }
 
-  void serve(String address, String host, HttpExchange exchange) {
+  void serve(String address, String host, HttpHandler exchange) {
     served.put(address, new Served(host, exchange));
   }
 
@@ -204,7 +204,7 @@
   }
 
   /** How a host calls others. */
-  HttpCalls callsFrom(String from, Scheduler clock) {
+  HttpCaller callsFrom(String from, Scheduler clock) {
     return (address, request, timeoutMicros, answer) -> {
       boolean[] settled = new boolean[1];
       Consumer<HttpResponse> once =
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -17,9 +17,9 @@
 import madderrudder.persistence.LogState;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.TaskId;
-import madderrudder.transport.HttpExchange;
+import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 
@@ -167,7 +167,7 @@
                   lateApplied += response.status() == 200 ? 1 : 0;
                   lateInVain += response.status() == 200 ? 0 : 1;
                 });
-          } catch (MalformedMessage e) {
+          } catch (MalformedMessageException e) {
             throw new AssertionError("the store got nonsense", e);
           }
         });
@@ -178,7 +178,7 @@
     sim.after(forMicros, () -> refused.remove(host));
   }
 
-  HttpExchange exchangeFor(String host) {
+  HttpHandler exchangeFor(String host) {
     return (request, answer) ->
         sim.after(
             slowness * (1_000 + sim.random.nextLong(sim.chance(0.01) ? 300_000 : 8_000)),
@@ -229,7 +229,7 @@
         end(Long.parseLong(path.substring(7)));
         answer.accept(HttpResponse.of(200, new byte[] {'{', '}'}));
       }
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError("the store got nonsense: " + request.target(), e);
     }
   }
@@ -287,7 +287,7 @@
     return damaged.size();
   }
 
-  private void commit(Fields in, Consumer<HttpResponse> answer) throws MalformedMessage {
+  private void commit(Fields in, Consumer<HttpResponse> answer) throws MalformedMessageException {
     List<Fields> writes = in.objects("writes");
     if (writes.size() > mostWrites) {
       throw new AssertionError("a transaction of " + writes.size() + " writes");
@@ -353,7 +353,7 @@
     wake();
   }
 
-  private void readLog(List<Fields> writes) throws MalformedMessage {
+  private void readLog(List<Fields> writes) throws MalformedMessageException {
     boolean turned = false;
     for (Fields write : writes) {
       String key = write.text("write", "");
@@ -389,7 +389,7 @@
       if (progress != null) {
         JobRecords.readProgress(Json.readObject(progress.data()), chunk, done);
       }
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
     return done.get(task.index()) || !keys.containsKey("l/" + task.job());
--- a/src/test/java/madderrudder/sim/SimUsers.java
+++ b/src/test/java/madderrudder/sim/SimUsers.java
@@ -8,13 +8,13 @@
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobCodec;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
-import madderrudder.transport.HttpCalls;
+import madderrudder.transport.HttpCaller;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 
@@ -29,13 +29,13 @@
   static final String GUEST = "duende";
 
   /** What the users call each kind of their jobs. */
-  static final Map<Kind, String> CLASSES =
-      Map.of(Kind.SERVICE, "desk", Kind.GANG, "train", Kind.ARRAY, "sweep");
+  static final Map<JobKind, String> CLASSES =
+      Map.of(JobKind.SERVICE, "desk", JobKind.GANG, "train", JobKind.ARRAY, "sweep");
 
   private final Sim sim;
   private final Rules rules;
   private final Deployment deployment;
-  private final HttpCalls calls;
+  private final HttpCaller calls;
   private final Sim.Host clock;
   private final List<String> nodes;
   private final int mostTasks;
@@ -89,9 +89,9 @@
             submit(job);
             // Services would fill each team's limit in time, so that nothing more of them could be
             // served.
-            if (job.kind() == Kind.SERVICE || sim.chance(0.3)) {
+            if (job.kind() == JobKind.SERVICE || sim.chance(0.3)) {
               clock.after(
-                  sim.random.nextLong(job.kind() == Kind.SERVICE ? 120_000_000 : 60_000_000),
+                  sim.random.nextLong(job.kind() == JobKind.SERVICE ? 120_000_000 : 60_000_000),
                   () -> withdraw(job.id()));
             }
             if (sim.chance(0.2)) {
@@ -138,7 +138,7 @@
         .filter(
             job ->
                 rules.isLive(job) && rules.held().stream().anyMatch(task -> task.job().equals(job)))
-        .sorted(Comparator.comparing(job -> rules.spec(job).kind() != Kind.SERVICE))
+        .sorted(Comparator.comparing(job -> rules.spec(job).kind() != JobKind.SERVICE))
         .limit(most)
         .toList();
   }
@@ -261,35 +261,37 @@
   }
 
   private JobSpec randomJob() {
-    Kind kind =
+    JobKind kind =
         switch (sim.random.nextInt(10)) {
-          case 0, 1, 2 -> Kind.SERVICE;
-          case 3, 4 -> Kind.GANG;
-          default -> Kind.ARRAY;
+          case 0, 1, 2 -> JobKind.SERVICE;
+          case 3, 4 -> JobKind.GANG;
+          default -> JobKind.ARRAY;
         };
     List<String> teams =
         deployment.teams().keySet().stream()
             .filter(team -> visitors || !team.equals(GUEST))
             .toList();
     Priority priority =
-        kind == Kind.SERVICE ? Priority.PRODUCTION : Priority.values()[1 + sim.random.nextInt(3)];
+        kind == JobKind.SERVICE
+            ? Priority.PRODUCTION
+            : Priority.values()[1 + sim.random.nextInt(3)];
     // A gang's task may take all of a small machine.
-    double cpus = kind == Kind.GANG ? 4 : 1 + sim.random.nextInt(4);
+    double cpus = kind == JobKind.GANG ? 4 : 1 + sim.random.nextInt(4);
     return new JobSpec(
         String.format("req-%06d", count++),
         CLASSES.get(kind),
         teams.get(sim.random.nextInt(teams.size())),
         kind,
         priority,
-        1 + sim.random.nextInt(kind == Kind.SERVICE ? 4 : kind == Kind.GANG ? 3 : mostTasks),
+        1 + sim.random.nextInt(kind == JobKind.SERVICE ? 4 : kind == JobKind.GANG ? 3 : mostTasks),
         Resources.of(cpus, 0, cpus * 2),
         "img-" + sim.random.nextInt(4),
         1.0,
         null,
         sim.chance(0.1) ? deployment.zones().get(0) : null,
-        kind == Kind.GANG && sim.chance(0.3),
-        kind == Kind.SERVICE,
-        kind != Kind.SERVICE && sim.chance(0.6),
+        kind == JobKind.GANG && sim.chance(0.3),
+        kind == JobKind.SERVICE,
+        kind != JobKind.SERVICE && sim.chance(0.6),
         8_000_000,
         0,
         0,
@@ -385,7 +387,7 @@
               ? Json.readObject(response.body())
               : null;
       return in == null ? "" : in.text("trim");
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError("a user got nonsense", e);
     }
   }
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -13,20 +13,20 @@
 import java.util.function.Consumer;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.protocol.Fields;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
-import madderrudder.transport.HttpCalls;
-import madderrudder.transport.HttpExchange;
+import madderrudder.transport.HttpCaller;
+import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
 
 /** A stand-in for a machine's worker, by the published protocol. */
-final class SimWorker implements HttpExchange {
+final class SimWorker implements HttpHandler {
   private static final long ANSWER_MICROS = 4_000_000;
   private static final int LINE_BYTES = 64 * 1024;
 
@@ -37,7 +37,7 @@
   final boolean spot;
   private final Sim sim;
   private final Sim.Host clock;
-  private final HttpCalls calls;
+  private final HttpCaller calls;
   private final Rules rules;
   private final Deployment.WorkerTimes times;
   private final Resources capacity;
@@ -284,7 +284,7 @@
         node = (node + 1) % names.size();
         nextMicros = 1_000_000;
       }
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError("a worker got nonsense", e);
     }
     reportAfter(changed ? Math.min(nextMicros, 500_000) : nextMicros);
@@ -343,13 +343,13 @@
               execute(in.objects("orders"));
             }
             answer.accept(HttpResponse.of(fits ? 200 : 409, body()));
-          } catch (MalformedMessage e) {
+          } catch (MalformedMessageException e) {
             throw new AssertionError("a worker got nonsense", e);
           }
         });
   }
 
-  private void execute(List<Fields> orders) throws MalformedMessage {
+  private void execute(List<Fields> orders) throws MalformedMessageException {
     for (Fields order : orders) {
       String key = order.text("stroke") + "@" + order.count("launch");
       Task task = tasks.get(key);
@@ -411,16 +411,16 @@
     images.add(job.image());
     starts++;
     rules.taskStarts(task.id, this);
-    task.state = job.kind() == Kind.GANG ? "gathering" : "running";
+    task.state = job.kind() == JobKind.GANG ? "gathering" : "running";
     change();
     if (rules.mistaken.contains(job.id())) {
       rules.mistakes++;
       exit(task, "error");
     } else if (rules.isCompleted(task.id)) {
       exit(task, "done");
-    } else if (job.kind() == Kind.GANG) {
+    } else if (job.kind() == JobKind.GANG) {
       gather(task, job);
-    } else if (job.kind() != Kind.SERVICE) {
+    } else if (job.kind() != JobKind.SERVICE) {
       int steps = rules.apart.contains(job.id()) ? 1 + 3 * task.id.index() : 1;
       long runMicros = (long) (steps * job.estimateMicros() * (0.5 + sim.random.nextDouble()));
       clock.after(
--- a/src/test/java/madderrudder/sim/UnlistedTroublesTest.java
+++ b/src/test/java/madderrudder/sim/UnlistedTroublesTest.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import madderrudder.coordination.policy.Policy;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.Kind;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
@@ -33,14 +33,14 @@
 @Timeout(60)
 class UnlistedTroublesTest {
   private static final long SEEDS = Long.getLong("unlistedSeeds", 5);
-  private static final Policy POLICY =
-      new Policy(
+  private static final OperatorPolicy POLICY =
+      new OperatorPolicy(
           3_000_000,
           1_000_000,
           60,
           100_000_000,
           15_000_000,
-          Policy.SpotMode.ALWAYS,
+          OperatorPolicy.SpotMode.ALWAYS,
           3_000_000,
           0.1,
           0.1,
@@ -202,7 +202,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void whatADeafMachineHadRunsElsewhere(boolean leaderEnds) throws MalformedMessage {
+  void whatADeafMachineHadRunsElsewhere(boolean leaderEnds) throws MalformedMessageException {
     for (long seed = 1; seed <= 4; seed++) {
       World world = day(seed);
       SimWorker deaf = busiest(world);
@@ -336,14 +336,14 @@
    */
   @Test
   void oneHugeArrayBesideTheOrdinary() {
-    Policy policy =
-        new Policy(
+    OperatorPolicy policy =
+        new OperatorPolicy(
             1_000_000,
             1_000_000,
             600,
             300_000_000,
             20_000_000,
-            Policy.SpotMode.ALWAYS,
+            OperatorPolicy.SpotMode.ALWAYS,
             3_000_000,
             0.1,
             0.1,
@@ -358,7 +358,7 @@
             "req-500000",
             "huge",
             SimUsers.GUEST,
-            Kind.ARRAY,
+            JobKind.ARRAY,
             Priority.LOW,
             25_000,
             Resources.of(0.25, 0, 0.9),
@@ -411,7 +411,7 @@
               String.format("req-%06d", i),
               gang ? "train" : "desk",
               team,
-              gang ? Kind.GANG : Kind.SERVICE,
+              gang ? JobKind.GANG : JobKind.SERVICE,
               Priority.PRODUCTION,
               tasks,
               Resources.of(0.25, 0, 1),
@@ -488,7 +488,7 @@
               "req-10000" + i,
               "sweep",
               "alto",
-              Kind.ARRAY,
+              JobKind.ARRAY,
               Priority.NORMAL,
               1,
               Resources.of(cpus, 0, 1),
--- a/src/test/java/madderrudder/sim/World.java
+++ b/src/test/java/madderrudder/sim/World.java
@@ -15,20 +15,20 @@
 import java.util.function.IntConsumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import madderrudder.config.PlatformSettings;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.coordination.policy.Objectives;
-import madderrudder.coordination.policy.Policy;
-import madderrudder.coordination.policy.Team;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.ServiceLevelObjectives;
+import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
-import madderrudder.service.Node;
-import madderrudder.service.Settings;
+import madderrudder.service.ControllerNode;
 import madderrudder.transport.HttpRequest;
 import madderrudder.transport.HttpResponse;
-import madderrudder.transport.Peers;
+import madderrudder.transport.PeerMessenger;
 
 /** Three controllers with all that is around them, on one virtual clock. */
 final class World {
@@ -42,7 +42,7 @@
   final Rules rules;
   private final Deployment deployment;
   private final Deployment told;
-  private final Policy policy;
+  private final OperatorPolicy policy;
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, Running> running = new LinkedHashMap<>();
 
@@ -53,10 +53,14 @@
   int forNextLeader;
 
   /** A controller process. */
-  private record Running(Node node, Sim.Host clock) {}
+  private record Running(ControllerNode node, Sim.Host clock) {}
 
   /** The workers keep the one set of times, and the controllers believe in the other. */
-  World(long seed, Deployment.WorkerTimes workers, Deployment.WorkerTimes believed, Policy policy) {
+  World(
+      long seed,
+      Deployment.WorkerTimes workers,
+      Deployment.WorkerTimes believed,
+      OperatorPolicy policy) {
     this(seed, workers, believed, policy, Size.SMALL);
   }
 
@@ -77,15 +81,15 @@
       long seed,
       Deployment.WorkerTimes workers,
       Deployment.WorkerTimes believed,
-      Policy policy,
+      OperatorPolicy policy,
       Size size) {
     this.policy = policy;
     sim = new Sim(seed);
-    Map<String, Team> teams = new LinkedHashMap<>();
+    Map<String, TeamQuota> teams = new LinkedHashMap<>();
     for (String name : List.of("alto", "basso", "canto")) {
       teams.put(
           name,
-          new Team(
+          new TeamQuota(
               name,
               Resources.of(size.guaranteedCpus(), 0, 0),
               Resources.of(size.limitCpus(), 0, 0)));
@@ -93,14 +97,14 @@
     // A guest, without a guarantee.
     teams.put(
         SimUsers.GUEST,
-        new Team(SimUsers.GUEST, Resources.NONE, Resources.of(size.limitCpus(), 0, 0)));
+        new TeamQuota(SimUsers.GUEST, Resources.NONE, Resources.of(size.limitCpus(), 0, 0)));
     Map<String, Long> waits = new HashMap<>();
     Map<String, List<Long>> ends = new HashMap<>();
     for (String name : SimUsers.CLASSES.values()) {
       waits.put(name, SECOND);
       ends.put(name, List.of(60 * SECOND));
     }
-    Objectives wanted = new Objectives(waits, ends, Map.of());
+    ServiceLevelObjectives wanted = new ServiceLevelObjectives(waits, ends, Map.of());
     deployment =
         new Deployment(
             List.of("east", "west"),
@@ -165,8 +169,8 @@
     String way = "10.2.1." + (names().indexOf(name) + 1) + ":1";
     net.serve(way, "store", store.exchangeFor(name));
     net.place(name, zoneOf(name));
-    Settings settings =
-        new Settings(
+    PlatformSettings settings =
+        new PlatformSettings(
             name,
             zoneOf(name),
             addresses.get(name),
@@ -176,8 +180,8 @@
             way,
             told,
             1000);
-    Node node =
-        new Node(
+    ControllerNode node =
+        new ControllerNode(
             clock,
             net.callsFrom(name, clock),
             peersFor(name),
@@ -192,8 +196,8 @@
     node.start();
   }
 
-  private Peers peersFor(String name) {
-    return new Peers() {
+  private PeerMessenger peersFor(String name) {
+    return new PeerMessenger() {
       @Override
       public void broadcast(ByteBuffer frame) {
         names().stream().filter(other -> !other.equals(name)).forEach(other -> send(other, frame));
@@ -243,7 +247,7 @@
             response -> {
               try {
                 answers.add(Json.readObject(response.body()));
-              } catch (MalformedMessage e) {
+              } catch (MalformedMessageException e) {
                 throw new AssertionError(path, e);
               }
             });
@@ -254,7 +258,7 @@
   long metric(String name, String field) {
     try {
       return running.containsKey(name) ? ask(name, "/metrics").count(field) : 0;
-    } catch (MalformedMessage e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
