--- a/src/main/java/madderrudder/config/OperatorSettings.java
+++ b/src/main/java/madderrudder/config/OperatorSettings.java
@@ -67,13 +67,13 @@
         micros(values.get("budget-window-s"), 1, 604_800, usual.budgetWindowMicros()),
         micros(values.get("idle-s"), 1, 86_400, usual.idleMicros()),
         values.containsKey("spot") ? spotMode(values.get("spot")) : usual.spotMode(),
-        micros(values.get("hold-s"), 1, 60, usual.holdMicros()),
+        micros(values.get("hold-s"), 1, 60, usual.leaseMicros()),
         number(values.get("headroom"), 0, 0.9, usual.headroom()),
         number(values.get("patience"), 0, 1, usual.patience()),
-        values.containsKey("deputies") ? on(values.get("deputies")) : usual.deputies(),
+        values.containsKey("deputies") ? on(values.get("deputies")) : usual.delegation(),
         values.containsKey("learned-run-times")
             ? on(values.get("learned-run-times"))
-            : usual.learned());
+            : usual.learnedRunTimes());
   }
 
   private static SpotMode spotMode(Atom value) throws Malformed {
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -7,10 +7,10 @@
 import madderrudder.coordination.reconciliation.TaskDecision;
 import madderrudder.coordination.reconciliation.TaskDecision.Verdict;
 import madderrudder.coordination.reconciliation.TaskFacts;
-import madderrudder.coordination.reconciliation.TaskFacts.Mates;
-import madderrudder.coordination.reconciliation.TaskFacts.Record;
-import madderrudder.coordination.reconciliation.TaskFacts.Told;
-import madderrudder.coordination.reconciliation.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskFacts.DesiredState;
+import madderrudder.coordination.reconciliation.TaskFacts.GangState;
+import madderrudder.coordination.reconciliation.TaskFacts.RecordOwner;
+import madderrudder.coordination.reconciliation.TaskFacts.ReportedState;
 import madderrudder.coordination.reconciliation.TaskReconciler;
 import madderrudder.coordination.registry.JobRegistry;
 import madderrudder.coordination.registry.LeaderTerm;
@@ -65,9 +65,9 @@
   private static final int MOST_ORDERS = 400;
 
   private final LeaderTerm term;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final JobRegistry jobs;
-  private final ScaleOutController rentals;
+  private final ScaleOutController scaleOut;
   private final Runnable onRoom;
   private final Predicate<Job> undecided;
 
@@ -77,15 +77,15 @@
    */
   public HeartbeatHandler(
       LeaderTerm term,
-      MachineRegistry fleet,
+      MachineRegistry machines,
       JobRegistry jobs,
-      ScaleOutController rentals,
+      ScaleOutController scaleOut,
       Runnable onRoom,
       Predicate<Job> undecided) {
     this.term = term;
-    this.fleet = fleet;
+    this.machines = machines;
     this.jobs = jobs;
-    this.rentals = rentals;
+    this.scaleOut = scaleOut;
     this.onRoom = onRoom;
     this.undecided = undecided;
   }
@@ -107,16 +107,16 @@
   public Worth take(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     if (machine == null) {
-      if (fleet.wasRemoved(report.machine())) {
+      if (machines.wasRemoved(report.machine())) {
         return Worth.LATE;
       }
       machine =
-          fleet.add(
+          machines.add(
               report.machine(),
               report.type(),
               report.zone(),
               report.spot(),
-              rentals.ownedStillOpen(),
+              scaleOut.ownedStillOpen(),
               term.scheduler.wallMicros());
       LOG.info(
           "{} reports ({} {}{}), {}",
@@ -125,11 +125,11 @@
           report.zone(),
           report.spot() ? " spot" : "",
           machine.owned ? "owned" : "rented");
-      fleet.save(machine);
+      machines.save(machine);
       // It may have been returned long ago, and this be a late copy: nothing goes there before its
       // worker has answered.
       if (!machine.owned) {
-        doubtUnlessHeard(machine, report, term.scheduler.nowMicros());
+        expectAcknowledgementUnlessSeen(machine, report, term.scheduler.nowMicros());
       }
     } else if (machine.reported && !report.newerThan(machine.session, machine.seq)) {
       return old(machine, report);
@@ -137,31 +137,31 @@
     long now = term.scheduler.nowMicros();
     if (machine.reported && report.session() > machine.session) {
       newSession(machine);
-      machine.doubt(now);
-    } else if (machine.reported && machine.told) {
+      machine.expectAcknowledgement(now);
+    } else if (machine.reported && machine.answeredInTerm) {
       // The answer to a report before carried this term's token, and did not reach it.
-      doubtUnlessHeard(machine, report, machine.heardMicros);
+      expectAcknowledgementUnlessSeen(machine, report, machine.lastHeardMicros);
     }
-    if (machine.heeds(report.token())) {
+    if (machine.acknowledges(report.token())) {
       LOG.debug("answers reach {}", machine.id);
     }
     boolean first = !machine.reported;
-    if (first || machine.lapsed) {
+    if (first || machine.leaseExpired) {
       machine.idleSinceMicros = now;
-      rentals.up(machine);
+      scaleOut.machineUp(machine);
       LOG.info("{} is here", machine.id);
     }
     machine.reported = true;
-    machine.lapsed = false;
+    machine.leaseExpired = false;
     machine.failed = false;
     machine.session = report.session();
     machine.seq = report.seq();
     machine.token = report.token();
-    machine.current |= FencingToken.term(report.token()) >= term.number;
-    machine.helloSeq = report.seq();
-    machine.helloMicros = now;
+    machine.reportedInTerm |= FencingToken.term(report.token()) >= term.term;
+    machine.heartbeatSeq = report.seq();
+    machine.heartbeatMicros = now;
     machine.addr = report.addr().isEmpty() ? machine.addr : report.addr();
-    machine.recallMicros = report.noticeMicros() < 0 ? -1 : now + report.noticeMicros();
+    machine.reclaimMicros = report.noticeMicros() < 0 ? -1 : now + report.noticeMicros();
     boolean room = apply(machine, report, now);
     room |= vanish(machine);
     if (room || first) {
@@ -175,13 +175,14 @@
     take(report);
     Machine machine = term.cluster.machines.get(report.machine());
     if (machine != null) {
-      machine.told = true;
+      machine.answeredInTerm = true;
     }
   }
 
-  private void doubtUnlessHeard(Machine machine, Heartbeat report, long sinceMicros) {
-    if (FencingToken.term(report.token()) < term.number) {
-      machine.doubt(sinceMicros);
+  private void expectAcknowledgementUnlessSeen(
+      Machine machine, Heartbeat report, long sinceMicros) {
+    if (FencingToken.term(report.token()) < term.term) {
+      machine.expectAcknowledgement(sinceMicros);
     }
   }
 
@@ -193,15 +194,15 @@
   private Worth old(Machine machine, Heartbeat report) {
     boolean last =
         report.session() == machine.session
-            && (report.seq() > machine.helloSeq
-                || report.seq() == machine.helloSeq
-                    && term.scheduler.nowMicros() - machine.helloMicros < ANSWER_MICROS);
+            && (report.seq() > machine.heartbeatSeq
+                || report.seq() == machine.heartbeatSeq
+                    && term.scheduler.nowMicros() - machine.heartbeatMicros < ANSWER_MICROS);
     if (!last) {
       return Worth.LATE;
     }
-    if (report.seq() > machine.helloSeq) {
-      machine.helloSeq = report.seq();
-      machine.helloMicros = term.scheduler.nowMicros();
+    if (report.seq() > machine.heartbeatSeq) {
+      machine.heartbeatSeq = report.seq();
+      machine.heartbeatMicros = term.scheduler.nowMicros();
     }
     return Worth.OVERTAKEN;
   }
@@ -216,7 +217,7 @@
     Machine machine = term.cluster.machines.get(report.machine());
     return machine != null
         && !machine.empty()
-        && machine.deafFor(term.scheduler.nowMicros(), term.safety.leaseMicros());
+        && machine.unacknowledgedFor(term.scheduler.nowMicros(), term.safety.leaseMicros());
   }
 
   /**
@@ -227,14 +228,14 @@
    */
   private void newSession(Machine machine) {
     LOG.info("{} begins a new session", machine.id);
-    fleet.releaseOwn(machine);
-    machine.helloSeq = -1;
+    machines.releaseOwn(machine);
+    machine.heartbeatSeq = -1;
   }
 
   /** Follows the states of the tasks that the worker has; true if room came free. */
   private boolean apply(Machine machine, Heartbeat report, long now) {
-    boolean room = !machine.strays.isEmpty();
-    List<Machine.OrphanTask> strays = List.of();
+    boolean room = !machine.orphanTasks.isEmpty();
+    List<Machine.OrphanTask> orphanTasks = List.of();
     for (TaskStatus task : report.tasks()) {
       Machine.TaskAttempt key = new Machine.TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(key);
@@ -243,8 +244,8 @@
       }
       if (assignment == null) {
         if (task.phase() != Phase.EXITED) {
-          strays = strays.isEmpty() ? new ArrayList<>() : strays;
-          strays.add(stray(key));
+          orphanTasks = orphanTasks.isEmpty() ? new ArrayList<>() : orphanTasks;
+          orphanTasks.add(stray(key));
         }
       } else if (task.phase() == Phase.EXITED) {
         room |= ended(assignment, task, report.token()) && exited(assignment, task, now);
@@ -252,8 +253,8 @@
         progressed(assignment, task.phase(), now);
       }
     }
-    if (room || !strays.isEmpty()) {
-      term.cluster.strays(machine, strays);
+    if (room || !orphanTasks.isEmpty()) {
+      term.cluster.orphanTasks(machine, orphanTasks);
     }
     return room;
   }
@@ -263,12 +264,13 @@
    * after it.
    */
   private boolean ended(Assignment assignment, TaskStatus task, long token) {
-    Told told = task.why() == ExitReason.DONE ? Told.DONE : Told.EXITED;
-    boolean mayCome = assignment.inherited && FencingToken.term(token) < term.number;
+    ReportedState told =
+        task.why() == ExitReason.DONE ? ReportedState.COMPLETED : ReportedState.EXITED;
+    boolean mayCome = assignment.inherited && FencingToken.term(token) < term.term;
     Verdict verdict =
         TaskReconciler.of(
                 new TaskFacts(
-                    assignment.inherited ? Record.EARLIER : Record.OWN,
+                    assignment.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
                     wish(assignment),
                     told,
                     mayCome,
@@ -287,13 +289,13 @@
 
   private void progressed(Assignment assignment, Phase phase, long now) {
     if (phase != Phase.FETCHING && assignment.phase != phase && assignment.job != null) {
-      fleet.usedImage(assignment.machine, assignment.job.spec);
+      machines.recordImageUse(assignment.machine, assignment.job.spec);
     }
     if (phase == Phase.RUNNING && assignment.runningMicros < 0) {
       assignment.runningMicros = now;
       started(assignment, now);
       if (assignment.job != null) {
-        assignment.job.gangRan = true;
+        assignment.job.gangStarted = true;
       }
     }
     assignment.phase = phase;
@@ -331,7 +333,7 @@
         "{} attempt {} exited on {}: {}", task.task(), task.attempt(), machine.id, task.why());
     if (task.why() == ExitReason.DONE) {
       if (job != null) {
-        fleet.usedImage(machine, job.spec);
+        machines.recordImageUse(machine, job.spec);
         ran(assignment, now, !job.mayHaveResumed(task.task().index()));
       }
       jobs.completed(assignment);
@@ -339,10 +341,10 @@
     }
     if (job != null && (task.why() == ExitReason.STOPPED || task.why() == ExitReason.PEERS)) {
       ran(assignment, now, false);
-      job.gangRan |= task.why() == ExitReason.PEERS;
+      job.gangStarted |= task.why() == ExitReason.PEERS;
     }
-    fleet.release(assignment);
-    if (job != null && !job.over) {
+    machines.release(assignment);
+    if (job != null && !job.ended) {
       switch (task.why()) {
         case ERROR -> failed(job, task, machine, now);
         case NO_ROOM, BUSY, UNKNOWN -> job.refused(task.task().index(), now);
@@ -357,17 +359,17 @@
    * machines, or of several jobs.
    */
   private void failed(Job job, TaskStatus task, Machine machine, long now) {
-    boolean before = job.faulty();
+    boolean before = job.failing();
     job.failed(task.task().index(), machine.id, now);
-    if (!job.faulty()) {
-      machine.fault(job.spec.id(), now, FAULT_MICROS, PASSED_OVER_MICROS);
+    if (!job.failing()) {
+      machine.recordFailure(job.spec.id(), now, FAULT_MICROS, PASSED_OVER_MICROS);
     } else if (!before) {
       LOG.info("{} fails wherever it runs: one task at a time is tried from now on", job.spec.id());
-      jobs.foundFaulty(job);
-      for (String id : job.erredOn()) {
+      jobs.markFailing(job);
+      for (String id : job.failedOn()) {
         Machine blamed = term.cluster.machines.get(id);
         if (blamed != null) {
-          blamed.forgive(job.spec.id());
+          blamed.clearFailure(job.spec.id());
         }
       }
     }
@@ -401,14 +403,16 @@
   private boolean vanish(Machine machine) {
     List<Assignment> gone = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
-      if (!assignment.seen() && assignment.startSeq >= 0 && assignment.startSeq < machine.seq) {
-        machine.doubt(term.scheduler.nowMicros());
+      if (!assignment.reportedByWorker()
+          && assignment.startSeq >= 0
+          && assignment.startSeq < machine.seq) {
+        machine.expectAcknowledgement(term.scheduler.nowMicros());
       }
       if (finding(assignment).verdict() == Verdict.GONE) {
         gone.add(assignment);
       }
     }
-    gone.forEach(fleet::release);
+    gone.forEach(machines::release);
     return !gone.isEmpty();
   }
 
@@ -418,23 +422,23 @@
 
   private TaskFacts facts(Assignment assignment) {
     Machine machine = assignment.machine;
-    Told told =
+    ReportedState told =
         !machine.reported
-            ? Told.NOTHING
-            : assignment.reportedSeq == machine.seq ? Told.HELD : Told.ABSENT;
+            ? ReportedState.UNREPORTED
+            : assignment.reportedSeq == machine.seq ? ReportedState.PRESENT : ReportedState.ABSENT;
     // A worker that has seen this term's token takes no command of an earlier leader any more.
     // Answers to reports
     // are dropped once the next report is under way, so a newer one settles an unseen start.
     boolean mayCome =
         assignment.directToken >= machine.token
             || assignment.startSeq >= machine.seq
-            || assignment.inherited && FencingToken.term(machine.token) < term.number;
+            || assignment.inherited && FencingToken.term(machine.token) < term.term;
     return new TaskFacts(
-        assignment.inherited ? Record.EARLIER : Record.OWN,
+        assignment.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
         wish(assignment),
         told,
         mayCome,
-        assignment.seen(),
+        assignment.reportedByWorker(),
         assignment.durable,
         mates(assignment.job));
   }
@@ -443,33 +447,36 @@
    * What a lease that ended has stopped needs no order to stay so, if its room is wanted for what
    * comes before it.
    */
-  private Wish wish(Assignment assignment) {
+  private DesiredState wish(Assignment assignment) {
     if (assignment.completed) {
-      return Wish.KEPT_DONE;
+      return DesiredState.KEEP_COMPLETED;
     }
-    if (assignment.unwanted || assignment.job == null || assignment.job.over) {
-      return Wish.GO;
+    if (assignment.evicting || assignment.job == null || assignment.job.ended) {
+      return DesiredState.REMOVE;
     }
-    return assignment.inherited && !assignment.seen() && undecided.test(assignment.job)
-        ? Wish.MAY_STAY
-        : Wish.RUN;
+    return assignment.inherited && !assignment.reportedByWorker() && undecided.test(assignment.job)
+        ? DesiredState.MAY_RUN
+        : DesiredState.RUN;
   }
 
-  private static Mates mates(Job job) {
+  private static GangState mates(Job job) {
     if (job == null || job.spec.kind() != JobKind.GANG) {
-      return Mates.GATHER;
+      return GangState.GATHERING;
     }
-    return job.gangRan ? Mates.RAN : job.gangHeard() ? Mates.GATHER : Mates.UNHEARD;
+    return job.gangStarted
+        ? GangState.STARTED
+        : job.gangMachinesHeard() ? GangState.GATHERING : GangState.UNKNOWN;
   }
 
   /** What a worker has that no record names there. */
   private static TaskDecision unrecorded(TaskStatus task) {
-    Told told =
+    ReportedState told =
         task.phase() != Phase.EXITED
-            ? Told.HELD
-            : task.why() == ExitReason.DONE ? Told.DONE : Told.EXITED;
+            ? ReportedState.PRESENT
+            : task.why() == ExitReason.DONE ? ReportedState.COMPLETED : ReportedState.EXITED;
     return TaskReconciler.of(
-        new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER));
+        new TaskFacts(
+            RecordOwner.NONE, DesiredState.REMOVE, told, false, true, true, GangState.GATHERING));
   }
 
   /** Whether the machine waits for a record to become durable that an answer could then carry. */
@@ -477,7 +484,7 @@
     Machine machine = term.cluster.machines.get(id);
     if (machine != null) {
       for (Assignment assignment : machine.assignments.values()) {
-        if (!assignment.durable && !assignment.unwanted) {
+        if (!assignment.durable && !assignment.evicting) {
           return true;
         }
       }
@@ -496,8 +503,8 @@
     if (machine == null) {
       return List.of();
     }
-    machine.answeredMicros = Math.max(machine.answeredMicros, term.scheduler.nowMicros());
-    machine.told = true;
+    machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, term.scheduler.nowMicros());
+    machine.answeredInTerm = true;
     return stops(machine, report);
   }
 
@@ -512,7 +519,7 @@
           machine.assignments.get(new Machine.TaskAttempt(task.task(), task.attempt()));
       if (task.phase() != Phase.EXITED && assignment == null) {
         stops.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
-      } else if (task.phase() != Phase.EXITED && wish(assignment) == Wish.GO) {
+      } else if (task.phase() != Phase.EXITED && wish(assignment) == DesiredState.REMOVE) {
         stops.add(stop(assignment, term.scheduler.nowMicros()));
       }
     }
@@ -526,14 +533,14 @@
       return List.of();
     }
     long now = term.scheduler.nowMicros();
-    machine.answeredMicros = Math.max(machine.answeredMicros, now);
-    machine.heardMicros = now;
-    machine.told = true;
+    machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, now);
+    machine.lastHeardMicros = now;
+    machine.answeredInTerm = true;
     if (machine.session != report.session() || machine.seq != report.seq()) {
       return stops(machine, report);
     }
     List<WorkerCommand> orders = new ArrayList<>();
-    boolean raise = false;
+    boolean raiseToken = false;
     for (TaskStatus task : report.tasks()) {
       Machine.TaskAttempt key = new Machine.TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(key);
@@ -541,7 +548,7 @@
         switch (unrecorded(task).verdict()) {
           case FORGET -> {
             orders.add(WorkerCommand.forget(key.task(), key.attempt()));
-            raise = true;
+            raiseToken = true;
           }
           case STOP -> orders.add(WorkerCommand.stop(key.task(), key.attempt(), 0));
           default -> {}
@@ -552,7 +559,7 @@
     }
     for (Assignment assignment : machine.assignments.values()) {
       TaskDecision finding = finding(assignment);
-      raise |= finding.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
+      raiseToken |= finding.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
       if (orders.size() < MOST_ORDERS && startable(assignment, finding)) {
         orders.add(WorkerCommand.start(assignment.task, assignment.attempt));
         if (!assignment.startSent) {
@@ -565,8 +572,8 @@
     // A copy of a direct start could start again what its worker has forgotten: it must be too old
     // by then. What waits for
     // a direct start of unknown fate is settled in the same way.
-    if (raise && machine.directToken >= machine.given) {
-      machine.raise();
+    if (raiseToken && machine.directToken >= machine.issuedToken) {
+      machine.raiseToken();
     }
     return orders;
   }
@@ -575,19 +582,19 @@
   public long token(Heartbeat report) {
     Machine machine = term.cluster.machines.get(report.machine());
     return machine == null
-        ? FencingToken.echo(report.token(), term.number)
+        ? FencingToken.echo(report.token(), term.term)
         : token(machine, report.token());
   }
 
   private long token(Machine machine, long seen) {
-    machine.given = Math.max(machine.given, FencingToken.echo(seen, term.number));
-    return machine.given;
+    machine.issuedToken = Math.max(machine.issuedToken, FencingToken.echo(seen, term.term));
+    return machine.issuedToken;
   }
 
   private boolean startable(Assignment assignment, TaskDecision finding) {
     return finding.verdict() == Verdict.START
         && !assignment.machine.retiring
-        && term.election.entitled();
+        && term.election.holdsLease();
   }
 
   private WorkerCommand stop(Assignment assignment, long now) {
@@ -595,7 +602,7 @@
       assignment.stopSentMicros = now;
     }
     Job job = assignment.job;
-    boolean saves = job != null && !job.over && job.spec.checkpointMicros() > 0;
+    boolean saves = job != null && !job.ended && job.spec.checkpointMicros() > 0;
     long grace = saves ? job.spec.saveMicros() + term.deployment.workers().gangPeerMicros() : 0;
     return WorkerCommand.stop(assignment.task, assignment.attempt, grace);
   }
@@ -620,12 +627,12 @@
       }
       if (!assignment.startSent
           && assignment.reportedSeq != machine.seq
-          && FencingToken.canRise(machine.given)
+          && FencingToken.canRise(machine.issuedToken)
           && startable(assignment, finding(assignment))) {
         orders.add(WorkerCommand.start(assignment.task, assignment.attempt));
         starts.add(assignment);
-      } else if (assignment.unwanted
-          && assignment.seen()
+      } else if (assignment.evicting
+          && assignment.reportedByWorker()
           && !assignment.completed
           && assignment.phase != Phase.EXITED
           && (assignment.stopSentMicros < 0
@@ -670,8 +677,8 @@
     if (status == 200 || status == 409) {
       try {
         Heartbeat report = WorkerCodec.readReport(response.body());
-        overtaken = FencingToken.term(report.token()) == term.number && report.session() == session;
-        if (FencingToken.term(report.token()) > term.number) {
+        overtaken = FencingToken.term(report.token()) == term.term && report.session() == session;
+        if (FencingToken.term(report.token()) > term.term) {
           term.election.heardToken(report.token());
         } else if (status == 200 && report.machine().equals(machine.id)) {
           settle(machine, session, starts, report);
@@ -705,10 +712,10 @@
     for (Job job : term.cluster.jobs.values()) {
       if (job.spec.kind() == JobKind.GANG && !job.assignments.isEmpty() && !job.complete()) {
         boolean broken =
-            job.assignments.stream().anyMatch(a -> a.unwanted)
-                || job.gangRan && job.nextWaiting(0) >= 0;
+            job.assignments.stream().anyMatch(a -> a.evicting)
+                || job.gangStarted && job.nextWaiting(0) >= 0;
         if (broken) {
-          job.assignments.forEach(fleet::unwant);
+          job.assignments.forEach(machines::evict);
         }
       }
     }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -72,18 +72,18 @@
   /** What a worker is answered; null orders mean that this node may not act. */
   public record Answer(long token, List<WorkerCommand> orders) {}
 
-  private final LeaderDependencies around;
+  private final LeaderDependencies dependencies;
   private final LeaderTerm term;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final JobRegistry jobs;
-  private final ScaleOutController rentals;
-  private final HeartbeatHandler desk;
+  private final ScaleOutController scaleOut;
+  private final HeartbeatHandler heartbeats;
   private final Map<String, Waiting> waiting = new HashMap<>();
 
   /** The newest report of each machine that came while the store was being read. */
   private final Map<String, Heartbeat> early = new LinkedHashMap<>();
 
-  private final TermAcknowledgements stoodBack;
+  private final TermAcknowledgements termAcknowledgements;
   private boolean ready;
   private boolean planSoon;
   private long lastPlanMicros;
@@ -101,15 +101,16 @@
 
   private record Waiting(Heartbeat report, Consumer<Answer> answer) {}
 
-  public Leader(LeaderDependencies around, long number, long helmVersion, Runnable onLost) {
-    this.around = around;
-    term = new LeaderTerm(around, number, helmVersion, onLost);
-    stoodBack = new TermAcknowledgements(number, around.others());
-    fleet = new MachineRegistry(term);
-    jobs = new JobRegistry(term, fleet, this::planSoon);
-    rentals = new ScaleOutController(term, fleet, around.cloud());
-    desk = new HeartbeatHandler(term, fleet, jobs, rentals, this::planSoon, this::undecided);
-    fleet.onDurable(this::durable);
+  public Leader(LeaderDependencies dependencies, long number, long termVersion, Runnable onLost) {
+    this.dependencies = dependencies;
+    term = new LeaderTerm(dependencies, number, termVersion, onLost);
+    termAcknowledgements = new TermAcknowledgements(number, dependencies.others());
+    machines = new MachineRegistry(term);
+    jobs = new JobRegistry(term, machines, this::planSoon);
+    scaleOut = new ScaleOutController(term, machines, dependencies.cloud());
+    heartbeats =
+        new HeartbeatHandler(term, machines, jobs, scaleOut, this::planSoon, this::undecided);
+    machines.onDurable(this::durable);
     beginMicros = term.scheduler.nowMicros();
   }
 
@@ -119,16 +120,16 @@
   }
 
   private void loadWhenCatalogKnown(StoredStateReader.Found found, long readMicros) {
-    if (!around.catalog().known()) {
+    if (!dependencies.catalog().known()) {
       term.after(TICK_MICROS, () -> loadWhenCatalogKnown(found, readMicros));
       return;
     }
-    term.cluster.types = around.catalog().types();
+    term.cluster.types = dependencies.catalog().types();
     try {
       jobs.load(found, readMicros);
-      fleet.load(found.under(Keys.PAGES));
+      machines.load(found.under(Keys.PAGES));
       term.cluster.machines.values().forEach(this::answeredEarlier);
-      rentals.load(found);
+      scaleOut.load(found);
       if (term.learned != null) {
         term.learned.load(found.under(Keys.RUN_TIMES));
         term.learned.keep();
@@ -138,24 +139,24 @@
       term.election.stepDown("unreadable records");
       return;
     }
-    around.catalog().onRefresh(this::saveCatalog);
+    dependencies.catalog().onRefresh(this::saveCatalog);
     saveCatalog();
     ready = true;
     readyMicros = term.scheduler.nowMicros();
     LOG.info(
         "term {}: took over {} jobs and {} machines",
-        term.number,
+        term.term,
         term.cluster.jobs.size(),
         term.cluster.machines.size());
     // They have been answered already; what they say is as good as that of any report that comes
     // late.
     confidence = assess();
     guaranteed = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence).guaranteed();
-    early.values().forEach(desk::takeAnswered);
+    early.values().forEach(heartbeats::takeAnswered);
     confidence = assess();
     LOG.info(
         "term {}: the store was read in {} ms; {} of the machines that were up have been heard{}",
-        term.number,
+        term.term,
         (readyMicros - beginMicros) / 1000,
         percent(confidence.share()),
         confidence.suffices() ? "" : ", renting and stopping wait for others");
@@ -168,7 +169,7 @@
     return Confidence.of(
         term.cluster,
         term.scheduler.nowMicros() - readyMicros,
-        Confidence.patienceMicros(term.deployment.workers(), around.others().size() + 1),
+        Confidence.patienceMicros(term.deployment.workers(), dependencies.others().size() + 1),
         term.scheduler.wallMicros());
   }
 
@@ -180,7 +181,7 @@
       if (!sufficed && confidence.suffices()) {
         LOG.info(
             "term {}: {} of the machines that were up have been heard after {} ms",
-            term.number,
+            term.term,
             percent(confidence.share()),
             (term.scheduler.nowMicros() - readyMicros) / 1000);
       }
@@ -208,7 +209,7 @@
    * worker's lease begins only after that.
    */
   private void answeredEarlier(Machine machine) {
-    machine.answeredMicros += stoodBack.all() ? 0 : term.safety.answerMicros();
+    machine.lastAnsweredMicros += termAcknowledgements.all() ? 0 : term.safety.answerMicros();
   }
 
   /**
@@ -219,7 +220,7 @@
     long now = term.scheduler.nowMicros();
     for (Machine machine : term.cluster.machines.values()) {
       if (!machine.reported) {
-        machine.answeredMicros = Math.min(machine.answeredMicros, now);
+        machine.lastAnsweredMicros = Math.min(machine.lastAnsweredMicros, now);
       }
     }
   }
@@ -247,10 +248,11 @@
   public boolean mayAnswer() {
     long now = term.scheduler.nowMicros();
     if (!ready) {
-      return term.election.entitled() && now < around.harmlessUntilMicros().getAsLong();
+      return term.election.holdsLease() && now < dependencies.harmlessUntilMicros().getAsLong();
     }
     return now
-        < Math.min(jobs.freshMicros(), term.election.holdEndMicros()) + term.safety.answerMicros();
+        < Math.min(jobs.knownUpToMicros(), term.election.leaseEndMicros())
+            + term.safety.answerMicros();
   }
 
   /** Whether a report is answered at this moment, rather than once the store is read. */
@@ -266,18 +268,19 @@
    * told.
    */
   public long grantMicros() {
-    if (!ready || !term.policy.deputies()) {
+    if (!ready || !term.policy.delegation()) {
       return 0;
     }
     long from =
-        Math.min(term.cluster.settledMicros(jobs.freshMicros()), term.election.holdEndMicros());
+        Math.min(
+            term.cluster.settledMicros(jobs.knownUpToMicros()), term.election.leaseEndMicros());
     return Math.max(0, from + term.safety.answerMicros() - term.scheduler.nowMicros());
   }
 
   /** Those of the processes heard to whom the grant may go out at this moment. */
   public List<StampEcho> granted(List<StampEcho> heard, long grantMicros) {
     long untilMicros = term.scheduler.nowMicros() + grantMicros;
-    return heard.stream().filter(echo -> term.deputies.grant(echo, untilMicros)).toList();
+    return heard.stream().filter(echo -> term.delegation.grant(echo, untilMicros)).toList();
   }
 
   /** Another controller has answered machines. */
@@ -286,19 +289,20 @@
     for (PeerMessage.LeaseRenewal answer : answered.answers()) {
       Machine machine = term.cluster.machines.get(answer.machine());
       if (machine != null) {
-        machine.answeredMicros =
+        machine.lastAnsweredMicros =
             Math.max(
-                machine.answeredMicros, now - SafetyBounds.shortened(1000L * answer.agoMillis()));
+                machine.lastAnsweredMicros,
+                now - SafetyBounds.minusClockDrift(1000L * answer.agoMillis()));
       }
     }
-    term.deputies.heard(answered);
+    term.delegation.heard(answered);
   }
 
   /** Another controller's word, with what it has heard of this process, or null. */
   public void heard(MembershipStatus standing, StampEcho mine) {
-    if (around.others().contains(standing.member())) {
-      term.deputies.heard(standing, mine, term.scheduler.nowMicros());
-      if (stoodBack.heard(standing, mine, term.scheduler.nowMicros())) {
+    if (dependencies.others().contains(standing.member())) {
+      term.delegation.heard(standing, mine, term.scheduler.nowMicros());
+      if (termAcknowledgements.heard(standing, mine, term.scheduler.nowMicros())) {
         othersStoodBack();
       }
     }
@@ -315,19 +319,19 @@
       if (known == null || report.newerThan(known.session(), known.seq())) {
         early.put(report.machine(), report);
       }
-      answer.accept(new Answer(desk.token(report), List.of()));
+      answer.accept(new Answer(heartbeats.token(report), List.of()));
       return;
     }
-    HeartbeatHandler.Worth worth = desk.take(report);
-    if (worth == HeartbeatHandler.Worth.LATE || desk.withholds(report)) {
+    HeartbeatHandler.Worth worth = heartbeats.take(report);
+    if (worth == HeartbeatHandler.Worth.LATE || heartbeats.withholds(report)) {
       answer.accept(new Answer(0, null));
       return;
     }
     if (worth == HeartbeatHandler.Worth.OVERTAKEN) {
-      answer.accept(new Answer(desk.token(report), desk.ordersForOvertaken(report)));
+      answer.accept(new Answer(heartbeats.token(report), heartbeats.ordersForOvertaken(report)));
       return;
     }
-    if (!desk.unsettled(report.machine()) || !term.election.entitled()) {
+    if (!heartbeats.unsettled(report.machine()) || !term.election.holdsLease()) {
       answer.accept(answer(report));
       return;
     }
@@ -346,33 +350,33 @@
   }
 
   private Answer answer(Heartbeat report) {
-    List<WorkerCommand> orders = desk.ordersFor(report);
-    return new Answer(desk.token(report), orders);
+    List<WorkerCommand> orders = heartbeats.ordersFor(report);
+    return new Answer(heartbeats.token(report), orders);
   }
 
   /** A machine's record has been written: what waited for it may go out. */
   private void durable(Machine machine) {
-    Waiting wait = desk.unsettled(machine.id) ? null : waiting.remove(machine.id);
+    Waiting wait = heartbeats.unsettled(machine.id) ? null : waiting.remove(machine.id);
     if (wait != null) {
       wait.answer().accept(answer(wait.report()));
     }
-    desk.push(machine);
+    heartbeats.push(machine);
   }
 
   private void tick() {
-    if (deaf()) {
+    if (mostMachinesSilent()) {
       term.election.yield("most machines have fallen silent at once");
       return;
     }
-    fleet.lapseSilent(term.scheduler.nowMicros());
-    term.cluster.types = around.catalog().types();
+    machines.expireSilentLeases(term.scheduler.nowMicros());
+    term.cluster.types = dependencies.catalog().types();
     look();
-    rentals.square(term.scheduler.nowMicros(), confidence);
+    scaleOut.reconcileMachines(term.scheduler.nowMicros(), confidence);
     plan();
     // A stop that was not heard is repeated; what a picture that is good by now lets start is told.
     int pushes = 0;
     for (Machine machine : term.cluster.machines.values()) {
-      if (pushes < MOST_PUSHES && desk.push(machine)) {
+      if (pushes < MOST_PUSHES && heartbeats.push(machine)) {
         pushes++;
       }
     }
@@ -383,17 +387,17 @@
    * rarely fall silent together by themselves, so another node had better try, while the leases
    * still last. In an outage of the store nobody could, and the lead is kept.
    */
-  private boolean deaf() {
+  private boolean mostMachinesSilent() {
     long limit = 2 * term.deployment.workers().reportMicros() + DEAF_SLACK_MICROS;
     int heard = 0;
     int silent = 0;
     for (Machine machine : term.cluster.machines.values()) {
-      if (machine.reported && !machine.lapsed && !machine.retiring) {
+      if (machine.reported && !machine.leaseExpired && !machine.retiring) {
         heard++;
-        silent += term.scheduler.nowMicros() - machine.heardMicros > limit ? 1 : 0;
+        silent += term.scheduler.nowMicros() - machine.lastHeardMicros > limit ? 1 : 0;
       }
     }
-    return heard >= LEAST_HEARD && 3 * silent >= 2 * heard && term.election.entitled();
+    return heard >= LEAST_HEARD && 3 * silent >= 2 * heard && term.election.holdsLease();
   }
 
   /**
@@ -417,13 +421,13 @@
   /** The wanted state is worked out anew from the picture, and the difference is set going. */
   private void plan() {
     planSoon = false;
-    if (!ready || !term.election.entitled()) {
+    if (!ready || !term.election.holdsLease()) {
       return;
     }
     long now = term.scheduler.nowMicros();
     // A gang goes as a whole: its other tasks are told in the same round, and so can save together.
-    RecallDrain.plan(term.cluster, now).forEach(fleet::unwant);
-    desk.sweepGangs();
+    RecallDrain.plan(term.cluster, now).forEach(machines::evict);
+    heartbeats.sweepGangs();
     look();
     Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence);
     heldBack =
@@ -436,11 +440,11 @@
       }
       for (Assignment victim : Preemption.plan(term.cluster, term.policy, demand, now)) {
         LOG.debug("stopping {} on {} to make room", victim.task, victim.machine.id);
-        fleet.unwant(victim);
+        machines.evict(victim);
       }
     }
-    rentals.reconcile(demand, now);
-    fleet.takeTouched().forEach(desk::push);
+    scaleOut.scaleOut(demand, now);
+    machines.takeTouched().forEach(heartbeats::push);
     lastPlanMicros = term.scheduler.nowMicros() - now;
     term.metrics.record(Timing.PLANNING, lastPlanMicros);
     LOG.debug("planned for {} jobs in {} ms", demand.waiting().size(), lastPlanMicros / 1000);
@@ -457,7 +461,7 @@
     } else {
       attempt = term.nextAttempt();
     }
-    fleet.assign(placement.machine(), job, placement.task(), attempt);
+    machines.assign(placement.machine(), job, placement.task(), attempt);
   }
 
   private void summarise() {
@@ -465,8 +469,8 @@
         "machines and processors in use: {}; {} tasks wait, {} changes unwritten, budget left {}",
         ClusterSummary.of(term.cluster),
         waitingTasks(),
-        term.journal.backlog(),
-        rentals.budgetLeft());
+        term.commits.backlog(),
+        scaleOut.budgetLeft());
   }
 
   private int waitingTasks() {
@@ -477,17 +481,17 @@
   public void writeState(JsonGenerator out) throws IOException {
     out.writeNumberField("jobs", term.cluster.jobs.size());
     out.writeNumberField("waiting_tasks", waitingTasks());
-    out.writeNumberField("unwritten_changes", term.journal.backlog());
-    out.writeNumberField("rentals_under_way", rentals.underWay());
-    out.writeNumberField("budget_left", rentals.budgetLeft());
+    out.writeNumberField("unwritten_changes", term.commits.backlog());
+    out.writeNumberField("rentals_under_way", scaleOut.underWay());
+    out.writeNumberField("budget_left", scaleOut.budgetLeft());
     out.writeStringField("machines", ClusterSummary.of(term.cluster));
     long now = term.scheduler.nowMicros();
     out.writeNumberField(
-        "jobs_failing", term.cluster.jobs.values().stream().filter(Job::faulty).count());
-    out.writeNumberField("machines_passed_over", machines(machine -> machine.faulty(now)));
-    out.writeNumberField("machines_in_doubt", machines(Machine::deaf));
+        "jobs_failing", term.cluster.jobs.values().stream().filter(Job::failing).count());
+    out.writeNumberField("machines_passed_over", machines(machine -> machine.cordoned(now)));
+    out.writeNumberField("machines_in_doubt", machines(Machine::unacknowledged));
     out.writeNumberField(
-        "boots_late", machines(machine -> machine.booting() && !machine.coming(now)));
+        "boots_late", machines(machine -> machine.booting() && !machine.bootingOnTime(now)));
     if (term.learned != null) {
       term.learned.write(out);
     }
@@ -520,9 +524,9 @@
   }
 
   private void saveCatalog() {
-    byte[] text = around.catalog().text();
+    byte[] text = dependencies.catalog().text();
     if (!term.closed() && text != null && text.length < term.deployment.state().valueBytes()) {
-      term.journal.add(new CatalogChange(text), Urgency.LATER);
+      term.commits.add(new CatalogChange(text), Urgency.LATER);
     }
   }
 
@@ -549,11 +553,11 @@
 
   /** What this leader leaves over of its writes a second, for users. */
   public double spareWritesPerSecond(long sinceMicros) {
-    return ready ? term.journal.spareWritesPerSecond(sinceMicros) : 0;
+    return ready ? term.commits.spareWritesPerSecond(sinceMicros) : 0;
   }
 
   public long number() {
-    return term.number;
+    return term.term;
   }
 
   /** Keeps the catalogue for nodes that start while the cloud is down. */
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -21,7 +21,7 @@
 
   /** One controller; the times are of the leader's clock. */
   private static final class Member {
-    long life;
+    long incarnation;
     long firstMicros;
 
     /** Up to this moment all its answers are known. */
@@ -49,7 +49,7 @@
    */
   public boolean grant(StampEcho to, long untilMicros) {
     Member member = members.get(to.member());
-    if (member == null || member.life != to.life()) {
+    if (member == null || member.incarnation != to.incarnation()) {
       return false;
     }
     member.grantedMicros = Math.max(member.grantedMicros, untilMicros);
@@ -59,7 +59,7 @@
   /** A part of what a controller has answered; the answers themselves are the caller's to note. */
   public void heard(DelegatedRenewals part) {
     Member member = members.get(part.member());
-    if (member == null || member.life != part.life()) {
+    if (member == null || member.incarnation != part.incarnation()) {
       return;
     }
     member.parts = member.partsStampMicros == part.stampMicros() ? member.parts + 1 : 1;
@@ -71,10 +71,11 @@
     Member member = members.get(standing.member());
     if (member == null) {
       member = new Member();
-      member.life = standing.life();
+      member.incarnation = standing.incarnation();
       member.firstMicros = nowMicros;
       members.put(standing.member(), member);
-    } else if (member.life != standing.life() && !succeeds(member, standing, mine, nowMicros)) {
+    } else if (member.incarnation != standing.incarnation()
+        && !succeeds(member, standing, mine, nowMicros)) {
       return;
     }
     boolean complete =
@@ -84,9 +85,11 @@
     if (mine != null && complete) {
       // What it has heard of this term's leader keeps it from answering in its stead for a while
       // more.
-      long quietMicros =
-          mine.stampMicros() >= beginMicros ? SafetyBounds.shortened(safety.quietMicros()) : 0;
-      member.toldMicros = Math.max(member.toldMicros, mine.stampMicros() + quietMicros);
+      long leaderSilenceMicros =
+          mine.stampMicros() >= beginMicros
+              ? SafetyBounds.minusClockDrift(safety.leaderSilenceMicros())
+              : 0;
+      member.toldMicros = Math.max(member.toldMicros, mine.stampMicros() + leaderSilenceMicros);
     }
   }
 
@@ -100,12 +103,12 @@
     if (mine == null || mine.stampMicros() < member.firstMicros) {
       return false;
     }
-    long bornMicros = nowMicros - SafetyBounds.shortened(standing.ageMicros());
+    long bornMicros = nowMicros - SafetyBounds.minusClockDrift(standing.ageMicros());
     long lastMicros = Math.min(member.grantedMicros, bornMicros);
     if (lastMicros > member.toldMicros) {
       member.formerMicros = Math.max(member.formerMicros, lastMicros);
     }
-    member.life = standing.life();
+    member.incarnation = standing.incarnation();
     member.firstMicros = nowMicros;
     member.toldMicros = NEVER;
     member.grantedMicros = NEVER;
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -38,7 +38,7 @@
   private final Scheduler scheduler;
   private final SafetyBounds safety;
   private final String member;
-  private final long life;
+  private final long incarnation;
   private final long bornMicros;
   private final Map<String, Heard> heard = new HashMap<>();
 
@@ -57,14 +57,15 @@
   private record Given(long atMicros, long session, long seq) {}
 
   /** What was last heard of a peer, and when on this controller's clock. */
-  private record Heard(long life, long stampMicros, long atMicros) {}
+  private record Heard(long incarnation, long stampMicros, long atMicros) {}
 
-  /** {@code life} tells this process from others of the same name. */
-  public HeartbeatDelegate(Scheduler scheduler, SafetyBounds safety, String member, long life) {
+  /** {@code incarnation} tells this process from others of the same name. */
+  public HeartbeatDelegate(
+      Scheduler scheduler, SafetyBounds safety, String member, long incarnation) {
     this.scheduler = scheduler;
     this.safety = safety;
     this.member = member;
-    this.life = life;
+    this.incarnation = incarnation;
     bornMicros = scheduler.nowMicros();
   }
 
@@ -72,12 +73,12 @@
   public void take(MembershipStatus standing, long highestTerm) {
     heard.put(
         standing.member(),
-        new Heard(standing.life(), standing.stampMicros(), scheduler.nowMicros()));
+        new Heard(standing.incarnation(), standing.stampMicros(), scheduler.nowMicros()));
     StampEcho mine = echo(standing);
     if (mine == null || standing.term() != highestTerm || standing.grantMicros() <= 0) {
       return;
     }
-    long end = mine.stampMicros() + SafetyBounds.shortened(standing.grantMicros());
+    long end = mine.stampMicros() + SafetyBounds.minusClockDrift(standing.grantMicros());
     endMicros = standing.term() == term ? Math.max(endMicros, end) : end;
     harmlessUntil(end);
     term = standing.term();
@@ -87,7 +88,7 @@
   /** What the peer has heard of this very process, or null. */
   public StampEcho echo(MembershipStatus standing) {
     for (StampEcho echo : standing.echoes()) {
-      if (echo.member().equals(member) && echo.life() == life) {
+      if (echo.member().equals(member) && echo.incarnation() == incarnation) {
         return echo;
       }
     }
@@ -109,7 +110,7 @@
     return term > 0
         && term == highestTerm
         && now < endMicros
-        && now - heard.get(granter).atMicros() > safety.quietMicros();
+        && now - heard.get(granter).atMicros() > safety.leaderSilenceMicros();
   }
 
   /**
@@ -169,17 +170,24 @@
       part.add(new LeaseRenewal(one.getKey(), (int) (ago / 1000)));
       bytes += ANSWER_BYTES + 3 * one.getKey().length();
       if (bytes > PART_BYTES) {
-        frames.add(new DelegatedRenewals(member, life, now, part));
+        frames.add(new DelegatedRenewals(member, incarnation, now, part));
         part = new ArrayList<>();
         bytes = 0;
       }
     }
     if (!part.isEmpty()) {
-      frames.add(new DelegatedRenewals(member, life, now, part));
+      frames.add(new DelegatedRenewals(member, incarnation, now, part));
     }
     frames.add(
         new MembershipStatus(
-            member, life, now, now - bornMicros, highestTerm, grantMicros, frames.size(), echoes));
+            member,
+            incarnation,
+            now,
+            now - bornMicros,
+            highestTerm,
+            grantMicros,
+            frames.size(),
+            echoes));
     return frames;
   }
 
@@ -188,7 +196,8 @@
     return heard.entrySet().stream()
         .map(
             peer ->
-                new StampEcho(peer.getKey(), peer.getValue().life(), peer.getValue().stampMicros()))
+                new StampEcho(
+                    peer.getKey(), peer.getValue().incarnation(), peer.getValue().stampMicros()))
         .toList();
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -38,7 +38,7 @@
 
   /** What becomes of a node. */
   public interface Listener {
-    void elected(long term, long helmVersion);
+    void elected(long term, long termVersion);
 
     void deposed();
   }
@@ -47,13 +47,13 @@
   private final StoreClient store;
   private final RandomGenerator random;
   private final String member;
-  private final long holdMicros;
+  private final long leaseMicros;
   private final Listener listener;
   private boolean campaigning;
   private boolean leading;
   private long term;
   private long lease;
-  private long holdEndMicros;
+  private long leaseEndMicros;
   private long highestTerm;
   private String leader;
   private boolean vacant;
@@ -68,13 +68,13 @@
       StoreClient store,
       RandomGenerator random,
       String member,
-      long holdMicros,
+      long leaseMicros,
       Listener listener) {
     this.scheduler = scheduler;
     this.store = store;
     this.random = random;
     this.member = member;
-    this.holdMicros = holdMicros;
+    this.leaseMicros = leaseMicros;
     this.listener = listener;
   }
 
@@ -97,13 +97,13 @@
   }
 
   /** The hold surely lasts, as far as this node's own clock can tell. */
-  public boolean entitled() {
-    return leading && scheduler.nowMicros() < holdEndMicros;
+  public boolean holdsLease() {
+    return leading && scheduler.nowMicros() < leaseEndMicros;
   }
 
   /** The moment up to which the hold surely lasts. */
-  public long holdEndMicros() {
-    return holdEndMicros;
+  public long leaseEndMicros() {
+    return leaseEndMicros;
   }
 
   /**
@@ -154,7 +154,7 @@
     }
     LOG.info("stepping down from term {}: {}", term, why);
     leading = false;
-    store.releaseHold(lease);
+    store.revokeLease(lease);
     listener.deposed();
   }
 
@@ -249,8 +249,8 @@
     }
     campaigning = true;
     long sentMicros = scheduler.nowMicros();
-    store.openHold(
-        holdMicros,
+    store.grantLease(
+        leaseMicros,
         reply -> {
           if (!reply.is(Outcome.OK)) {
             campaigning = false;
@@ -284,7 +284,7 @@
         });
   }
 
-  private void claim(long newLease, long sentMicros, long oldTerm, long helmVersion) {
+  private void claim(long newLease, long sentMicros, long oldTerm, long termVersion) {
     long newTerm = Math.max(oldTerm, highestTerm) + 1;
     byte[] lead =
         Json.object(
@@ -298,7 +298,7 @@
             Write.put(Keys.TERM, CommitQueue.helm(newTerm, member, 0)));
     byte[] body =
         StoreCodec.commit(
-            List.of(new Condition(Keys.LEAD, inherited), new Condition(Keys.TERM, helmVersion)),
+            List.of(new Condition(Keys.LEAD, inherited), new Condition(Keys.TERM, termVersion)),
             writes);
     store.commitUrgent(
         body,
@@ -317,20 +317,20 @@
 
   private void giveUp(long newLease) {
     campaigning = false;
-    store.releaseHold(newLease);
+    store.revokeLease(newLease);
   }
 
-  private void lead(long newTerm, long newLease, long sentMicros, long helmVersion) {
+  private void lead(long newTerm, long newLease, long sentMicros, long termVersion) {
     leading = true;
     vacant = false;
     inherited = 0;
     term = newTerm;
     highestTerm = newTerm;
     lease = newLease;
-    holdEndMicros = SafetyBounds.holdEndMicros(sentMicros, holdMicros);
+    leaseEndMicros = SafetyBounds.leaseEndMicros(sentMicros, leaseMicros);
     LOG.info("leading in term {}", term);
-    listener.elected(term, helmVersion);
-    extendLater(newTerm, holdMicros / EXTENSIONS_PER_HOLD);
+    listener.elected(term, termVersion);
+    extendLater(newTerm, leaseMicros / EXTENSIONS_PER_HOLD);
   }
 
   private void extendLater(long forTerm, long delayMicros) {
@@ -345,16 +345,16 @@
 
   private void extend(long forTerm) {
     long sentMicros = scheduler.nowMicros();
-    store.extendHold(
+    store.renewLease(
         lease,
         reply -> {
           if (!leading || term != forTerm) {
             return;
           }
           if (reply.is(Outcome.OK)) {
-            holdEndMicros =
-                Math.max(holdEndMicros, SafetyBounds.holdEndMicros(sentMicros, holdMicros));
-            extendLater(forTerm, holdMicros / EXTENSIONS_PER_HOLD);
+            leaseEndMicros =
+                Math.max(leaseEndMicros, SafetyBounds.leaseEndMicros(sentMicros, leaseMicros));
+            extendLater(forTerm, leaseMicros / EXTENSIONS_PER_HOLD);
           } else if (reply.is(Outcome.GONE)) {
             stepDown("the hold has ended");
           } else {
--- a/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
+++ b/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
@@ -5,9 +5,9 @@
  * allow them. {@code headroom} is the share of all processors that work of ordinary priority leaves
  * free where waits are wanted shorter than a machine takes to boot, so that renting could not meet
  * them. {@code patience} is the share of the time a job has to spare that it waits for cheap or
- * owned room before a steady machine is rented for it. {@code deputies}: controllers answer workers
- * for a leader that can't be reached. {@code learned}: run times are learned from what has run,
- * rather than owners' guesses corrected.
+ * owned room before a steady machine is rented for it. {@code delegation}: controllers answer
+ * workers for a leader that can't be reached. {@code learned}: run times are learned from what has
+ * run, rather than owners' guesses corrected.
  */
 public record OperatorPolicy(
     long thresholdMicros,
@@ -16,11 +16,11 @@
     long budgetWindowMicros,
     long idleMicros,
     SpotMode spotMode,
-    long holdMicros,
+    long leaseMicros,
     double headroom,
     double patience,
-    boolean deputies,
-    boolean learned) {
+    boolean delegation,
+    boolean learnedRunTimes) {
   /** Which rentals may be of the cheap kind. */
   public enum SpotMode {
     NEVER,
--- a/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
+++ b/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
@@ -9,15 +9,15 @@
   private static final long SLACK_MICROS = 1_000_000;
 
   /** Whether a hold may still be counted on, given when its last good extension was sent. */
-  public static long holdEndMicros(long sentMicros, long lifeMicros) {
-    return sentMicros + shortened(lifeMicros) - 20_000;
+  public static long leaseEndMicros(long sentMicros, long lifeMicros) {
+    return sentMicros + minusClockDrift(lifeMicros) - 20_000;
   }
 
   /**
    * The part of a time given by another clock that has surely not passed there while it passes
    * here.
    */
-  public static long shortened(long micros) {
+  public static long minusClockDrift(long micros) {
     return micros - micros / 500;
   }
 
@@ -26,7 +26,7 @@
    * controller that ends and is back sooner than that has answered nobody; a worker whose leader
    * can't be reached has had time to come by before its lease is over.
    */
-  public long quietMicros() {
+  public long leaderSilenceMicros() {
     return leaseMicros / QUIETS_PER_LEASE;
   }
 
--- a/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
@@ -93,7 +93,7 @@
       Cluster cluster, long answeringMicros, long patienceMicros, long wallMicros) {
     Confidence confidence = new Confidence(answeringMicros > patienceMicros);
     for (Machine machine : cluster.machines.values()) {
-      if (machine.expected(wallMicros)) {
+      if (machine.expectedUp(wallMicros)) {
         confidence.expect(machine);
       }
     }
@@ -119,7 +119,7 @@
 
   private void expect(Machine machine) {
     // A report that was not made in this term may be a late copy, of a machine that has died since.
-    boolean heard = machine.reported && machine.current || machine.lapsed;
+    boolean heard = machine.reported && machine.reportedInTerm || machine.leaseExpired;
     if (!heard) {
       awaited.add(machine);
     }
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
@@ -3,7 +3,7 @@
 /**
  * What is known of a machine: what the log, the cloud's list and its worker say.
  *
- * @param logged whether the leader's log names it
+ * @param recorded whether the leader's log names it
  * @param owned it is not rented
  * @param returning its return is decided already
  * @param listed what the cloud's list says
@@ -13,7 +13,7 @@
  *     is cut off
  */
 public record MachineFacts(
-    Logged logged,
+    Recorded recorded,
     boolean owned,
     boolean returning,
     Listed listed,
@@ -21,7 +21,7 @@
     boolean empty,
     boolean most) {
   /** Whether the log names a machine. */
-  public enum Logged {
+  public enum Recorded {
     NO,
     YES,
     /** Its deletion was confirmed, or it was found gone, in this term. */
@@ -49,7 +49,7 @@
     /** Its reports come. */
     REPORTS,
     /** Its reports come, and for a lease nothing has shown that answers reach it. */
-    DEAF,
+    UNACKNOWLEDGED,
     /** It has reported, and has had nothing to do for as long as an idle machine is kept. */
     IDLE,
     /** Not heard in this term, and it may still come up, or find its way to a new leader. */
@@ -59,6 +59,6 @@
     /** It was heard, and now a report is missing. */
     SILENT,
     /** Silent for so long that it has surely dropped all it had. */
-    LAPSED
+    LEASE_EXPIRED
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
@@ -29,11 +29,11 @@
       new MachineDecision(Verdict.KEEP, "owned machines stay");
   private static final MachineDecision FAILED =
       new MachineDecision(Verdict.RETURN, "it has failed");
-  private static final MachineDecision LAPSED =
+  private static final MachineDecision LEASE_EXPIRED =
       new MachineDecision(Verdict.RETURN, "silent for too long");
   private static final MachineDecision CUT_OFF =
       new MachineDecision(Verdict.AWAIT, "most are silent: the leader is cut off");
-  private static final MachineDecision DEAF =
+  private static final MachineDecision UNACKNOWLEDGED =
       new MachineDecision(Verdict.RETURN, "nothing reaches it");
   private static final MachineDecision LOSING =
       new MachineDecision(Verdict.AWAIT, "what it had is not surely gone yet");
@@ -52,10 +52,10 @@
    * is owned.
    */
   public static MachineDecision of(MachineFacts facts, boolean ownedOpen) {
-    return switch (facts.logged()) {
+    return switch (facts.recorded()) {
       case GONE -> DELETED;
       case NO -> unlogged(facts, ownedOpen);
-      case YES -> logged(facts);
+      case YES -> recorded(facts);
     };
   }
 
@@ -71,7 +71,7 @@
     return facts.listed() == Listed.LASTING ? UNEXPECTED : there ? MAY_BE_ANSWERED : UNKNOWN;
   }
 
-  private static MachineDecision logged(MachineFacts facts) {
+  private static MachineDecision recorded(MachineFacts facts) {
     if (facts.listed() == Listed.MISSING
         && facts.worker() != Worker.REPORTS
         && facts.worker() != Worker.IDLE) {
@@ -87,8 +87,8 @@
       return FAILED;
     }
     return switch (facts.worker()) {
-      case DEAF -> facts.empty() ? DEAF : LOSING;
-      case LAPSED -> facts.most() ? CUT_OFF : LAPSED;
+      case UNACKNOWLEDGED -> facts.empty() ? UNACKNOWLEDGED : LOSING;
+      case LEASE_EXPIRED -> facts.most() ? CUT_OFF : LEASE_EXPIRED;
       case OVERDUE -> facts.empty() ? NOT_UP : COMING;
       case IDLE -> facts.empty() ? IDLE : IN_USE;
       case EXPECTED -> COMING;
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskFacts.java
@@ -14,15 +14,15 @@
  * @param gang what is known of its mates, for a task of a gang
  */
 public record TaskFacts(
-    Record record,
-    Wish wish,
-    Told told,
+    RecordOwner record,
+    DesiredState wish,
+    ReportedState told,
     boolean mayCome,
     boolean seen,
     boolean durable,
-    Mates gang) {
+    GangState gang) {
   /** Whether the leader's records name the attempt on the machine. */
-  public enum Record {
+  public enum RecordOwner {
     /** None does. */
     NONE,
     /** This leader placed it. */
@@ -35,43 +35,43 @@
   }
 
   /** What is wanted of a task that is recorded. */
-  public enum Wish {
+  public enum DesiredState {
     /** It shall be there. */
     RUN,
     /**
      * It may be there if it is; if not, what comes before it may need its room, which is not
      * decided yet.
      */
-    MAY_STAY,
+    MAY_RUN,
     /** It shall not: its job is over or it is done already, or its room is needed. */
-    GO,
+    REMOVE,
     /** It has completed here; its worker keeps it until that is durable. */
-    KEPT_DONE
+    KEEP_COMPLETED
   }
 
   /** What the newest report of the machine in this term says. */
-  public enum Told {
+  public enum ReportedState {
     /** There was none yet. */
-    NOTHING,
+    UNREPORTED,
     /** The worker does not have it. */
     ABSENT,
     /** It fetches its image, waits for its gang, runs or saves. */
-    HELD,
+    PRESENT,
     /** It has completed. */
-    DONE,
+    COMPLETED,
     /** It has exited otherwise, or its start was refused. */
     EXITED
   }
 
   /** What is known of the mates of a gang's task, under the same attempt. */
-  public enum Mates {
+  public enum GangState {
     /** No gang, or all that matters of it is known to be gathering: a start completes it. */
-    GATHER,
+    GATHERING,
     /**
      * One has run or is gone: what is missing can't join any more, and the gang goes as a whole.
      */
-    RAN,
+    STARTED,
     /** Some machine that a mate is recorded on has not been heard. */
-    UNHEARD
+    UNKNOWN
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -1,9 +1,9 @@
 package madderrudder.coordination.reconciliation;
 
 import madderrudder.coordination.reconciliation.TaskDecision.Verdict;
-import madderrudder.coordination.reconciliation.TaskFacts.Mates;
-import madderrudder.coordination.reconciliation.TaskFacts.Record;
-import madderrudder.coordination.reconciliation.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskFacts.DesiredState;
+import madderrudder.coordination.reconciliation.TaskFacts.GangState;
+import madderrudder.coordination.reconciliation.TaskFacts.RecordOwner;
 
 /**
  * Squares what the records say with what workers report, attempt by attempt: a pure function, and
@@ -55,44 +55,46 @@
 
   /** What follows from the facts. */
   public static TaskDecision of(TaskFacts facts) {
-    if (facts.record() == Record.NONE) {
+    if (facts.record() == RecordOwner.NONE) {
       return unrecorded(facts);
     }
-    if (facts.wish() == Wish.KEPT_DONE) {
+    if (facts.wish() == DesiredState.KEEP_COMPLETED) {
       return KEPT;
     }
     return switch (facts.told()) {
-      case NOTHING -> NOT_HEARD;
-      case DONE -> COMPLETED;
+      case UNREPORTED -> NOT_HEARD;
+      case COMPLETED -> COMPLETED;
       // Its worker may have forgotten the exit since, and then been told by an earlier leader to
       // start it again.
-      case EXITED -> facts.record() == Record.EARLIER && facts.mayCome() ? MAY_COME : EXITED;
-      case HELD -> facts.wish() == Wish.GO ? UNWANTED : RUNS;
+      case EXITED -> facts.record() == RecordOwner.EARLIER && facts.mayCome() ? MAY_COME : EXITED;
+      case PRESENT -> facts.wish() == DesiredState.REMOVE ? UNWANTED : RUNS;
       case ABSENT -> absent(facts);
     };
   }
 
   private static TaskDecision unrecorded(TaskFacts facts) {
     return switch (facts.told()) {
-      case NOTHING, ABSENT -> NEVER_THERE;
-      case HELD -> UNRECORDED;
-      case DONE, EXITED -> OVER;
+      case UNREPORTED, ABSENT -> NEVER_THERE;
+      case PRESENT -> UNRECORDED;
+      case COMPLETED, EXITED -> OVER;
     };
   }
 
   private static TaskDecision absent(TaskFacts facts) {
-    if (facts.wish() == Wish.GO) {
+    if (facts.wish() == DesiredState.REMOVE) {
       return facts.mayCome() ? MAY_COME : GIVEN_UP;
     }
     if (facts.seen() && !facts.mayCome()) {
       return LEFT;
     }
-    if (facts.wish() == Wish.MAY_STAY) {
+    if (facts.wish() == DesiredState.MAY_RUN) {
       return UNDECIDED;
     }
     // An earlier leader's gang: a member that is lacking joins its mates only while they gather.
-    if (facts.record() == Record.EARLIER && facts.gang() != Mates.GATHER) {
-      return facts.gang() == Mates.UNHEARD ? GANG_UNHEARD : facts.mayCome() ? MAY_COME : GANG_RAN;
+    if (facts.record() == RecordOwner.EARLIER && facts.gang() != GangState.GATHERING) {
+      return facts.gang() == GangState.UNKNOWN
+          ? GANG_UNHEARD
+          : facts.mayCome() ? MAY_COME : GANG_RAN;
     }
     return facts.durable() ? LACKING : NOT_DURABLE;
   }
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -32,27 +32,27 @@
   private static final long FOLLOW_MICROS = 2_000_000;
 
   private final LeaderTerm term;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final Runnable onChange;
-  private long freshMicros;
+  private long knownUpToMicros;
 
-  public JobRegistry(LeaderTerm term, MachineRegistry fleet, Runnable onChange) {
+  public JobRegistry(LeaderTerm term, MachineRegistry machines, Runnable onChange) {
     this.term = term;
-    this.fleet = fleet;
+    this.machines = machines;
     this.onChange = onChange;
   }
 
   /** Every submission and cancellation accepted before this moment is known here. */
-  public long freshMicros() {
-    return freshMicros;
+  public long knownUpToMicros() {
+    return knownUpToMicros;
   }
 
   public void load(StoredStateReader.Found found, long readMicros) {
-    freshMicros = readMicros;
+    knownUpToMicros = readMicros;
     for (Item item : found.under(Keys.LIVE)) {
       add(item);
     }
-    term.cluster.jobs.values().forEach(job -> job.found = true);
+    term.cluster.jobs.values().forEach(job -> job.inherited = true);
     for (Item item : found.under(Keys.PROGRESS)) {
       loadProgress(item);
     }
@@ -64,13 +64,13 @@
     int slash = rest.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
     if (job == null) {
-      term.journal.add(new DropChange(item.key()), Urgency.LATER);
+      term.commits.add(new DropChange(item.key()), Urgency.LATER);
       return;
     }
     try {
       JobRecords.readProgress(item.value(), Integer.parseInt(rest.substring(slash + 1)), job.done);
       if (JobRecords.readFaulty(item.value())) {
-        job.foundFaulty(term.scheduler.nowMicros());
+        job.markFailing(term.scheduler.nowMicros());
       }
       job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
       if (job.complete()) {
@@ -92,8 +92,8 @@
             return;
           }
           if (reply.is(Outcome.OK)) {
-            long beforeMicros = freshMicros;
-            freshMicros = sentMicros;
+            long beforeMicros = knownUpToMicros;
+            knownUpToMicros = sentMicros;
             for (Item item : reply.value().items()) {
               if (item.value() != null) {
                 add(item);
@@ -141,30 +141,30 @@
    */
   private void dropped(String id, long beforeMicros) {
     Job job = term.cluster.jobs.get(id);
-    if (job == null || job.over) {
+    if (job == null || job.ended) {
       return;
     }
     LOG.debug("{} cancelled", id);
     for (Assignment assignment : job.assignments) {
       if (!assignment.completed) {
-        term.cluster.doom(assignment, beforeMicros);
+        term.cluster.markCancelled(assignment, beforeMicros);
       }
     }
     end(job);
     for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
-      if (!job.done.isEmpty() || job.faulty()) {
-        term.journal.add(new DropChange(Keys.progress(id, chunk)), Urgency.LATER);
+      if (!job.done.isEmpty() || job.failing()) {
+        term.commits.add(new DropChange(Keys.progress(id, chunk)), Urgency.LATER);
       }
     }
   }
 
   private void end(Job job) {
-    job.over = true;
+    job.ended = true;
     term.cluster.jobs.remove(job.spec.id());
     for (Assignment assignment : List.copyOf(job.assignments)) {
-      fleet.unwant(assignment);
+      machines.evict(assignment);
       if (assignment.completed) {
-        fleet.release(assignment);
+        machines.release(assignment);
       }
     }
   }
@@ -172,8 +172,8 @@
   /** A task has completed; a gang's tasks complete together. */
   public void completed(Assignment assignment) {
     Job job = assignment.job;
-    if (job == null || job.over || job.spec.kind() == JobKind.SERVICE) {
-      fleet.release(assignment);
+    if (job == null || job.ended || job.spec.kind() == JobKind.SERVICE) {
+      machines.release(assignment);
       return;
     }
     term.cluster.complete(assignment);
@@ -188,7 +188,7 @@
   }
 
   /** Kept, so that the next leader does not try all of its tasks again at once. */
-  public void foundFaulty(Job job) {
+  public void markFailing(Job job) {
     job.unwritten.set(0);
     save(job);
   }
@@ -199,7 +199,7 @@
 
   /** A job's user waits for its end; until then its workers keep what they have completed. */
   private void save(Job job) {
-    term.journal.add(new JobChange(job), job.complete() ? Urgency.SOON : Urgency.LATER);
+    term.commits.add(new JobChange(job), job.complete() ? Urgency.SOON : Urgency.LATER);
   }
 
   /** Writes a job's progress, or moves it to the finished ones once all of it is done. */
@@ -249,7 +249,7 @@
                     writes.add(
                         Write.put(
                             Keys.progress(id, chunk),
-                            JobRecords.progress(job.done, chunk, job.faulty()))));
+                            JobRecords.progress(job.done, chunk, job.failing()))));
       }
       return writes;
     }
@@ -273,10 +273,10 @@
       }
       Set<Machine> settled = new LinkedHashSet<>();
       for (Assignment assignment : written) {
-        fleet.release(assignment);
+        machines.release(assignment);
         settled.add(assignment.machine);
       }
-      settled.forEach(fleet::settled);
+      settled.forEach(machines::settled);
     }
 
     /** Its user cancelled it first; the watch brings that. */
--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -29,58 +29,58 @@
   public final OperatorPolicy policy;
   public final SafetyBounds safety;
   public final Metrics metrics;
-  public final long number;
-  public final CommitQueue journal;
+  public final long term;
+  public final CommitQueue commits;
   public final Cluster cluster;
 
   /** Null where the operators want none. */
   public final LearnedRunTimes learned;
 
   public final RunHistory history;
-  public final DelegationTracker deputies;
+  public final DelegationTracker delegation;
   private long attempts;
   private long charters;
   private boolean closed;
 
-  public LeaderTerm(LeaderDependencies around, long number, long helmVersion, Runnable onLost) {
-    scheduler = around.scheduler();
-    store = around.store();
-    calls = around.calls();
-    election = around.election();
-    deployment = around.deployment();
-    policy = around.policy();
-    metrics = around.metrics();
+  public LeaderTerm(LeaderDependencies dependencies, long term, long termVersion, Runnable onLost) {
+    scheduler = dependencies.scheduler();
+    store = dependencies.store();
+    calls = dependencies.calls();
+    election = dependencies.election();
+    deployment = dependencies.deployment();
+    policy = dependencies.policy();
+    metrics = dependencies.metrics();
     safety = SafetyBounds.of(deployment.workers());
-    this.number = number;
-    journal =
+    this.term = term;
+    commits =
         new CommitQueue(
             scheduler,
             store,
-            around.member(),
-            number,
-            helmVersion,
+            dependencies.member(),
+            term,
+            termVersion,
             deployment.state().transactionWrites(),
             deployment.state().writesPerSecond() * LEADER_SHARE,
             onLost);
-    learned = policy.learned() ? new LearnedRunTimes(this) : null;
-    history = new RunHistory(number);
+    learned = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
+    history = new RunHistory(term);
     cluster = new Cluster(deployment, learned == null ? new EstimatedRunTimes() : learned);
-    deputies = new DelegationTracker(safety, scheduler.nowMicros());
+    delegation = new DelegationTracker(safety, scheduler.nowMicros());
   }
 
   /** Attempt numbers embed the term, so that no other leader ever gives the same one. */
   public long nextAttempt() {
-    return (number << COUNTER_BITS) + ++attempts;
+    return (term << COUNTER_BITS) + ++attempts;
   }
 
   /** Request names embed the term too: the cloud answers a repeated one with the first answer. */
-  public String nextCharter() {
-    return "t" + number + "-" + ++charters;
+  public String nextScaleOutRequestId() {
+    return "t" + term + "-" + ++charters;
   }
 
   public void close() {
     closed = true;
-    journal.close();
+    commits.close();
   }
 
   public boolean closed() {
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -94,7 +94,7 @@
           int page = pages.nextChanged(next);
           if (page >= 0) {
             next = (page + 1) % PAGES;
-            term.journal.add(new PageChange(page), Urgency.LATER);
+            term.commits.add(new PageChange(page), Urgency.LATER);
           }
         });
   }
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -115,7 +115,7 @@
       Machine machine = term.cluster.machines.get(entry.id());
       if (machine != null) {
         page.machines.add(machine);
-        machine.page = page;
+        machine.logReference = page;
       }
     }
     for (LogSegment.Entry entry : found.placed()) {
@@ -126,7 +126,7 @@
               : machine.assignments.get(new Machine.TaskAttempt(entry.task(), entry.attempt()));
       if (assignment != null) {
         page.placed.add(assignment);
-        assignment.page = page;
+        assignment.logReference = page;
       }
     }
     for (LogSegment.Image image : found.images()) {
@@ -145,31 +145,31 @@
 
   void machine(Machine machine) {
     machines.add(machine);
-    term.journal.add(change, Urgency.SOON);
+    term.commits.add(change, Urgency.SOON);
   }
 
   void gone(Machine machine) {
     machines.remove(machine);
     gone.add(machine.id);
-    term.journal.add(change, Urgency.SOON);
+    term.commits.add(change, Urgency.SOON);
   }
 
   void placed(Assignment assignment) {
     placed.add(assignment);
-    term.journal.add(change, Urgency.FIRST);
+    term.commits.add(change, Urgency.FIRST);
   }
 
   /** Nobody waits for this: what is placed later carries it along. */
   void ended(Assignment assignment) {
     if (!placed.remove(assignment)) {
       ended.add(new LogSegment.Ended(assignment.task, assignment.attempt, assignment.machine.id));
-      term.journal.add(change, Urgency.LATER);
+      term.commits.add(change, Urgency.LATER);
     }
   }
 
   void kept(Machine machine, String image, double gb) {
     images.add(new Kept(machine, image, gb));
-    term.journal.add(change, Urgency.LATER);
+    term.commits.add(change, Urgency.LATER);
   }
 
   private static boolean holds(Assignment assignment) {
@@ -198,10 +198,10 @@
       page = new Page(over.slot, ++number, over);
       boolean fits = true;
       for (Machine machine : over.machines) {
-        fits &= machine.page != over || !there(machine) || add(machine);
+        fits &= machine.logReference != over || !there(machine) || add(machine);
       }
       for (Assignment assignment : over.placed) {
-        fits &= assignment.page != over || !holds(assignment) || add(assignment);
+        fits &= assignment.logReference != over || !holds(assignment) || add(assignment);
       }
       for (Kept kept : over.images) {
         fits &=
@@ -239,7 +239,7 @@
               new LogSegment.Entry(
                   assignment.task,
                   assignment.attempt,
-                  new LogSegment.Share(assignment.team, assignment.takes),
+                  new LogSegment.Share(assignment.team, assignment.resources),
                   assignment.machine.id))
           && page.placed.add(assignment);
     }
@@ -315,11 +315,11 @@
         freeSlots.push(page.slot);
       }
       page.machines.stream()
-          .filter(m -> there(m) && (m.page == null || m.page != page.over))
+          .filter(m -> there(m) && (m.logReference == null || m.logReference != page.over))
           .forEach(machines::add);
       gone.addAll(page.gone);
       ended.addAll(page.ended);
-      page.placed.stream().filter(a -> holds(a) && a.page == null).forEach(placed::add);
+      page.placed.stream().filter(a -> holds(a) && a.logReference == null).forEach(placed::add);
       images.addAll(page.images);
     }
     building.clear();
@@ -335,13 +335,13 @@
       }
       page.images.forEach(kept -> keptIn.put(kept, page));
       page.over = null;
-      page.machines.forEach(machine -> machine.page = page);
+      page.machines.forEach(machine -> machine.logReference = page);
       for (Machine machine : page.retiring) {
         machine.retiringDurable = true;
         settled.add(machine);
       }
       for (Assignment assignment : page.placed) {
-        assignment.page = page;
+        assignment.logReference = page;
         if (!assignment.durable) {
           assignment.durable = true;
           assignment.durableMicros = term.scheduler.nowMicros();
@@ -356,7 +356,7 @@
     }
     building.clear();
     if (pending()) {
-      term.journal.add(
+      term.commits.add(
           change,
           !placed.isEmpty()
               ? Urgency.FIRST
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -56,7 +56,7 @@
     }
     Machine machine =
         new Machine(id, known, zone, spot, owned, rentedWallMicros, term.scheduler.nowMicros());
-    machine.given = FencingToken.first(term.number);
+    machine.issuedToken = FencingToken.first(term.term);
     term.cluster.add(machine);
     return machine;
   }
@@ -106,7 +106,7 @@
               kind.spot(),
               kind.owned(),
               entry.rentedWallMicros());
-      machine.takenOver = true;
+      machine.inherited = true;
       machine.retiring = entry.retiring();
       machine.retiringDurable = entry.retiring();
     }
@@ -114,7 +114,7 @@
     for (LogSegment.Image image : reading.images()) {
       Machine machine = term.cluster.machines.get(image.machine());
       if (machine != null) {
-        machine.usedImage(image.name(), image.gb());
+        machine.recordImageUse(image.name(), image.gb());
       }
     }
     pages.forEach(page -> log.load(slots.get(page.number()), page));
@@ -137,20 +137,20 @@
             term.scheduler.nowMicros());
     assignment.durable = true;
     if (job == null || job.done.get(entry.task().index())) {
-      assignment.unwanted = true;
+      assignment.evicting = true;
     }
     term.cluster.hold(assignment);
     if (job != null && job.spec.kind() == JobKind.GANG) {
       job.gangAttempt = Math.max(job.gangAttempt, assignment.attempt);
     }
     if (job == null) {
-      term.cluster.doom(assignment, Cluster.LONG_AGO);
+      term.cluster.markCancelled(assignment, Cluster.LONG_AGO);
     }
   }
 
   /** The task shall not run there any more; its worker will hear of it. */
-  public void unwant(Assignment assignment) {
-    assignment.unwanted = true;
+  public void evict(Assignment assignment) {
+    assignment.evicting = true;
     touched.add(assignment.machine);
   }
 
@@ -179,9 +179,9 @@
   }
 
   /** The machine has the image from now on. */
-  public void usedImage(Machine machine, JobSpec job) {
+  public void recordImageUse(Machine machine, JobSpec job) {
     boolean known = machine.hasImage(job.image());
-    machine.usedImage(job.image(), job.imageGb());
+    machine.recordImageUse(job.image(), job.imageGb());
     if (!known) {
       log.kept(machine, job.image(), job.imageGb());
     }
@@ -189,7 +189,7 @@
 
   public void releaseAll(Machine machine) {
     List.copyOf(machine.assignments.values()).forEach(this::release);
-    term.cluster.strays(machine, List.of());
+    term.cluster.orphanTasks(machine, List.of());
   }
 
   /** Its worker has begun a new session: what this leader has placed there is released. */
@@ -229,12 +229,14 @@
   }
 
   /** Machines that were silent for longer than any lease lasts have dropped their tasks. */
-  public void lapseSilent(long nowMicros) {
+  public void expireSilentLeases(long nowMicros) {
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
       boolean counts = machine.reported || !machine.assignments.isEmpty();
-      if (!machine.lapsed && counts && term.deputies.dropped(machine.answeredMicros, nowMicros)) {
+      if (!machine.leaseExpired
+          && counts
+          && term.delegation.dropped(machine.lastAnsweredMicros, nowMicros)) {
         LOG.info("{} has been silent for a lease", machine.id);
-        machine.lapsed = true;
+        machine.leaseExpired = true;
         releaseAll(machine);
       }
     }
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -14,7 +14,7 @@
 import madderrudder.coordination.reconciliation.MachineDecision;
 import madderrudder.coordination.reconciliation.MachineFacts;
 import madderrudder.coordination.reconciliation.MachineFacts.Listed;
-import madderrudder.coordination.reconciliation.MachineFacts.Logged;
+import madderrudder.coordination.reconciliation.MachineFacts.Recorded;
 import madderrudder.coordination.reconciliation.MachineFacts.Worker;
 import madderrudder.coordination.reconciliation.MachineReconciler;
 import madderrudder.coordination.registry.LeaderTerm;
@@ -56,11 +56,11 @@
   private static final int LONGEST_LAG = 4;
 
   private final LeaderTerm term;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final CloudClient cloud;
   private final RentalBudget budget;
   private final Map<String, RentalRecord> open = new LinkedHashMap<>();
-  private final CapacityPoolLimits shelves = new CapacityPoolLimits();
+  private final CapacityPoolLimits poolLimits = new CapacityPoolLimits();
   private final Map<String, Long> unexpectedSince = new HashMap<>();
 
   /**
@@ -77,9 +77,9 @@
   /** Since when work could be placed, as far as that was interrupted in this term. */
   private long placingSinceMicros = Long.MIN_VALUE / 2;
 
-  public ScaleOutController(LeaderTerm term, MachineRegistry fleet, CloudClient cloud) {
+  public ScaleOutController(LeaderTerm term, MachineRegistry machines, CloudClient cloud) {
     this.term = term;
-    this.fleet = fleet;
+    this.machines = machines;
     this.cloud = cloud;
     budget =
         new RentalBudget(
@@ -114,8 +114,8 @@
   }
 
   /** A machine has reported for the first time. */
-  public void up(Machine machine) {
-    shelves.booted(machine.shelf());
+  public void machineUp(Machine machine) {
+    poolLimits.booted(machine.capacityPool());
   }
 
   public int budgetLeft() {
@@ -123,7 +123,7 @@
   }
 
   /** Rents what the plan asks for. */
-  public void reconcile(Demand demand, long nowMicros) {
+  public void scaleOut(Demand demand, long nowMicros) {
     if (!listed || term.cluster.types.isEmpty()) {
       return;
     }
@@ -144,7 +144,7 @@
             demand,
             nowMicros,
             poll ? budgetLeft() : 0,
-            shelf -> asked(shelf) ? 0 : shelves.most(shelf, nowMicros),
+            shelf -> asked(shelf) ? 0 : poolLimits.most(shelf, nowMicros),
             underWay);
     for (ScaleOutRequest rental : wanted) {
       begin(rental);
@@ -174,7 +174,7 @@
     if (rental.counted() && !budget.reserve(rental.count(), term.scheduler.wallMicros())) {
       return;
     }
-    String request = term.nextCharter();
+    String request = term.nextScaleOutRequestId();
     RentalRecord record =
         new RentalRecord(
             request,
@@ -192,7 +192,7 @@
         rental.spot() ? " spot" : "",
         rental.counted() ? ", counted" : "",
         request);
-    term.journal.add(new IntentChange(record), Urgency.FIRST);
+    term.commits.add(new IntentChange(record), Urgency.FIRST);
   }
 
   private void call(RentalRecord record) {
@@ -215,10 +215,10 @@
         new ScaleOutRequest.CapacityPool(record.type(), record.zone(), record.spot());
     if (response.ok()) {
       try {
-        List<String> machines = CloudCodec.readRented(response.body());
-        LOG.info("rented {} for {}", machines, record.request());
-        shelves.answered(shelf, record.count(), machines.size(), term.scheduler.nowMicros());
-        settle(record, machines);
+        List<String> machineIds = CloudCodec.readRented(response.body());
+        LOG.info("rented {} for {}", machineIds, record.request());
+        poolLimits.answered(shelf, record.count(), machineIds.size(), term.scheduler.nowMicros());
+        settle(record, machineIds);
         return;
       } catch (MalformedMessageException e) {
         LOG.info("the answer to {} is unreadable: {}", record.request(), e.getMessage());
@@ -226,53 +226,53 @@
     } else if (response.status() == 503
         && new String(response.body(), StandardCharsets.UTF_8).contains("no capacity")) {
       LOG.info("no capacity for {}", record.request());
-      shelves.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
+      poolLimits.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
       settle(record, List.of());
       return;
     } else if (response.status() == 400) {
       LOG.error("the cloud calls {} malformed", record.request());
-      shelves.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
+      poolLimits.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
       settle(record, List.of());
       return;
     }
     term.after(RETRY_MICROS, () -> call(record));
   }
 
-  private void settle(RentalRecord record, List<String> machines) {
+  private void settle(RentalRecord record, List<String> machineIds) {
     open.remove(record.request());
-    for (String id : machines) {
-      if (!term.cluster.machines.containsKey(id) && !fleet.wasRemoved(id)) {
+    for (String id : machineIds) {
+      if (!term.cluster.machines.containsKey(id) && !machines.wasRemoved(id)) {
         Machine machine =
-            fleet.add(
+            machines.add(
                 id,
                 record.type(),
                 record.zone(),
                 record.spot(),
                 false,
                 term.scheduler.wallMicros());
-        fleet.save(machine);
+        machines.save(machine);
       }
     }
-    term.journal.add(new SettledChange(record.request()), Urgency.SOON);
+    term.commits.add(new SettledChange(record.request()), Urgency.SOON);
   }
 
   /**
    * Squares log, list and reports: gives back what nobody needs and what does not work, and lets go
    * of what is gone.
    */
-  public void square(long nowMicros, Confidence confidence) {
+  public void reconcileMachines(long nowMicros, Confidence confidence) {
     // An outage of the store that outlasts leases empties all machines, and has them unheard, since
     // their reports are not
     // answered. They once went back during it, and those who had waited through it waited for boots
     // and images as well.
-    if (!term.election.entitled()) {
+    if (!term.election.holdsLease()) {
       placingSinceMicros = nowMicros;
     }
     boolean settled = nowMicros - placingSinceMicros > term.policy.idleMicros();
     int up = 0;
     int silent = 0;
     for (Machine machine : term.cluster.machines.values()) {
-      if (machine.lapsed) {
+      if (machine.leaseExpired) {
         silent++;
       } else if (machine.reported) {
         up++;
@@ -281,19 +281,19 @@
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
       MachineDecision finding =
           MachineReconciler.of(facts(machine, nowMicros, up <= silent), ownedStillOpen());
-      boolean idle = machine.reported && !machine.lapsed && !machine.failed;
+      boolean idle = machine.reported && !machine.leaseExpired && !machine.failed;
       // Idle is what nobody needs, which is known only once the picture is good.
       if (finding.verdict() == MachineDecision.Verdict.RETURN
           && settled
           && (!idle || confidence.suffices())) {
         // One that an earlier leader has rented may have come up, and died since.
-        if (machine.booting() && !machine.takenOver) {
-          shelves.bootFailed(machine.shelf(), nowMicros);
+        if (machine.booting() && !machine.inherited) {
+          poolLimits.bootFailed(machine.capacityPool(), nowMicros);
         }
-        fleet.retire(machine, finding.reason());
+        machines.retire(machine, finding.reason());
       } else if (finding.verdict() == MachineDecision.Verdict.GONE) {
         LOG.info("{} is gone: {}", machine.id, finding.reason());
-        fleet.remove(machine);
+        machines.remove(machine);
       }
     }
   }
@@ -304,7 +304,7 @@
             ? Listed.FAILED
             : missing.contains(machine.id) ? Listed.MISSING : Listed.UNKNOWN;
     return new MachineFacts(
-        Logged.YES,
+        Recorded.YES,
         machine.owned,
         machine.retiring,
         listed,
@@ -314,23 +314,23 @@
   }
 
   private Worker worker(Machine machine, long nowMicros) {
-    if (machine.lapsed) {
-      return Worker.LAPSED;
+    if (machine.leaseExpired) {
+      return Worker.LEASE_EXPIRED;
     }
-    if (machine.deafFor(nowMicros, term.safety.leaseMicros())
-        && !machine.late(nowMicros, term.deployment.workers().reportMicros())) {
-      return Worker.DEAF;
+    if (machine.unacknowledgedFor(nowMicros, term.safety.leaseMicros())
+        && !machine.missedHeartbeat(nowMicros, term.deployment.workers().reportMicros())) {
+      return Worker.UNACKNOWLEDGED;
     }
     if (machine.reported) {
       return machine.empty() && nowMicros - machine.idleSinceMicros > term.policy.idleMicros()
           ? Worker.IDLE
-          : machine.late(nowMicros, term.deployment.workers().reportMicros())
+          : machine.missedHeartbeat(nowMicros, term.deployment.workers().reportMicros())
               ? Worker.SILENT
               : Worker.REPORTS;
     }
     long age = term.scheduler.wallMicros() - machine.rentedWallMicros;
     // One that has been up for long may not have found its way to a new leader yet.
-    return nowMicros - machine.knownMicros > 2 * term.safety.leaseMicros()
+    return nowMicros - machine.discoveredMicros > 2 * term.safety.leaseMicros()
             && age > Math.max(BOOT_FACTOR * machine.type.bootMicros(), term.policy.idleMicros())
         ? Worker.OVERDUE
         : Worker.EXPECTED;
@@ -360,7 +360,7 @@
           }
           deleting = false;
           if (response.ok()) {
-            batch.forEach(fleet::remove);
+            batch.forEach(machines::remove);
           }
         });
   }
@@ -440,7 +440,7 @@
     MachineDecision finding =
         MachineReconciler.of(
             new MachineFacts(
-                fleet.wasRemoved(listed.id()) ? Logged.GONE : Logged.NO,
+                machines.wasRemoved(listed.id()) ? Recorded.GONE : Recorded.NO,
                 false,
                 false,
                 lasting ? Listed.LASTING : Listed.THERE,
@@ -449,8 +449,8 @@
                 false),
             ownedOpen);
     switch (finding.verdict()) {
-      case ADOPT_OWNED -> fleet.save(adopt(listed, true));
-      case ADOPT -> fleet.save(adopt(listed, false));
+      case ADOPT_OWNED -> machines.save(adopt(listed, true));
+      case ADOPT -> machines.save(adopt(listed, false));
       default -> {}
     }
   }
@@ -463,7 +463,7 @@
         listed.zone(),
         owned ? "owned" : "unexpected");
     Machine machine =
-        fleet.add(
+        machines.add(
             listed.id(),
             listed.type(),
             listed.zone(),
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -70,7 +70,8 @@
     Set<Job> guaranteed = new HashSet<>();
     for (Job job : byAge) {
       Resources total =
-          demand.merge(job.spec.team(), job.spec.perTask().times(job.undone()), Resources::plus);
+          demand.merge(
+              job.spec.team(), job.spec.perTask().times(job.remainingTasks()), Resources::plus);
       if (job.team.guarantees(total)) {
         guaranteed.add(job);
       }
@@ -94,7 +95,7 @@
     Map<Job, Due> dues = new HashMap<>();
     List<Job> waiting = new ArrayList<>();
     for (Job job : cluster.jobs.values()) {
-      if (!job.over && job.nextWaiting(0) >= 0) {
+      if (!job.ended && job.nextWaiting(0) >= 0) {
         waiting.add(job);
         dues.put(job, due(cluster, job, wallMicros));
       }
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -78,7 +78,7 @@
       if (machine.usable(nowMicros, cluster.deployment.workers().reportMicros())) {
         all += machine.type.capacity().milliCpus();
         freeMilliCpus += machine.free().milliCpus();
-        if (machine.recallMicros < 0) {
+        if (machine.reclaimMicros < 0) {
           usable.add(machine);
           if (machine.stopping() || gangWaits && endsSoon(machine)) {
             freeing.add(machine);
@@ -127,14 +127,14 @@
       if (!room.teamAllows(job) || eatsHeadroom(job, task)) {
         return;
       }
-      if (place(job, task, candidates, !ownedFits || waited(job, task), 0) && job.faulty()) {
+      if (place(job, task, candidates, !ownedFits || waited(job, task), 0) && job.failing()) {
         return;
       }
     }
   }
 
   private boolean startable(Job job, int task) {
-    return job.ready(task, nowMicros) && !cluster.strayed(job.spec.id(), task);
+    return job.ready(task, nowMicros) && !cluster.orphaned(job.spec.id(), task);
   }
 
   private boolean waited(Job job, int task) {
@@ -159,7 +159,7 @@
    * for.
    */
   private void planGang(Job job) {
-    if (!job.gangGathers()) {
+    if (!job.gangAcceptsPlacement()) {
       return;
     }
     PriorityQueue<Candidate> candidates = candidates(job);
@@ -209,9 +209,9 @@
     PriorityQueue<Candidate> candidates = new PriorityQueue<>();
     for (Machine machine : open) {
       if (fits(job, machine)
-          && !machine.crowded(room.added(job, machine))
+          && !machine.atTaskLimit(room.added(job, machine))
           && cluster.allowed(job, machine)
-          && (!job.erredOn(machine.id, nowMicros) || job.faulty())) {
+          && (!job.failedOn(machine.id, nowMicros) || job.failing())) {
         candidates.add(new Candidate(machine, cost(job, machine)));
       }
     }
@@ -241,7 +241,7 @@
       room.take(job, machine);
       freeMilliCpus -= job.spec.perTask().milliCpus();
       placements.add(new Placement(job, task, machine, attempt));
-      if (fits(job, machine) && !machine.crowded(room.added(job, machine))) {
+      if (fits(job, machine) && !machine.atTaskLimit(room.added(job, machine))) {
         candidates.add(new Candidate(machine, cost(job, machine)));
       }
       return true;
--- a/src/main/java/madderrudder/coordination/scheduling/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -56,7 +56,7 @@
     usage = cluster.usage();
     for (Machine machine : cluster.machines.values()) {
       if (machine.usable(nowMicros, cluster.deployment.workers().reportMicros())
-          && machine.recallMicros < 0) {
+          && machine.reclaimMicros < 0) {
         usable.add(machine);
       }
     }
@@ -71,7 +71,7 @@
       boolean mayStopAnything =
           job.spec.priority() == Priority.PRODUCTION || demand.guaranteed().contains(job);
       if (mayStopAnything
-          && !job.faulty()
+          && !job.failing()
           && job.nextWaiting(0) >= 0
           && demand.confidence().suffices(job)
           && !preemption.hopeless(job)) {
@@ -110,7 +110,7 @@
    * nothing is stopped for it. The placer keeps what is stopped here for the gang.
    */
   private void makeRoomForGang(Job job, RoundUsage room) {
-    if (!job.gangGathers()) {
+    if (!job.gangAcceptsPlacement()) {
       return;
     }
     Making making = new Making(job, room.copy());
@@ -201,8 +201,8 @@
       Resources freed = free(option.machine());
       for (Assignment victim : option.stops()) {
         victims.add(victim);
-        freed = freed.plus(victim.takes);
-        usage.merge(victim.team, victim.takes, Resources::minus);
+        freed = freed.plus(victim.resources);
+        usage.merge(victim.team, victim.resources, Resources::minus);
       }
       coming.put(option.machine(), freed.minus(job.spec.perTask()));
       room.count(job, option.machine().zone);
@@ -261,7 +261,7 @@
     List<Assignment> stops = new ArrayList<>();
     List<Assignment> candidates = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
-      if (!assignment.unwanted
+      if (!assignment.evicting
           && !assignment.completed
           && assignment.durable
           && !victims.contains(assignment)
@@ -275,7 +275,7 @@
     candidates.sort(Comparator.comparingDouble(this::loss));
     for (Assignment candidate : candidates) {
       stops.add(candidate);
-      free = free.plus(candidate.takes);
+      free = free.plus(candidate.resources);
       if (job.spec.perTask().fits(free)) {
         return stops;
       }
@@ -314,6 +314,6 @@
         assignment.job.spec.checkpointMicros() > 0
             ? Math.min(ran, assignment.job.spec.checkpointMicros())
             : ran;
-    return (since / 1e6 + 1) * assignment.takes.milliCpus() / 1000;
+    return (since / 1e6 + 1) * assignment.resources.milliCpus() / 1000;
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/RecallDrain.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RecallDrain.java
@@ -20,14 +20,14 @@
   public static List<Assignment> plan(Cluster cluster, long nowMicros) {
     List<Assignment> stops = new ArrayList<>();
     for (Machine machine : cluster.machines.values()) {
-      if (machine.recallMicros >= 0 && machine.reported && !machine.lapsed) {
+      if (machine.reclaimMicros >= 0 && machine.reported && !machine.leaseExpired) {
         for (Assignment assignment : machine.assignments.values()) {
           if (assignment.job != null
-              && !assignment.unwanted
+              && !assignment.evicting
               && !assignment.completed
               && assignment.job.spec.kind() != JobKind.SERVICE
               && cluster.runTimes.leftMicros(assignment, nowMicros)
-                  > machine.recallMicros - nowMicros) {
+                  > machine.reclaimMicros - nowMicros) {
             stops.add(assignment);
           }
         }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -37,7 +37,7 @@
   private final RoundUsage room;
   private final List<Coming> coming = new ArrayList<>();
   private final Map<ScaleOutRequest.CapacityPool, Integer> perShelf = new HashMap<>();
-  private final Map<RentalKey, ScaleOutRequest> rentals = new LinkedHashMap<>();
+  private final Map<RentalKey, ScaleOutRequest> scaleOut = new LinkedHashMap<>();
   private int budgetLeft;
 
   /** Steady room that is missing for work that must start before a machine could boot for it. */
@@ -78,10 +78,11 @@
     lackMilliCpus = cluster.rentingTooSlow() && demand.promptNeedsSteady() ? lack() : 0;
     for (Machine machine : cluster.machines.values()) {
       // What was up when this leader took over is on its way too, until it should have been heard.
-      if (confidence.awaits(machine) || machine.coming(nowMicros) && !confidence.misses(machine)) {
+      if (confidence.awaits(machine)
+          || machine.bootingOnTime(nowMicros) && !confidence.misses(machine)) {
         coming.add(new Coming(machine.type, machine.zone, machine.spot, machine.free()));
       }
-      if (!machine.retiring && !machine.lapsed) {
+      if (!machine.retiring && !machine.leaseExpired) {
         perShelf.merge(
             new ScaleOutRequest.CapacityPool(machine.type.name(), machine.zone, machine.spot),
             1,
@@ -94,7 +95,7 @@
         coming.add(
             new Coming(rental.type(), rental.zone(), rental.spot(), rental.type().capacity()));
       }
-      perShelf.merge(rental.shelf(), rental.count(), Integer::sum);
+      perShelf.merge(rental.capacityPool(), rental.count(), Integer::sum);
     }
   }
 
@@ -107,7 +108,7 @@
     long all = 0;
     long steady = 0;
     for (Machine machine : cluster.machines.values()) {
-      if (machine.retiring || machine.lapsed || machine.failed) {
+      if (machine.retiring || machine.leaseExpired || machine.failed) {
         continue;
       }
       all += machine.type.capacity().milliCpus();
@@ -115,7 +116,7 @@
         steady += machine.type.capacity().milliCpus();
         for (Assignment assignment : machine.assignments.values()) {
           if (assignment.job != null && assignment.job.spec.priority() == Priority.PRODUCTION) {
-            steady -= assignment.takes.milliCpus();
+            steady -= assignment.resources.milliCpus();
           }
         }
       }
@@ -135,12 +136,12 @@
     ScaleOutPlanner planner =
         new ScaleOutPlanner(cluster, policy, demand, nowMicros, budgetLeft, most, underWay);
     for (Job job : demand.waiting()) {
-      if (!job.faulty() && job.nextWaiting(0) >= 0 && demand.confidence().suffices(job)) {
+      if (!job.failing() && job.nextWaiting(0) >= 0 && demand.confidence().suffices(job)) {
         planner.planJob(job);
       }
     }
     planner.soonMissing().forEach(planner::planMissing);
-    return List.copyOf(planner.rentals.values());
+    return List.copyOf(planner.scaleOut.values());
   }
 
   /**
@@ -155,18 +156,18 @@
     int heard = 0;
     for (Machine machine : cluster.machines.values()) {
       boolean unheard = confidence.misses(machine);
-      if (!machine.reported && !unheard || machine.lapsed || machine.retiring) {
+      if (!machine.reported && !unheard || machine.leaseExpired || machine.retiring) {
         continue;
       }
       heard++;
       long reportMicros = cluster.deployment.workers().reportMicros();
       if (unheard
           || machine.silent(nowMicros, reportMicros)
-          || machine.deafFor(nowMicros, Machine.severalReports(reportMicros))) {
+          || machine.unacknowledgedFor(nowMicros, Machine.missedHeartbeatsMicros(reportMicros))) {
         silent++;
         for (Assignment assignment : machine.assignments.values()) {
           if (assignment.job != null
-              && !assignment.unwanted
+              && !assignment.evicting
               && assignment.job.spec.priority() == Priority.PRODUCTION) {
             missing.merge(assignment.job, 1, Integer::sum);
           }
@@ -299,7 +300,8 @@
             continue;
           }
           ScaleOutRequest rental = new ScaleOutRequest(type, zone, spot, 1, counted);
-          if (!suits(job, type, zone, spot) || asked(rental) >= most.applyAsInt(rental.shelf())) {
+          if (!suits(job, type, zone, spot)
+              || asked(rental) >= most.applyAsInt(rental.capacityPool())) {
             continue;
           }
           // A big machine is cheap per task only if there are tasks to fill it.
@@ -307,7 +309,7 @@
           double cost =
               (lacking ? LACKING : 0)
                   + type.price(spot) / Math.min(fit, Math.max(1, waiting))
-                  + 1e-4 * perShelf.getOrDefault(rental.shelf(), 0)
+                  + 1e-4 * perShelf.getOrDefault(rental.capacityPool(), 0)
                   + (job.spec.kind() == JobKind.SERVICE ? 1e-3 * room.planned(job, zone) : 0);
           if (cost < bestCost) {
             best = rental;
@@ -319,22 +321,22 @@
     if (best == null) {
       return null;
     }
-    perShelf.merge(best.shelf(), 1, Integer::sum);
+    perShelf.merge(best.capacityPool(), 1, Integer::sum);
     if (!best.spot() && job.spec.priority() != Priority.PRODUCTION) {
       lackMilliCpus -= best.type().capacity().milliCpus();
     }
     if (counted) {
       budgetLeft--;
     }
-    rentals.merge(
-        new RentalKey(best.shelf(), counted),
+    scaleOut.merge(
+        new RentalKey(best.capacityPool(), counted),
         best,
         (a, b) -> new ScaleOutRequest(a.type(), a.zone(), a.spot(), a.count() + 1, a.counted()));
     return new Coming(best.type(), best.zone(), best.spot(), best.type().capacity());
   }
 
   private int asked(ScaleOutRequest rental) {
-    ScaleOutRequest so = rentals.get(new RentalKey(rental.shelf(), rental.counted()));
+    ScaleOutRequest so = scaleOut.get(new RentalKey(rental.capacityPool(), rental.counted()));
     return so == null ? 0 : so.count();
   }
 }
--- a/src/main/java/madderrudder/coordination/state/Assignment.java
+++ b/src/main/java/madderrudder/coordination/state/Assignment.java
@@ -13,7 +13,7 @@
   public final Machine machine;
   private final Machine.TaskAttempt key;
   public final String team;
-  public final Resources takes;
+  public final Resources resources;
 
   /** Null when the job is over and its description gone. */
   public final Job job;
@@ -22,13 +22,13 @@
   public final boolean inherited;
 
   /** The page of the log that names it, once one does. */
-  public LogReference page;
+  public LogReference logReference;
 
   /** A page that names this task is durable, so it may be started. */
   public boolean durable;
 
   /** The task shall not run here (any more). */
-  public boolean unwanted;
+  public boolean evicting;
 
   /** Completed, and kept until that is durable. */
   public boolean completed;
@@ -64,7 +64,7 @@
       long attempt,
       Machine machine,
       String team,
-      Resources takes,
+      Resources resources,
       Job job,
       boolean inherited,
       long nowMicros) {
@@ -73,7 +73,7 @@
     this.machine = machine;
     key = new Machine.TaskAttempt(task, attempt);
     this.team = team;
-    this.takes = takes;
+    this.resources = resources;
     this.job = job;
     this.inherited = inherited;
     this.placedMicros = nowMicros;
@@ -101,7 +101,7 @@
   }
 
   /** Whether the worker has said that it has the task. */
-  public boolean seen() {
+  public boolean reportedByWorker() {
     return phase != null;
   }
 
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -28,13 +28,13 @@
   // there is.
   private final Set<Machine> owned = new LinkedHashSet<>();
   private final Map<String, Resources> usage = new HashMap<>();
-  private final Map<TaskId, Integer> strayed = new HashMap<>();
+  private final Map<TaskId, Integer> orphaned = new HashMap<>();
 
   /**
    * Tasks of cancelled jobs that may still be somewhere, and a moment before their users were told;
    * oldest first.
    */
-  private final Map<Assignment, Long> doomed = new LinkedHashMap<>();
+  private final Map<Assignment, Long> cancelledAssignments = new LinkedHashMap<>();
 
   public Cluster(Deployment deployment, RunTimes runTimes) {
     this.deployment = deployment;
@@ -65,7 +65,7 @@
       assignment.job.hold(assignment);
     }
     if (!assignment.completed) {
-      take(assignment.machine, assignment.team, assignment.takes);
+      take(assignment.machine, assignment.team, assignment.resources);
     }
   }
 
@@ -74,12 +74,12 @@
     if (assignment.machine.assignments.remove(assignment.key()) == null) {
       return false;
     }
-    doomed.remove(assignment);
+    cancelledAssignments.remove(assignment);
     if (assignment.job != null) {
       assignment.job.release(assignment, nowMicros);
     }
     if (!assignment.completed) {
-      giveBack(assignment.machine, assignment.team, assignment.takes);
+      giveBack(assignment.machine, assignment.team, assignment.resources);
     }
     return true;
   }
@@ -88,14 +88,14 @@
   public void complete(Assignment assignment) {
     if (!assignment.completed) {
       assignment.completed = true;
-      doomed.remove(assignment);
-      giveBack(assignment.machine, assignment.team, assignment.takes);
+      cancelledAssignments.remove(assignment);
+      giveBack(assignment.machine, assignment.team, assignment.resources);
     }
   }
 
   /** The task's job was cancelled, its user told after the moment; the task may still be there. */
-  public void doom(Assignment assignment, long beforeMicros) {
-    doomed.putIfAbsent(assignment, beforeMicros);
+  public void markCancelled(Assignment assignment, long beforeMicros) {
+    cancelledAssignments.putIfAbsent(assignment, beforeMicros);
   }
 
   /**
@@ -104,24 +104,24 @@
    * of any job.
    */
   public long settledMicros(long knownMicros) {
-    if (!strayed.isEmpty()) {
+    if (!orphaned.isEmpty()) {
       return LONG_AGO;
     }
-    return doomed.isEmpty()
+    return cancelledAssignments.isEmpty()
         ? knownMicros
-        : Math.min(knownMicros, doomed.values().iterator().next());
+        : Math.min(knownMicros, cancelledAssignments.values().iterator().next());
   }
 
   /** The worker says that it has these tasks, which no record names there. */
-  public void strays(Machine machine, List<Machine.OrphanTask> found) {
-    for (Machine.OrphanTask stray : machine.strays) {
+  public void orphanTasks(Machine machine, List<Machine.OrphanTask> found) {
+    for (Machine.OrphanTask stray : machine.orphanTasks) {
       giveBack(machine, stray.team(), stray.takes());
-      strayed.computeIfPresent(stray.key().task(), (task, count) -> count == 1 ? null : count - 1);
+      orphaned.computeIfPresent(stray.key().task(), (task, count) -> count == 1 ? null : count - 1);
     }
-    machine.strays = found;
+    machine.orphanTasks = found;
     for (Machine.OrphanTask stray : found) {
       take(machine, stray.team(), stray.takes());
-      strayed.merge(stray.key().task(), 1, Integer::sum);
+      orphaned.merge(stray.key().task(), 1, Integer::sum);
     }
   }
 
@@ -143,14 +143,14 @@
     Resources free = machine.freeSoon();
     for (Assignment assignment : machine.assignments.values()) {
       if (endsSoon(assignment, nowMicros)) {
-        free = free.plus(assignment.takes);
+        free = free.plus(assignment.resources);
       }
     }
     return free;
   }
 
   public boolean endsSoon(Assignment assignment, long nowMicros) {
-    return !assignment.unwanted
+    return !assignment.evicting
         && !assignment.completed
         && assignment.job != null
         && runTimes.endsWithin(assignment, nowMicros, SOON_MICROS);
@@ -162,8 +162,8 @@
   }
 
   /** Whether the worker of some machine says it has the task though no record names it there. */
-  public boolean strayed(String job, int task) {
-    return !strayed.isEmpty() && strayed.containsKey(new TaskId(job, task));
+  public boolean orphaned(String job, int task) {
+    return !orphaned.isEmpty() && orphaned.containsKey(new TaskId(job, task));
   }
 
   /** A start is wanted sooner than any machine boots, so that renting comes too late for it. */
@@ -175,9 +175,9 @@
   /** Some owned machine that is there could take a task of the job, if it were empty. */
   public boolean ownedCouldFit(Job job, long nowMicros) {
     for (Machine machine : owned) {
-      if (!machine.lapsed
+      if (!machine.leaseExpired
           && !machine.failed
-          && !machine.faulty(nowMicros)
+          && !machine.cordoned(nowMicros)
           && allowed(job, machine)
           && job.spec.perTask().fits(machine.type.capacity())) {
         return true;
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -40,18 +40,18 @@
   public final Set<Assignment> assignments = new LinkedHashSet<>();
 
   /** Set when the job is over for its user; its tasks must go. */
-  public boolean over;
+  public boolean ended;
 
   /** The attempt that a gang's tasks share. */
   public long gangAttempt;
 
-  public boolean gangRan;
+  public boolean gangStarted;
 
   /**
    * Found by this leader when it took over: what its tasks have saved under earlier ones is not
    * known.
    */
-  public boolean found;
+  public boolean inherited;
 
   /** What its tasks have in common with others. */
   public final Likeness like;
@@ -73,14 +73,14 @@
   private final Map<Integer, Integer> errors = new HashMap<>();
 
   /** The machines on which tasks of it have failed under this leader, and when last. */
-  private final Map<String, Long> erredOn = new HashMap<>();
+  private final Map<String, Long> failedOn = new HashMap<>();
 
   private int completions;
 
   /** Errors since it was found faulty, under this leader and earlier ones. */
   private int faults;
 
-  private boolean foundFaulty;
+  private boolean markFailing;
   private long probeAtMicros = Long.MIN_VALUE;
 
   public Job(JobSpec spec, TeamQuota team, long version, long acceptedWallMicros, long nowMicros) {
@@ -117,7 +117,7 @@
     }
     if (assignments.isEmpty()) {
       gangAttempt = 0;
-      gangRan = false;
+      gangStarted = false;
     }
   }
 
@@ -125,18 +125,18 @@
    * A gang may be placed, or what it lacks while it gathers. One that ran, or is being stopped,
    * first has to go as a whole.
    */
-  public boolean gangGathers() {
+  public boolean gangAcceptsPlacement() {
     return assignments.isEmpty()
-        || !gangRan
+        || !gangStarted
             && gangAttempt != 0
-            && gangHeard()
-            && assignments.stream().noneMatch(a -> a.unwanted || a.completed);
+            && gangMachinesHeard()
+            && assignments.stream().noneMatch(a -> a.evicting || a.completed);
   }
 
   /** Of a gang that an earlier leader has placed it is known only then whether it has run. */
-  public boolean gangHeard() {
+  public boolean gangMachinesHeard() {
     return assignments.stream()
-        .allMatch(a -> !a.inherited || a.machine.reported || a.machine.lapsed);
+        .allMatch(a -> !a.inherited || a.machine.reported || a.machine.leaseExpired);
   }
 
   /** The first task from the index on that is neither done nor held, or -1. */
@@ -163,12 +163,12 @@
     return spec.tasks() - taken.cardinality();
   }
 
-  public int undone() {
+  public int remainingTasks() {
     return spec.tasks() - done.cardinality();
   }
 
   public boolean complete() {
-    return spec.kind() != JobKind.SERVICE && undone() == 0;
+    return spec.kind() != JobKind.SERVICE && remainingTasks() == 0;
   }
 
   public long waitingSinceMicros(int task) {
@@ -181,7 +181,7 @@
    */
   public boolean ready(int task, long nowMicros) {
     return nowMicros >= notBefore.getOrDefault(task, Long.MIN_VALUE)
-        && (!faulty() || assignments.isEmpty() && nowMicros >= probeAtMicros);
+        && (!failing() || assignments.isEmpty() && nowMicros >= probeAtMicros);
   }
 
   public void completed() {
@@ -201,9 +201,9 @@
    */
   public void failed(int task, String machine, long nowMicros) {
     int count = errors.merge(task, 1, Integer::sum);
-    erredOn.put(machine, nowMicros);
+    failedOn.put(machine, nowMicros);
     notBefore.put(task, nowMicros + Math.min(2, count) * BACKOFF_MICROS);
-    if (faulty()) {
+    if (failing()) {
       faults++;
       probeAtMicros =
           nowMicros + Math.min(MOST_BACKOFF_MICROS, BACKOFF_MICROS << Math.min(faults, 10));
@@ -214,30 +214,30 @@
    * A task of it has failed there lately; for good it would have nowhere to go once it had failed
    * everywhere.
    */
-  public boolean erredOn(String machine, long nowMicros) {
-    Long at = erredOn.get(machine);
+  public boolean failedOn(String machine, long nowMicros) {
+    Long at = failedOn.get(machine);
     return at != null && nowMicros - at < ELSEWHERE_MICROS;
   }
 
   /** The machines on which tasks of it have failed under this leader. */
-  public Set<String> erredOn() {
-    return erredOn.keySet();
+  public Set<String> failedOn() {
+    return failedOn.keySet();
   }
 
   /**
    * It failed on several machines and never completed a task: not worth renting for, nor stopping
    * anything.
    */
-  public boolean faulty() {
-    return completions == 0 && done.isEmpty() && (foundFaulty || erredOn.size() >= FAULTY_AFTER);
+  public boolean failing() {
+    return completions == 0 && done.isEmpty() && (markFailing || failedOn.size() >= FAULTY_AFTER);
   }
 
   /**
    * Earlier leaders have found it faulty; it is tried soon, one task at first, as it is by the one
    * that found it.
    */
-  public void foundFaulty(long nowMicros) {
-    foundFaulty = true;
+  public void markFailing(long nowMicros) {
+    markFailing = true;
     faults = Math.max(faults, FAULTY_AFTER);
     probeAtMicros = nowMicros + FOUND_BACKOFF_MICROS;
   }
@@ -256,7 +256,7 @@
    * whole.
    */
   public boolean mayHaveResumed(int task) {
-    return spec.checkpointMicros() > 0 && (found || begun.get(task));
+    return spec.checkpointMicros() > 0 && (inherited || begun.get(task));
   }
 
   public int runningCount() {
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -42,10 +42,10 @@
   public final long rentedWallMicros;
 
   /** Since when this leader knows of it. */
-  public final long knownMicros;
+  public final long discoveredMicros;
 
   /** Earlier leaders used it: it is in the log that this one took over. */
-  public boolean takenOver;
+  public boolean inherited;
 
   public String addr = "";
   public boolean retiring;
@@ -62,10 +62,10 @@
   public long token;
 
   /** The highest token that it was given in this term, or is to be given first. */
-  public long given;
+  public long issuedToken;
 
   /** Its worker was sent an answer in this term. */
-  public boolean told;
+  public boolean answeredInTerm;
 
   /** The highest token of a direct start that was sent to it in this term. */
   public long directToken = NONE;
@@ -73,37 +73,37 @@
   /**
    * The last report that it sent by itself, rather than in answer to a command, and when that came.
    */
-  public long helloSeq = NONE;
+  public long heartbeatSeq = NONE;
 
-  public long helloMicros;
+  public long heartbeatMicros;
 
   /**
    * A report that was made in this term has come, rather than one that may be older than whatever
    * is known.
    */
-  public boolean current;
+  public boolean reportedInTerm;
 
   /** Since when its worker has not shown that answers reach it, though it reports; else -1. */
-  public long deafSinceMicros = NONE;
+  public long unacknowledgedSinceMicros = NONE;
 
   /**
    * Once its worker has seen this token, it has acted on an answer given since that was doubted.
    */
-  private long proof;
+  private long acknowledgingToken;
 
   /**
    * When its worker may last have been answered by anybody, as far as is known; at first, when this
    * leader began.
    */
-  public long answeredMicros;
+  public long lastAnsweredMicros;
 
   /** When this leader last answered it, itself or by another controller at its word. */
-  public long heardMicros;
+  public long lastHeardMicros;
 
   /** Silent for so long that its worker has dropped everything. */
-  public boolean lapsed;
+  public boolean leaseExpired;
 
-  public long recallMicros = -1;
+  public long reclaimMicros = -1;
   public long idleSinceMicros;
   long avoidUntilMicros;
   public boolean directInFlight;
@@ -111,13 +111,13 @@
   public final Map<TaskAttempt, Assignment> assignments = new LinkedHashMap<>();
 
   /** Tasks the worker reported that no record names. Replaced as a whole, by the cluster. */
-  public List<OrphanTask> strays = List.of();
+  public List<OrphanTask> orphanTasks = List.of();
 
   /** What all that may be on the machine takes; kept by the cluster. */
   Resources used = Resources.NONE;
 
   /** The page of the log that names it, once one does. */
-  public LogReference page;
+  public LogReference logReference;
 
   private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
   private final Map<String, Long> faults = new HashMap<>();
@@ -136,9 +136,9 @@
     this.spot = spot;
     this.owned = owned;
     this.rentedWallMicros = rentedWallMicros;
-    knownMicros = nowMicros;
-    answeredMicros = nowMicros;
-    heardMicros = nowMicros;
+    discoveredMicros = nowMicros;
+    lastAnsweredMicros = nowMicros;
+    lastHeardMicros = nowMicros;
     idleSinceMicros = nowMicros;
   }
 
@@ -149,42 +149,42 @@
 
   /** Something on it is being stopped. */
   public boolean stopping() {
-    return assignments.values().stream().anyMatch(a -> a.unwanted && !a.completed);
+    return assignments.values().stream().anyMatch(a -> a.evicting && !a.completed);
   }
 
   /** What is left once all that is being stopped has gone too. */
   Resources freeSoon() {
     Resources free = free();
     for (Assignment assignment : assignments.values()) {
-      if (assignment.unwanted && !assignment.completed) {
-        free = free.plus(assignment.takes);
+      if (assignment.evicting && !assignment.completed) {
+        free = free.plus(assignment.resources);
       }
     }
     return free;
   }
 
   public boolean empty() {
-    return assignments.isEmpty() && strays.isEmpty();
+    return assignments.isEmpty() && orphanTasks.isEmpty();
   }
 
   /** Rented, not known to be up, and not given up. */
   public boolean booting() {
-    return !owned && !reported && !retiring && !failed && !lapsed;
+    return !owned && !reported && !retiring && !failed && !leaseExpired;
   }
 
   /** It boots, and may well come up soon: not for far longer than its type takes. */
-  public boolean coming(long nowMicros) {
+  public boolean bootingOnTime(long nowMicros) {
     return booting()
-        && nowMicros - knownMicros <= LATE_BOOT * type.bootMicros() + BOOT_SLACK_MICROS;
+        && nowMicros - discoveredMicros <= LATE_BOOT * type.bootMicros() + BOOT_SLACK_MICROS;
   }
 
-  public ScaleOutRequest.CapacityPool shelf() {
+  public ScaleOutRequest.CapacityPool capacityPool() {
     return new ScaleOutRequest.CapacityPool(type.name(), zone, spot);
   }
 
   /** It was up, as far as the log tells, when this leader took over: its worker is to be heard. */
-  public boolean expected(long wallMicros) {
-    return takenOver
+  public boolean expectedUp(long wallMicros) {
+    return inherited
         && !retiring
         && !failed
         && (owned
@@ -195,71 +195,71 @@
 
   public boolean usable(long nowMicros, long reportMicros) {
     return reported
-        && !deaf()
+        && !unacknowledged()
         && !retiring
         && !failed
-        && !lapsed
+        && !leaseExpired
         && nowMicros >= avoidUntilMicros
         && !silent(nowMicros, reportMicros);
   }
 
   /** Its reports come, and nothing shows that answers reach its worker. */
-  public boolean deaf() {
-    return deafSinceMicros != NONE;
+  public boolean unacknowledged() {
+    return unacknowledgedSinceMicros != NONE;
   }
 
   /** It reports, and has not shown for so long that answers reach it. */
-  public boolean deafFor(long nowMicros, long forMicros) {
-    return deaf() && nowMicros - deafSinceMicros > forMicros;
+  public boolean unacknowledgedFor(long nowMicros, long forMicros) {
+    return unacknowledged() && nowMicros - unacknowledgedSinceMicros > forMicros;
   }
 
   /**
    * An answer was not heeded, or it is not known that any was since its session began: the next one
    * is to tell.
    */
-  public void doubt(long sinceMicros) {
-    if (!deaf()) {
-      deafSinceMicros = sinceMicros;
-      raise();
+  public void expectAcknowledgement(long sinceMicros) {
+    if (!unacknowledged()) {
+      unacknowledgedSinceMicros = sinceMicros;
+      raiseToken();
     }
   }
 
   /** What it is given from now on carries a higher token than anything before. */
-  public void raise() {
-    given = FencingToken.canRise(given) ? given + 1 : given;
-    proof = given;
+  public void raiseToken() {
+    issuedToken = FencingToken.canRise(issuedToken) ? issuedToken + 1 : issuedToken;
+    acknowledgingToken = issuedToken;
   }
 
   /** What its worker has seen by now; whether that ends a doubt. */
-  public boolean heeds(long seen) {
-    if (!deaf() || seen < proof) {
+  public boolean acknowledges(long seen) {
+    if (!unacknowledged() || seen < acknowledgingToken) {
       return false;
     }
-    deafSinceMicros = NONE;
+    unacknowledgedSinceMicros = NONE;
     return true;
   }
 
   /** Its report would grow too long with so many more tasks. */
-  public boolean crowded(int more) {
-    return assignments.size() + strays.size() + more >= MOST_TASKS;
+  public boolean atTaskLimit(int more) {
+    return assignments.size() + orphanTasks.size() + more >= MOST_TASKS;
   }
 
   /**
    * A report is missing: the interval between two, with the quarter that it may be longer, has
    * passed for a while.
    */
-  public boolean late(long nowMicros, long reportMicros) {
-    return nowMicros - heardMicros > reportMicros * 5 / 4 + 1_000_000;
+  public boolean missedHeartbeat(long nowMicros, long reportMicros) {
+    return nowMicros - lastHeardMicros > reportMicros * 5 / 4 + 1_000_000;
   }
 
   /** The time within which several reports come. */
-  public static long severalReports(long reportMicros) {
+  public static long missedHeartbeatsMicros(long reportMicros) {
     return 3 * reportMicros + 1_000_000;
   }
 
   /** Several reports are missing, though its worker may still have its tasks. */
   public boolean silent(long nowMicros, long reportMicros) {
-    return reported && nowMicros - heardMicros >= severalReports(reportMicros);
+    return reported && nowMicros - lastHeardMicros >= missedHeartbeatsMicros(reportMicros);
   }
 
   /**
@@ -270,7 +270,7 @@
     return images.containsKey(image);
   }
 
-  public void usedImage(String image, double gb) {
+  public void recordImageUse(String image, double gb) {
     images.remove(image);
     images.put(image, gb);
     double total = images.values().stream().mapToDouble(Double::doubleValue).sum();
@@ -289,7 +289,7 @@
    * Errors of different jobs within a while point at the machine, which is then passed over for
    * some time.
    */
-  public void fault(String job, long nowMicros, long whileMicros, long passedOverMicros) {
+  public void recordFailure(String job, long nowMicros, long whileMicros, long passedOverMicros) {
     faults.values().removeIf(at -> nowMicros - at > whileMicros);
     faults.put(job, nowMicros);
     if (faults.size() >= FAULTY_AFTER) {
@@ -298,14 +298,14 @@
   }
 
   /** The errors of the job say nothing of the machine. */
-  public void forgive(String job) {
+  public void clearFailure(String job) {
     if (faults.remove(job) != null && faults.size() < FAULTY_AFTER) {
       avoidUntilMicros = 0;
     }
   }
 
   /** Tasks of several jobs have failed on it, and it is passed over for a while. */
-  public boolean faulty(long nowMicros) {
+  public boolean cordoned(long nowMicros) {
     return nowMicros < avoidUntilMicros;
   }
 }
--- a/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
+++ b/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
@@ -8,7 +8,7 @@
   /** What the cloud may have run out of. */
   public record CapacityPool(String type, String zone, boolean spot) {}
 
-  public CapacityPool shelf() {
+  public CapacityPool capacityPool() {
     return new CapacityPool(type.name(), zone, spot);
   }
 }
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -141,7 +141,7 @@
     call(HttpRequest.post("/commit", body), CALL_MICROS, StoreCodec::readRevision, answer);
   }
 
-  public void openHold(long lifeMicros, Consumer<StoreReply<Long>> answer) {
+  public void grantLease(long lifeMicros, Consumer<StoreReply<Long>> answer) {
     call(
         HttpRequest.post("/holds", StoreCodec.hold(lifeMicros)),
         CALL_MICROS,
@@ -149,7 +149,7 @@
         answer);
   }
 
-  public void extendHold(long lease, Consumer<StoreReply<Boolean>> answer) {
+  public void renewLease(long lease, Consumer<StoreReply<Boolean>> answer) {
     call(
         HttpRequest.post("/holds/" + lease + "/extend", new byte[] {'{', '}'}),
         CALL_MICROS / 2,
@@ -157,7 +157,7 @@
         answer);
   }
 
-  public void releaseHold(long lease) {
+  public void revokeLease(long lease) {
     call(HttpRequest.delete("/holds/" + lease), CALL_MICROS, body -> true, reply -> {});
   }
 
--- a/src/main/java/madderrudder/protocol/PeerMessage.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -45,7 +45,7 @@
    */
   record MembershipStatus(
       String member,
-      long life,
+      long incarnation,
       long stampMicros,
       long ageMicros,
       long term,
@@ -55,10 +55,11 @@
       implements PeerMessage {}
 
   /** The stamp last heard of a process of a peer. */
-  record StampEcho(String member, long life, long stampMicros) {}
+  record StampEcho(String member, long incarnation, long stampMicros) {}
 
   /** Machines that the sender has answered in a leader's stead lately. */
-  record DelegatedRenewals(String member, long life, long stampMicros, List<LeaseRenewal> answers)
+  record DelegatedRenewals(
+      String member, long incarnation, long stampMicros, List<LeaseRenewal> answers)
       implements PeerMessage {}
 
   /** A machine was answered so long before the frame was sent. */
@@ -107,7 +108,7 @@
       }
     } else if (frame instanceof MembershipStatus standing) {
       putText(out, standing.member());
-      out.putLong(standing.life())
+      out.putLong(standing.incarnation())
           .putLong(standing.stampMicros())
           .putLong(standing.ageMicros())
           .putLong(standing.term())
@@ -116,11 +117,11 @@
           .putInt(standing.echoes().size());
       for (StampEcho echo : standing.echoes()) {
         putText(out, echo.member());
-        out.putLong(echo.life()).putLong(echo.stampMicros());
+        out.putLong(echo.incarnation()).putLong(echo.stampMicros());
       }
     } else if (frame instanceof DelegatedRenewals answered) {
       putText(out, answered.member());
-      out.putLong(answered.life())
+      out.putLong(answered.incarnation())
           .putLong(answered.stampMicros())
           .putInt(answered.answers().size());
       for (LeaseRenewal answer : answered.answers()) {
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -114,11 +114,11 @@
             store,
             random,
             settings.member(),
-            policy.holdMicros(),
+            policy.leaseMicros(),
             new LeaderElection.Listener() {
               @Override
-              public void elected(long term, long helmVersion) {
-                lead(term, helmVersion);
+              public void elected(long term, long termVersion) {
+                lead(term, termVersion);
               }
 
               @Override
@@ -157,8 +157,8 @@
                 settings.member(),
                 () -> leader,
                 store::answersLately),
-            policy.deputies(),
-            2 * policy.holdMicros(),
+            policy.delegation(),
+            2 * policy.leaseMicros(),
             settings.maxSockets());
   }
 
@@ -171,13 +171,13 @@
 
   /** Whether this node holds the lead at this moment. */
   public boolean leads() {
-    return election.entitled();
+    return election.holdsLease();
   }
 
-  private void lead(long term, long helmVersion) {
+  private void lead(long term, long termVersion) {
     leader =
         new Leader(
-            surroundings, term, helmVersion, () -> election.stepDown("the chain of commits broke"));
+            surroundings, term, termVersion, () -> election.stepDown("the chain of commits broke"));
     leader.begin();
   }
 
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -48,7 +48,7 @@
   private final Scheduler scheduler;
   private final LeaderElection election;
   private final HeartbeatDelegate deputy;
-  private final boolean deputies;
+  private final boolean delegation;
   private final long leaderlessMicros;
 
   /** Each holds a connection, and half of them may: users and peers need some too. */
@@ -77,12 +77,13 @@
       BooleanSupplier storeAnswers) {}
 
   /** Nobody leading for {@code leaderlessMicros} is more than a change of leader. */
-  HeartbeatEndpoint(Surroundings around, boolean deputies, long leaderlessMicros, int maxSockets) {
+  HeartbeatEndpoint(
+      Surroundings around, boolean delegation, long leaderlessMicros, int maxSockets) {
     this.around = around;
     scheduler = around.scheduler();
     election = around.election();
     deputy = around.deputy();
-    this.deputies = deputies;
+    this.delegation = delegation;
     this.leaderlessMicros = leaderlessMicros;
     mostHomeless = maxSockets / 2;
     lastLedMicros = scheduler.nowMicros();
@@ -183,7 +184,7 @@
   private void follow(Homeless arrived) {
     String name = election.leader();
     boolean heard = name != null && deputy.hears(name);
-    if (!deputies || heard && !served(arrived)) {
+    if (!delegation || heard && !served(arrived)) {
       redirect(arrived.answer());
     } else if (heard) {
       relay(name, arrived);
--- a/src/test/java/madderrudder/coordination/membership/DelegationModel.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationModel.java
@@ -393,8 +393,8 @@
       return "ran_cancelled";
     }
     for (int leader = 0; leader < 2; leader++) {
-      boolean entitled = leads(s, leader) && s[NOW] < s[HELD + leader];
-      if (entitled && dropped(s, leader)) {
+      boolean holdsLease = leads(s, leader) && s[NOW] < s[HELD + leader];
+      if (holdsLease && dropped(s, leader)) {
         return "ran_twice";
       }
     }
--- a/src/test/java/madderrudder/coordination/membership/DelegationTest.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationTest.java
@@ -53,17 +53,24 @@
       };
   private final HeartbeatDelegate deputy = new HeartbeatDelegate(clock, SAFETY, "n-1", LIFE);
 
-  private static MembershipStatus says(long life, int parts) {
-    return new MembershipStatus("n-1", life, 5, 0, 3, 0, parts, List.of());
+  private static MembershipStatus says(long incarnation, int parts) {
+    return new MembershipStatus("n-1", incarnation, 5, 0, 3, 0, parts, List.of());
   }
 
   private static StampEcho stamp(long micros) {
     return new StampEcho("n-0", 1, micros);
   }
 
-  private MembershipStatus grant(long term, long forMicros, long life, long stampMicros) {
+  private MembershipStatus grant(long term, long forMicros, long incarnation, long stampMicros) {
     return new MembershipStatus(
-        "n-0", 1, 55, 0, term, forMicros, 0, List.of(new StampEcho("n-1", life, stampMicros)));
+        "n-0",
+        1,
+        55,
+        0,
+        term,
+        forMicros,
+        0,
+        List.of(new StampEcho("n-1", incarnation, stampMicros)));
   }
 
   @Test
@@ -172,14 +179,14 @@
   void aGrantCountsFromBeforeItWasGiven() {
     deputy.take(grant(3, 5 * SECOND, LIFE, 100 * SECOND), 3);
     assertFalse(deputy.mayAnswer(3), "the leader was heard this moment");
-    nowMicros += SAFETY.quietMicros() + 1;
+    nowMicros += SAFETY.leaderSilenceMicros() + 1;
     assertTrue(deputy.mayAnswer(3));
     assertFalse(deputy.mayAnswer(4), "a higher term is known");
     nowMicros = 100 * SECOND + 4_990_000;
     assertFalse(deputy.mayAnswer(3), "the clocks may differ");
     nowMicros = 200 * SECOND;
     deputy.take(grant(3, 5 * SECOND, LIFE, 104 * SECOND), 3);
-    nowMicros += SAFETY.quietMicros() + 1;
+    nowMicros += SAFETY.leaderSilenceMicros() + 1;
     assertFalse(deputy.mayAnswer(3));
   }
 
@@ -188,12 +195,12 @@
     deputy.take(grant(3, 5 * SECOND, LIFE + 1, 100 * SECOND), 3);
     deputy.take(grant(2, 5 * SECOND, LIFE, 100 * SECOND), 3);
     deputy.take(grant(3, 0, LIFE, 100 * SECOND), 3);
-    nowMicros += SAFETY.quietMicros() + 1;
+    nowMicros += SAFETY.leaderSilenceMicros() + 1;
     assertFalse(deputy.mayAnswer(2) || deputy.mayAnswer(3));
     // A later term's grant may end sooner than the earlier one's.
     deputy.take(grant(3, 50 * SECOND, LIFE, 100 * SECOND), 3);
     deputy.take(grant(4, SECOND, LIFE, 102 * SECOND), 4);
-    nowMicros += SAFETY.quietMicros() + 1;
+    nowMicros += SAFETY.leaderSilenceMicros() + 1;
     assertFalse(deputy.mayAnswer(4));
   }
 
@@ -208,7 +215,8 @@
     deputy.take(grant(4, SECOND, LIFE, 102 * SECOND), 4);
     deputy.take(grant(5, 0, LIFE, 140 * SECOND), 5);
     deputy.take(grant(5, 50 * SECOND, LIFE + 1, 140 * SECOND), 5);
-    assertEquals(100 * SECOND + SafetyBounds.shortened(20 * SECOND), deputy.harmlessUntilMicros());
+    assertEquals(
+        100 * SECOND + SafetyBounds.minusClockDrift(20 * SECOND), deputy.harmlessUntilMicros());
     deputy.harmlessUntil(125 * SECOND);
     deputy.harmlessUntil(110 * SECOND);
     assertEquals(125 * SECOND, deputy.harmlessUntilMicros());
--- a/src/test/java/madderrudder/coordination/reconciliation/ConfidenceTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ConfidenceTest.java
@@ -45,10 +45,10 @@
   private void zone(String zone, int heard) {
     for (int i = 0; i < 20; i++) {
       Machine machine = new Machine(zone + i, TYPE, zone, false, false, 0, 0);
-      machine.takenOver = true;
+      machine.inherited = true;
       // A report that may be a late copy, from before this leader's term, is not enough.
       machine.reported = i < heard + 1;
-      machine.current = i < heard;
+      machine.reportedInTerm = i < heard;
       cluster.add(machine);
     }
   }
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import madderrudder.coordination.reconciliation.TaskFacts.Mates;
-import madderrudder.coordination.reconciliation.TaskFacts.Record;
-import madderrudder.coordination.reconciliation.TaskFacts.Told;
-import madderrudder.coordination.reconciliation.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskFacts.DesiredState;
+import madderrudder.coordination.reconciliation.TaskFacts.GangState;
+import madderrudder.coordination.reconciliation.TaskFacts.RecordOwner;
+import madderrudder.coordination.reconciliation.TaskFacts.ReportedState;
 
 /**
  * A job of one or two tasks, two machines and leaders that follow one another, each ending at any
@@ -362,12 +362,12 @@
   }
 
   private void place(State s, int m, int t, Deque<State> next) {
-    boolean strayed = s.stray[0][t] || s.stray[1][t];
+    boolean orphaned = s.stray[0][t] || s.stray[1][t];
     if (s.placed[t].machine < 0
         && !s.done[t]
         && s.reported[m]
         && s.attempts < bounds.attempts()
-        && !strayed) {
+        && !orphaned) {
       State c = s.copy();
       c.placed[t].machine = m;
       c.placed[t].attempt = 10 * c.term + ++c.attempts;
@@ -457,17 +457,21 @@
         placed.direct >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED
             || placed.startSeq >= s.seq[m]
             || placed.inherited && s.token[m] < firstToken(s.term) && fault != Fault.TOKEN_IGNORED;
-    Told told =
-        !s.reported[m] ? Told.NOTHING : placed.reportedSeq == s.seq[m] ? Told.HELD : Told.ABSENT;
+    ReportedState told =
+        !s.reported[m]
+            ? ReportedState.UNREPORTED
+            : placed.reportedSeq == s.seq[m] ? ReportedState.PRESENT : ReportedState.ABSENT;
     return TaskReconciler.of(
         new TaskFacts(
-            placed.inherited ? Record.EARLIER : Record.OWN,
-            placed.kept ? Wish.KEPT_DONE : placed.unwanted ? Wish.GO : Wish.RUN,
+            placed.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
+            placed.kept
+                ? DesiredState.KEEP_COMPLETED
+                : placed.unwanted ? DesiredState.REMOVE : DesiredState.RUN,
             told,
             mayCome,
             placed.seen,
             placed.durable,
-            Mates.GATHER));
+            GangState.GATHERING));
   }
 
   /**
@@ -538,13 +542,13 @@
     boolean mayCome = placed.inherited && s.token[placed.machine] < firstToken(s.term);
     return TaskReconciler.of(
         new TaskFacts(
-            placed.inherited ? Record.EARLIER : Record.OWN,
-            placed.unwanted ? Wish.GO : Wish.RUN,
-            Told.EXITED,
+            placed.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
+            placed.unwanted ? DesiredState.REMOVE : DesiredState.RUN,
+            ReportedState.EXITED,
             mayCome,
             true,
             placed.durable,
-            Mates.GATHER));
+            GangState.GATHERING));
   }
 
   private void newSession(State c, int m) {
@@ -597,13 +601,20 @@
       Placed placed = c.placed[t];
       boolean named = placed.machine == m && placed.attempt == report.attempts()[t];
       if (report.states()[t] != NONE && !named) {
-        Told told =
+        ReportedState told =
             report.states()[t] == DONE
-                ? Told.DONE
-                : report.states()[t] == EXITED ? Told.EXITED : Told.HELD;
+                ? ReportedState.COMPLETED
+                : report.states()[t] == EXITED ? ReportedState.EXITED : ReportedState.PRESENT;
         TaskDecision.Verdict verdict =
             TaskReconciler.of(
-                    new TaskFacts(Record.NONE, Wish.GO, told, false, true, true, Mates.GATHER))
+                    new TaskFacts(
+                        RecordOwner.NONE,
+                        DesiredState.REMOVE,
+                        told,
+                        false,
+                        true,
+                        true,
+                        GangState.GATHERING))
                 .verdict();
         boolean forgets = verdict == TaskDecision.Verdict.FORGET;
         if (heeded
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import madderrudder.coordination.reconciliation.MachineFacts.Listed;
-import madderrudder.coordination.reconciliation.MachineFacts.Logged;
+import madderrudder.coordination.reconciliation.MachineFacts.Recorded;
 import madderrudder.coordination.reconciliation.MachineFacts.Worker;
 import madderrudder.coordination.reconciliation.ReconciliationModel.Bounds;
 import madderrudder.coordination.reconciliation.ReconciliationModel.Fault;
-import madderrudder.coordination.reconciliation.TaskFacts.Mates;
-import madderrudder.coordination.reconciliation.TaskFacts.Record;
-import madderrudder.coordination.reconciliation.TaskFacts.Told;
-import madderrudder.coordination.reconciliation.TaskFacts.Wish;
+import madderrudder.coordination.reconciliation.TaskFacts.DesiredState;
+import madderrudder.coordination.reconciliation.TaskFacts.GangState;
+import madderrudder.coordination.reconciliation.TaskFacts.RecordOwner;
+import madderrudder.coordination.reconciliation.TaskFacts.ReportedState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -168,11 +168,11 @@
   void theTableOfTasksIsTheCode() throws IOException {
     List<List<String>> rows = table("Tasks");
     Set<List<String>> used = new HashSet<>();
-    for (Record record : Record.values()) {
-      for (Wish wish : Wish.values()) {
-        for (Told told : Told.values()) {
+    for (RecordOwner record : RecordOwner.values()) {
+      for (DesiredState wish : DesiredState.values()) {
+        for (ReportedState told : ReportedState.values()) {
           for (int bits = 0; bits < 8; bits++) {
-            for (Mates mates : Mates.values()) {
+            for (GangState mates : GangState.values()) {
               TaskFacts facts =
                   new TaskFacts(
                       record, wish, told, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0, mates);
@@ -201,13 +201,13 @@
   void theTableOfMachinesIsTheCode() throws IOException {
     List<List<String>> rows = table("Machines");
     Set<List<String>> used = new HashSet<>();
-    for (Logged logged : Logged.values()) {
+    for (Recorded recorded : Recorded.values()) {
       for (Listed listed : Listed.values()) {
         for (Worker worker : Worker.values()) {
           for (int bits = 0; bits < 32; bits++) {
             MachineFacts facts =
                 new MachineFacts(
-                    logged,
+                    recorded,
                     (bits & 1) > 0,
                     (bits & 2) > 0,
                     listed,
@@ -220,7 +220,7 @@
                 used,
                 finding.verdict().name(),
                 finding.reason(),
-                logged,
+                recorded,
                 facts.owned(),
                 facts.returning(),
                 listed,
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
@@ -217,7 +217,7 @@
     return assignment;
   }
 
-  private List<ScaleOutRequest> rentals(long now, int budget) {
+  private List<ScaleOutRequest> scaleOut(long now, int budget) {
     return ScaleOutPlanner.plan(
         cluster, POLICY, Demand.of(cluster, 0), now, budget, shelf -> 50, List.of());
   }
@@ -234,21 +234,21 @@
     Assignment first = put(job, 0, machine);
     Assignment second = put(job, 1, machine);
     assertEquals(100, cluster.settledMicros(100));
-    cluster.doom(first, 40);
-    cluster.doom(second, 60);
-    cluster.doom(first, 70);
+    cluster.markCancelled(first, 40);
+    cluster.markCancelled(second, 60);
+    cluster.markCancelled(first, 70);
     assertEquals(40, cluster.settledMicros(100));
     cluster.release(first, 0);
     assertEquals(60, cluster.settledMicros(100));
     cluster.complete(second);
     assertEquals(100, cluster.settledMicros(100));
-    cluster.strays(
+    cluster.orphanTasks(
         machine,
         List.of(
             new Machine.OrphanTask(
                 new Machine.TaskAttempt(new TaskId("req-9", 0), 1), "", Resources.NONE)));
     assertEquals(Cluster.LONG_AGO, cluster.settledMicros(100));
-    cluster.strays(machine, List.of());
+    cluster.orphanTasks(machine, List.of());
     assertEquals(100, cluster.settledMicros(100));
   }
 
@@ -259,8 +259,8 @@
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
     List<Placement> early = Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND);
     assertEquals(List.of(owned), early.stream().map(Placement::machine).toList());
-    rented.heardMicros = 21 * SECOND;
-    owned.heardMicros = 21 * SECOND;
+    rented.lastHeardMicros = 21 * SECOND;
+    owned.lastHeardMicros = 21 * SECOND;
     List<Placement> late = Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 21 * SECOND);
     assertEquals(Set.of(owned, rented), Set.copyOf(late.stream().map(Placement::machine).toList()));
   }
@@ -270,9 +270,9 @@
     Machine owned = machine("m-0", "east", true);
     put(job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 4, false), 0, owned);
     job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 3, 4, false);
-    assertEquals(List.of(), rentals(19 * SECOND, 10));
-    assertEquals(List.of(), rentals(21 * SECOND, 0));
-    List<ScaleOutRequest> rented = rentals(21 * SECOND, 2);
+    assertEquals(List.of(), scaleOut(19 * SECOND, 10));
+    assertEquals(List.of(), scaleOut(21 * SECOND, 0));
+    List<ScaleOutRequest> rented = scaleOut(21 * SECOND, 2);
     assertEquals(2, rented.stream().mapToInt(ScaleOutRequest::count).sum());
     assertTrue(rented.stream().allMatch(r -> r.counted() && !r.spot()));
   }
@@ -282,13 +282,13 @@
     Machine booting = machine("m-1", "east", false);
     booting.reported = false;
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
-    assertEquals(List.of(), rentals(SECOND, 10));
+    assertEquals(List.of(), scaleOut(SECOND, 10));
   }
 
   @Test
   void whatNoOwnedMachineFitsIsRentedForAtOnceAndNotCounted() {
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
-    List<ScaleOutRequest> rented = rentals(0, 0);
+    List<ScaleOutRequest> rented = scaleOut(0, 0);
     assertEquals(1, rented.size());
     assertFalse(rented.get(0).counted());
     assertTrue(rented.get(0).spot());
@@ -320,8 +320,8 @@
     Assignment young = put(batch, 1, second);
     old.runningMicros = 0;
     young.runningMicros = 25 * SECOND;
-    first.heardMicros = 30 * SECOND;
-    second.heardMicros = 30 * SECOND;
+    first.lastHeardMicros = 30 * SECOND;
+    second.lastHeardMicros = 30 * SECOND;
     job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
         Set.of(young), Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 30 * SECOND));
@@ -346,7 +346,7 @@
   }
 
   private static Machine heardLater(Machine machine) {
-    machine.heardMicros = 70 * SECOND;
+    machine.lastHeardMicros = 70 * SECOND;
     return machine;
   }
 
@@ -384,21 +384,21 @@
   void aMachineIsPassedOverForAMinute() {
     Machine only = heardLater(machine("m-0", "east", true));
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
-    only.fault("req-7", SECOND, 120 * SECOND, 60 * SECOND);
+    only.recordFailure("req-7", SECOND, 120 * SECOND, 60 * SECOND);
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 2 * SECOND).size());
-    only.fault("req-8", 2 * SECOND, 120 * SECOND, 60 * SECOND);
+    only.recordFailure("req-8", 2 * SECOND, 120 * SECOND, 60 * SECOND);
     assertEquals(0, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 61 * SECOND).size());
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 63 * SECOND).size());
-    only.fault("req-9", 64 * SECOND, 120 * SECOND, 60 * SECOND);
+    only.recordFailure("req-9", 64 * SECOND, 120 * SECOND, 60 * SECOND);
     assertEquals(0, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 65 * SECOND).size());
   }
 
   /** Most replicas once sat on the largest machine, and were missing for a lease when it died. */
   @Test
   void replicasSpreadOverMachines() {
-    Machine crowded = machine("m-0", "east", true);
+    Machine atTaskLimit = machine("m-0", "east", true);
     Machine other = machine("m-1", "east", true);
-    put(job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, crowded);
+    put(job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, atTaskLimit);
     put(job("req-2", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false), 0, other);
     job("req-3", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
@@ -421,7 +421,7 @@
     put(job("req-2", "alto", JobKind.ARRAY, Priority.LOW, 3, 4, false), 0, rented);
     job("req-3", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false);
     assertEquals(Set.of(), Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND));
-    cluster.machines.values().forEach(machine -> machine.heardMicros = 21 * SECOND);
+    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 21 * SECOND);
     assertEquals(1, Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 21 * SECOND).size());
   }
 
@@ -457,7 +457,7 @@
         Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND).stream()
             .map(Placement::machine)
             .toList());
-    going.unwanted = true;
+    going.evicting = true;
     assertEquals(List.of(), Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND));
     cluster.release(going, SECOND);
     List<Placement> placed = Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND);
@@ -539,7 +539,7 @@
     replica.runningMicros = 0;
     assertEquals(List.of(), RecallDrain.plan(cluster, 20 * SECOND));
     // Tasks of this class take 30 s; the cloud takes the machine in 15 s.
-    going.recallMicros = 35 * SECOND;
+    going.reclaimMicros = 35 * SECOND;
     assertEquals(List.of(young), RecallDrain.plan(cluster, 20 * SECOND));
   }
 
@@ -693,10 +693,10 @@
     put(service, 1, machine("m-1", "east", false));
     machine("m-2", "east", false);
     long later = 10 * SECOND;
-    cluster.machines.values().forEach(machine -> machine.heardMicros = later);
-    assertEquals(List.of(), rentals(later, 10));
-    silent.heardMicros = 0;
-    List<ScaleOutRequest> rented = rentals(later, 10);
+    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = later);
+    assertEquals(List.of(), scaleOut(later, 10));
+    silent.lastHeardMicros = 0;
+    List<ScaleOutRequest> rented = scaleOut(later, 10);
     assertEquals(1, rented.stream().mapToInt(ScaleOutRequest::count).sum());
     // What is on its way counts as room, so that nothing is rented twice.
     assertEquals(
@@ -704,8 +704,8 @@
         ScaleOutPlanner.plan(
             cluster, POLICY, Demand.of(cluster, 0), later, 10, shelf -> 50, rented));
     // With most machines silent, this node is cut off, and renting would help nobody.
-    cluster.machines.values().forEach(machine -> machine.heardMicros = 0);
-    assertEquals(List.of(), rentals(later, 10));
+    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 0);
+    assertEquals(List.of(), scaleOut(later, 10));
   }
 
   /** With too much to do, going by deadlines alone once made everything late in turn. */
@@ -756,12 +756,12 @@
     for (int i = 0; i < 4; i++) {
       wrong.failed(i, "m-" + i, 0);
     }
-    assertTrue(wrong.faulty());
-    assertEquals(List.of(), rentals(100 * SECOND, 10));
+    assertTrue(wrong.failing());
+    assertEquals(List.of(), scaleOut(100 * SECOND, 10));
     int tried = 0;
     for (long now = 0; now < 600 * SECOND; now += SECOND) {
       for (Machine machine : cluster.machines.values()) {
-        machine.heardMicros = now;
+        machine.lastHeardMicros = now;
       }
       for (Placement placement : Placer.plan(cluster, POLICY, Demand.of(cluster, 0), now)) {
         wrong.failed(placement.task(), placement.machine().id, now);
@@ -770,7 +770,7 @@
     }
     assertTrue(tried > 8 && tried < 20, tried + " tries in ten minutes");
     wrong.completed();
-    cluster.machines.values().forEach(machine -> machine.heardMicros = 700 * SECOND);
+    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 700 * SECOND);
     // Nor has it nowhere to go because it has failed everywhere.
     assertTrue(
         Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 700 * SECOND).size() > 4,
@@ -803,10 +803,10 @@
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 3, false);
     Machine late = new Machine("m-0", TYPE, "east", false, false, 0, 0);
     cluster.add(late);
-    assertEquals(List.of(), rentals(21 * SECOND, 10));
-    assertEquals(1, rentals(30 * SECOND, 10).size());
+    assertEquals(List.of(), scaleOut(21 * SECOND, 10));
+    assertEquals(1, scaleOut(30 * SECOND, 10).size());
     cluster.add(new Machine("m-1", TYPE, "east", false, false, 0, 30 * SECOND));
-    assertEquals(List.of(), rentals(31 * SECOND, 10));
+    assertEquals(List.of(), scaleOut(31 * SECOND, 10));
   }
 
   /**
@@ -847,6 +847,6 @@
     double drift = 1.0005 / 0.9995;
     assertTrue((safety.answerMicros() + workers.leaseMicros()) * drift < workers.cancelMicros());
     assertTrue(safety.leaseMicros() > workers.leaseMicros() * drift);
-    assertTrue(SafetyBounds.holdEndMicros(0, 3 * SECOND) * drift < 3 * SECOND);
+    assertTrue(SafetyBounds.leaseEndMicros(0, 3 * SECOND) * drift < 3 * SECOND);
   }
 }
