--- a/src/main/java/madderrudder/config/SExpression.java
+++ b/src/main/java/madderrudder/config/SExpression.java
@@ -75,7 +75,7 @@
     /** The next expression, or null at the end of the text or before a closing parenthesis. */
     private SExpression next(int depth) throws Malformed {
       blanks();
-      if (at == text.length() || text.charAt(at) == ')' && depth > 0) {
+      if (at == text.length() || (text.charAt(at) == ')' && depth > 0)) {
         return null;
       }
       int startLine = line;
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -195,8 +195,8 @@
     boolean last =
         report.session() == machine.session
             && (report.seq() > machine.heartbeatSeq
-                || report.seq() == machine.heartbeatSeq
-                    && term.scheduler.nowMicros() - machine.heartbeatMicros < ANSWER_MICROS);
+                || (report.seq() == machine.heartbeatSeq
+                    && term.scheduler.nowMicros() - machine.heartbeatMicros < ANSWER_MICROS));
     if (!last) {
       return Worth.LATE;
     }
@@ -432,7 +432,7 @@
     boolean mayCome =
         assignment.directToken >= machine.token
             || assignment.startSeq >= machine.seq
-            || assignment.inherited && FencingToken.term(machine.token) < term.term;
+            || (assignment.inherited && FencingToken.term(machine.token) < term.term);
     return new TaskFacts(
         assignment.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
         wish(assignment),
@@ -713,7 +713,7 @@
       if (job.spec.kind() == JobKind.GANG && !job.assignments.isEmpty() && !job.complete()) {
         boolean broken =
             job.assignments.stream().anyMatch(a -> a.evicting)
-                || job.gangStarted && job.nextWaiting(0) >= 0;
+                || (job.gangStarted && job.nextWaiting(0) >= 0);
         if (broken) {
           job.assignments.forEach(machines::evict);
         }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -365,7 +365,7 @@
 
   private void tick() {
     if (mostMachinesSilent()) {
-      term.election.yield("most machines have fallen silent at once");
+      term.election.yieldLeadership("most machines have fallen silent at once");
       return;
     }
     machines.expireSilentLeases(term.scheduler.nowMicros());
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -80,8 +80,8 @@
     }
     boolean complete =
         standing.answeredParts() == 0
-            || member.partsStampMicros == standing.stampMicros()
-                && member.parts == standing.answeredParts();
+            || (member.partsStampMicros == standing.stampMicros()
+                && member.parts == standing.answeredParts());
     if (mine != null && complete) {
       // What it has heard of this term's leader keeps it from answering in its stead for a while
       // more.
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -143,7 +143,7 @@
   }
 
   /** Steps down in favour of another node: this one does not campaign for a while. */
-  public void yield(String why) {
+  public void yieldLeadership(String why) {
     notBeforeMicros = scheduler.nowMicros() + YIELD_MICROS;
     stepDown(why);
   }
@@ -241,7 +241,7 @@
   }
 
   private void campaignIfVacant() {
-    if (!vacant && inherited == 0
+    if ((!vacant && inherited == 0)
         || leading
         || campaigning
         || scheduler.nowMicros() < notBeforeMicros) {
--- a/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/Confidence.java
@@ -119,7 +119,7 @@
 
   private void expect(Machine machine) {
     // A report that was not made in this term may be a late copy, of a machine that has died since.
-    boolean heard = machine.reported && machine.reportedInTerm || machine.leaseExpired;
+    boolean heard = (machine.reported && machine.reportedInTerm) || machine.leaseExpired;
     if (!heard) {
       awaited.add(machine);
     }
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -109,7 +109,7 @@
         Comparator.comparingInt(rank)
             .thenComparing(
                 job -> rank.applyAsInt(job) < LAST_RANK || overlooked(job, wallMicros) == 0)
-            .thenComparingInt(job -> job.spec.priority().ordinal())
+            .thenComparing(job -> job.spec.priority())
             .thenComparing(job -> !guaranteed.contains(job))
             .thenComparing(dues::get));
     return waiting;
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -80,7 +80,7 @@
         freeMilliCpus += machine.free().milliCpus();
         if (machine.reclaimMicros < 0) {
           usable.add(machine);
-          if (machine.stopping() || gangWaits && endsSoon(machine)) {
+          if (machine.stopping() || (gangWaits && endsSoon(machine))) {
             freeing.add(machine);
           }
           // A machine whose scarcest resource is used up takes nothing, however much is left of the
@@ -98,7 +98,7 @@
       Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     Placer placer = new Placer(cluster, policy, demand, nowMicros);
     for (Job job : demand.waiting()) {
-      if (placer.open.isEmpty() && placer.freeing.isEmpty()
+      if ((placer.open.isEmpty() && placer.freeing.isEmpty())
           || placer.placements.size() >= MOST_PLACEMENTS) {
         break;
       }
@@ -188,7 +188,7 @@
 
   /** Nothing is kept for a gang that these machines could not hold even if they were empty. */
   private void keep(Job job, List<Placement> found) {
-    if (found.isEmpty() && freeing.isEmpty() || !cluster.couldHold(job, usable)) {
+    if ((found.isEmpty() && freeing.isEmpty()) || !cluster.couldHold(job, usable)) {
       return;
     }
     int lacking = job.waitingCount() - found.size();
--- a/src/main/java/madderrudder/coordination/scheduling/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -93,7 +93,7 @@
     return inVain.stream()
         .anyMatch(
             other ->
-                other.team == job.team
+                other.team.equals(job.team)
                     && other.spec.kind() == job.spec.kind()
                     && other.spec.priority() == job.spec.priority()
                     && demand.guaranteed().contains(other) == demand.guaranteed().contains(job)
@@ -291,7 +291,7 @@
     Resources theirs = usage.getOrDefault(victim.team, Resources.NONE);
     return guaranteed
         && victim.job.spec.kind() != JobKind.SERVICE
-        && victim.job.team != job.team
+        && !victim.job.team.equals(job.team)
         && !demand.guaranteed().contains(victim.job)
         && !victim.job.team.guarantees(theirs);
   }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -79,7 +79,7 @@
     for (Machine machine : cluster.machines.values()) {
       // What was up when this leader took over is on its way too, until it should have been heard.
       if (confidence.awaits(machine)
-          || machine.bootingOnTime(nowMicros) && !confidence.misses(machine)) {
+          || (machine.bootingOnTime(nowMicros) && !confidence.misses(machine))) {
         coming.add(new Coming(machine.type, machine.zone, machine.spot, machine.free()));
       }
       if (!machine.retiring && !machine.leaseExpired) {
@@ -156,7 +156,7 @@
     int heard = 0;
     for (Machine machine : cluster.machines.values()) {
       boolean unheard = confidence.misses(machine);
-      if (!machine.reported && !unheard || machine.leaseExpired || machine.retiring) {
+      if ((!machine.reported && !unheard) || machine.leaseExpired || machine.retiring) {
         continue;
       }
       heard++;
@@ -286,7 +286,7 @@
     }
     boolean spotToo =
         policy.spotMode() == OperatorPolicy.SpotMode.ALWAYS
-            || policy.spotMode() == OperatorPolicy.SpotMode.UNCOUNTED && !counted;
+            || (policy.spotMode() == OperatorPolicy.SpotMode.UNCOUNTED && !counted);
     ScaleOutRequest best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : cluster.types.values()) {
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -127,10 +127,10 @@
    */
   public boolean gangAcceptsPlacement() {
     return assignments.isEmpty()
-        || !gangStarted
+        || (!gangStarted
             && gangAttempt != 0
             && gangMachinesHeard()
-            && assignments.stream().noneMatch(a -> a.evicting || a.completed);
+            && assignments.stream().noneMatch(a -> a.evicting || a.completed));
   }
 
   /** Of a gang that an earlier leader has placed it is known only then whether it has run. */
@@ -181,7 +181,7 @@
    */
   public boolean ready(int task, long nowMicros) {
     return nowMicros >= notBefore.getOrDefault(task, Long.MIN_VALUE)
-        && (!failing() || assignments.isEmpty() && nowMicros >= probeAtMicros);
+        && (!failing() || (assignments.isEmpty() && nowMicros >= probeAtMicros));
   }
 
   public void completed() {
@@ -248,7 +248,7 @@
 
   /** No task of the job may be in any other zone. */
   boolean onlyIn(String zone) {
-    return inZones.isEmpty() || inZones.size() == 1 && inZones.containsKey(zone);
+    return inZones.isEmpty() || (inZones.size() == 1 && inZones.containsKey(zone));
   }
 
   /**
--- a/src/main/java/madderrudder/estimates/EstimatePages.java
+++ b/src/main/java/madderrudder/estimates/EstimatePages.java
@@ -72,7 +72,7 @@
 
     void write(ByteBuffer out) {
       out.put((byte) (kind != null ? KIND : GRADE));
-      out.put((byte) (kind != null ? kind.level() : grade.level()).ordinal());
+      out.put((kind != null ? kind.level() : grade.level()).code());
       if (kind != null) {
         put(out, kind.jobClass());
         put(out, kind.team());
@@ -88,7 +88,7 @@
 
     static Entry read(ByteBuffer in) throws Refused {
       byte what = in.get();
-      Level level = Level.values()[in.get()];
+      Level level = Level.ofCode(in.get());
       if (what == KIND) {
         JobKind kind = new JobKind(level, text(in), text(in), text(in), in.getInt());
         return new Entry(kind, Evidence.read(in, level.window), null, null);
@@ -202,7 +202,7 @@
 
   private static byte[] packed(ByteBuffer plain) {
     Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-    deflater.setInput(plain.array(), 0, plain.limit());
+    deflater.setInput(plain.duplicate().rewind());
     deflater.finish();
     ByteArrayOutputStream out = new ByteArrayOutputStream(plain.limit() / 2);
     byte[] part = new byte[4_096];
--- a/src/main/java/madderrudder/estimates/Level.java
+++ b/src/main/java/madderrudder/estimates/Level.java
@@ -1,5 +1,7 @@
 package madderrudder.estimates;
 
+import java.util.List;
+
 /** How alike the runs are that an estimate goes by, the most alike first. */
 public enum Level {
   /** Tasks of the same job, which had the same guess. */
@@ -28,6 +30,16 @@
     this.words = words;
   }
 
+  /** The number under which estimate pages name the level. */
+  byte code() {
+    return (byte) List.of(values()).indexOf(this);
+  }
+
+  /** The level that a page names. */
+  static Level ofCode(byte code) {
+    return values()[code];
+  }
+
   /** For sentences: the runs are of the same class, say. */
   public String words() {
     return words;
--- a/src/main/java/madderrudder/estimates/Mixture.java
+++ b/src/main/java/madderrudder/estimates/Mixture.java
@@ -82,8 +82,8 @@
     }
     long[] ends = new long[2 * size];
     for (int i = 0; i < size; i++) {
-      ends[2 * i] = Double.doubleToLongBits(low[i]) >>> PLACE_BITS << PLACE_BITS | 2 * i;
-      ends[2 * i + 1] = Double.doubleToLongBits(high[i]) >>> PLACE_BITS << PLACE_BITS | 2 * i + 1;
+      ends[2 * i] = Double.doubleToLongBits(low[i]) >>> PLACE_BITS << PLACE_BITS | 2L * i;
+      ends[2 * i + 1] = Double.doubleToLongBits(high[i]) >>> PLACE_BITS << PLACE_BITS | 2L * i + 1;
     }
     Arrays.sort(ends);
     at = new double[ends.length];
--- a/src/main/java/madderrudder/estimates/Scores.java
+++ b/src/main/java/madderrudder/estimates/Scores.java
@@ -2,7 +2,6 @@
 
 import java.nio.ByteBuffer;
 import java.util.IdentityHashMap;
-import java.util.Map;
 
 /**
  * How far jobs have ended from what was foretold, in units of how far it was thought they might: so
@@ -20,7 +19,7 @@
   private final Sketch below;
 
   /** How either side is spread, worked out again once so many scores are new. */
-  private final Map<Sketch, Mixture> spread = new IdentityHashMap<>(4);
+  private final IdentityHashMap<Sketch, Mixture> spread = new IdentityHashMap<>(4);
 
   private int unread;
 
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -173,7 +173,7 @@
       Reader<T> reader,
       Consumer<StoreReply<T>> answer) {
     boolean refused =
-        openForUsers > 0 && !answersLately()
+        (openForUsers > 0 && !answersLately())
             || !pace.runWithin(
                 cost,
                 MOST_TURN_MICROS,
--- a/src/main/java/madderrudder/protocol/Heartbeat.java
+++ b/src/main/java/madderrudder/protocol/Heartbeat.java
@@ -20,6 +20,6 @@
 
   /** The message with the larger (session, seq) is the newer one. */
   public boolean newerThan(long otherSession, long otherSeq) {
-    return session > otherSession || session == otherSession && seq > otherSeq;
+    return session > otherSession || (session == otherSession && seq > otherSeq);
   }
 }
--- a/src/main/java/madderrudder/protocol/Json.java
+++ b/src/main/java/madderrudder/protocol/Json.java
@@ -115,10 +115,10 @@
         return Double.isInfinite(number) ? (Object) new Beyond(in.getText()) : (Object) number;
       }
       case VALUE_TRUE -> {
-        return Boolean.TRUE;
+        return true;
       }
       case VALUE_FALSE -> {
-        return Boolean.FALSE;
+        return false;
       }
       default -> {
         return null;
--- a/src/main/java/madderrudder/protocol/Priority.java
+++ b/src/main/java/madderrudder/protocol/Priority.java
@@ -8,6 +8,6 @@
   LOW;
 
   public boolean above(Priority other) {
-    return ordinal() < other.ordinal();
+    return compareTo(other) < 0;
   }
 }
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -184,7 +184,7 @@
   private void follow(Homeless arrived) {
     String name = election.leader();
     boolean heard = name != null && deputy.hears(name);
-    if (!delegation || heard && !served(arrived)) {
+    if (!delegation || (heard && !served(arrived))) {
       redirect(arrived.answer());
     } else if (heard) {
       relay(name, arrived);
--- a/src/main/java/madderrudder/service/WorkerRedirects.java
+++ b/src/main/java/madderrudder/service/WorkerRedirects.java
@@ -60,7 +60,7 @@
       times[oldest(times)] = nowMicros;
     }
     boolean again = last != null && last.served();
-    if (lasting || !again && nowMicros - oldestBack(zone) < 2 * LEAST_SERVED_MICROS) {
+    if (lasting || (!again && nowMicros - oldestBack(zone) < 2 * LEAST_SERVED_MICROS)) {
       long forMicros = LEAST_SERVED_MICROS + random.nextLong(LEAST_SERVED_MICROS);
       detours.put(machine, new Detour(true, nowMicros + forMicros));
       return true;
--- a/src/main/java/madderrudder/transport/HttpParser.java
+++ b/src/main/java/madderrudder/transport/HttpParser.java
@@ -105,7 +105,7 @@
   }
 
   private boolean ends() {
-    return close || oldVersion && !keepAlive;
+    return close || (oldVersion && !keepAlive);
   }
 
   private void reset() {
--- a/src/test/java/madderrudder/cli/PackagedProgramIT.java
+++ b/src/test/java/madderrudder/cli/PackagedProgramIT.java
@@ -67,9 +67,9 @@
                           || name.startsWith("madderrudder/replay/")
                           || name.startsWith("picocli/")
                           || name.startsWith("org/jfree/")
-                          || name.startsWith("org/apache/commons/")
+                          || (name.startsWith("org/apache/commons/")
                               && !name.startsWith("org/apache/commons/cli/")
-                              && name.endsWith(".class"))
+                              && name.endsWith(".class")))
               .toList();
       assertEquals(List.of(), strange);
     }
--- a/src/test/java/madderrudder/cli/RegressIT.java
+++ b/src/test/java/madderrudder/cli/RegressIT.java
@@ -138,7 +138,7 @@
   @CsvSource({"0,0.68 0.60 0.70", "3,0.60 0.66 0.71", "1,0.60 0.66 0.65", "0,0.90 0.60"})
   void medianOfTheRoundsDecides(int status, String scores) throws Exception {
     List<String> arguments = new ArrayList<>(List.of("compare"));
-    for (String score : scores.split(" ")) {
+    for (String score : scores.split(" ", -1)) {
       String id = "r" + arguments.size();
       write(id, entry(id, true, score, "{}", "null"));
       arguments.add(id);
--- a/src/test/java/madderrudder/coordination/membership/DelegationModel.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationModel.java
@@ -171,7 +171,7 @@
   /** The leader hears from the store: it keeps its hold, and learns of the cancellation. */
   private boolean sync(byte[] s, int leader) {
     if (!leads(s, leader)
-        || leader == 0 && s[SECOND_LEADS] != NEVER
+        || (leader == 0 && s[SECOND_LEADS] != NEVER)
         || s[FRESH + leader] == s[NOW]) {
       return false;
     }
@@ -296,8 +296,8 @@
   private boolean sendUp(byte[] s, int leader, int d) {
     int p = pair(leader, d);
     int at = deputy(d);
-    if (leader == 1 && s[SECOND_LEADS] == NEVER
-        || s[p + UP_SENT] == s[NOW] && s[p + UP_LAST] == s[at + LAST]) {
+    if ((leader == 1 && s[SECOND_LEADS] == NEVER)
+        || (s[p + UP_SENT] == s[NOW] && s[p + UP_LAST] == s[at + LAST])) {
       return false;
     }
     s[p + UP_SENT] = s[NOW];
@@ -318,7 +318,7 @@
     s[p + UP_SENT] = NEVER;
     if (s[p + UP_TOP] > leader + 1) {
       s[ENDED + leader] = 1;
-      s[STOOD_BACK] |= 1 << deputies;
+      s[STOOD_BACK] = (byte) (s[STOOD_BACK] | 1 << deputies);
       return true;
     }
     if (s[p + UP_LAST] != NEVER) {
@@ -348,8 +348,8 @@
           (byte) Math.max(s[p + TOLD], s[p + UP_ECHO] + (s[p + UP_ECHO] >= begin ? QUIET : 0));
     }
     if (leader == 1 && s[p + UP_TOP] == 2) {
-      s[STOOD_BACK] |= 1 << d;
-      if (s[STOOD_BACK] == (1 << deputies + 1) - 1 && s[REPORTED + 1] == 0) {
+      s[STOOD_BACK] = (byte) (s[STOOD_BACK] | 1 << d);
+      if (s[STOOD_BACK] == (1 << (deputies + 1)) - 1 && s[REPORTED + 1] == 0) {
         s[ANSWERED + 1] = (byte) Math.min(s[ANSWERED + 1], s[NOW]);
       }
     }
@@ -497,8 +497,8 @@
       int kind = step < 7 ? -1 : (step - 7) % 10;
       int p = pair(kind % 2, step < 7 ? 0 : (step - 7) / 10);
       boolean held =
-          (kind == 2 || kind == 3) && now.fields()[p + DOWN_SENT] != NEVER
-              || (kind == 6 || kind == 7) && now.fields()[p + UP_SENT] != NEVER;
+          ((kind == 2 || kind == 3) && now.fields()[p + DOWN_SENT] != NEVER)
+              || ((kind == 6 || kind == 7) && now.fields()[p + UP_SENT] != NEVER);
       State next = held ? null : after(now, step);
       now = next == null ? now : next;
     }
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -454,9 +454,11 @@
     Placed placed = s.placed[t];
     int m = placed.machine;
     boolean mayCome =
-        placed.direct >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED
+        (placed.direct >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED)
             || placed.startSeq >= s.seq[m]
-            || placed.inherited && s.token[m] < firstToken(s.term) && fault != Fault.TOKEN_IGNORED;
+            || (placed.inherited
+                && s.token[m] < firstToken(s.term)
+                && fault != Fault.TOKEN_IGNORED);
     ReportedState told =
         !s.reported[m]
             ? ReportedState.UNREPORTED
@@ -489,7 +491,7 @@
     next.add(c);
     if (c.reported[m]
         && (report.session() < c.session[m]
-            || report.session() == c.session[m] && report.seq() <= c.seq[m])) {
+            || (report.session() == c.session[m] && report.seq() <= c.seq[m]))) {
       return;
     }
     if (c.reported[m] && report.session() > c.session[m]) {
@@ -619,7 +621,7 @@
         boolean forgets = verdict == TaskDecision.Verdict.FORGET;
         if (heeded
             && c.wAttempt[m][t] == report.attempts()[t]
-            && (forgets || verdict == TaskDecision.Verdict.STOP && c.wState[m][t] == HELD)) {
+            && (forgets || (verdict == TaskDecision.Verdict.STOP && c.wState[m][t] == HELD))) {
           c.wState[m][t] = NONE;
         }
       }
--- a/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
@@ -93,8 +93,8 @@
     Estimate b = Runs.ask(shuffled, "class", 60);
     // The losses by which ratio or time is chosen are means, and may differ in their last digits.
     assertEquals(a.runs(), b.runs());
-    assertEquals(a.medianMicros(), b.medianMicros(), a.medianMicros() / 1e5);
-    assertEquals(a.highMicros(), b.highMicros(), a.highMicros() / 1e5);
+    assertEquals((double) a.medianMicros(), (double) b.medianMicros(), a.medianMicros() / 1e5);
+    assertEquals((double) a.highMicros(), (double) b.highMicros(), a.highMicros() / 1e5);
   }
 
   private static final int PAGES = 3;
--- a/src/test/java/madderrudder/persistence/RecordsTest.java
+++ b/src/test/java/madderrudder/persistence/RecordsTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
@@ -119,7 +120,7 @@
         Json.readObject(
             ("{\"n\":1,\"machines\":[{\"type\":\"a\",\"zone\":\"b\",\"spot\":true,\"owned\":true,"
                     + "\"of\":[\" \"]}],\"gone\":[],\"placed\":[],\"ended\":[],\"images\":[]}")
-                .getBytes());
+                .getBytes(StandardCharsets.UTF_8));
     assertThrows(MalformedMessageException.class, () -> LogSegment.read(page));
   }
 
--- a/src/test/java/madderrudder/protocol/CodecTest.java
+++ b/src/test/java/madderrudder/protocol/CodecTest.java
@@ -63,7 +63,7 @@
         "'vision'|7"
       })
   void refusesInvalidFields(String change) {
-    String[] parts = change.split("\\|");
+    String[] parts = change.split("\\|", -1);
     assertThrows(MalformedMessageException.class, () -> job(JOB.replace(parts[0], parts[1])));
   }
 
--- a/src/test/java/madderrudder/replay/ReplayTest.java
+++ b/src/test/java/madderrudder/replay/ReplayTest.java
@@ -208,12 +208,14 @@
   void progressIsToldOnceASecond() {
     ByteArrayOutputStream told = new ByteArrayOutputStream();
     AtomicLong nanos = new AtomicLong();
-    Progress progress = new Progress(new PrintStream(told), "runs", nanos::get);
+    Progress progress =
+        new Progress(new PrintStream(told, true, StandardCharsets.UTF_8), "runs", nanos::get);
     for (int i = 0; i < 10_000; i++) {
       nanos.addAndGet(250_000);
       progress.step();
     }
-    assertEquals(List.of("4000 runs", "8000 runs"), told.toString().lines().toList());
+    assertEquals(
+        List.of("4000 runs", "8000 runs"), told.toString(StandardCharsets.UTF_8).lines().toList());
   }
 
   /** Of controllers the one that leads answers; a new leader's runs are all taken. */
--- a/src/test/java/madderrudder/sim/ColdStartTest.java
+++ b/src/test/java/madderrudder/sim/ColdStartTest.java
@@ -24,7 +24,7 @@
   private static final long PICTURE_S = 7;
 
   private static World day(long seed, World.Size size) {
-    boolean large = size == World.Size.LARGE;
+    boolean large = size.equals(World.Size.LARGE);
     OperatorPolicy policy =
         new OperatorPolicy(
             1_000_000,
@@ -52,7 +52,7 @@
   private static Set<TaskId> lastingDifferences(World world, long atSecond, int down) {
     world.run(atSecond * World.SECOND);
     Set<TaskId> differing = world.differences();
-    world.run((atSecond + 6 + 5 * down) * World.SECOND);
+    world.run((atSecond + 6 + 5L * down) * World.SECOND);
     differing.retainAll(world.differences());
     return differing;
   }
--- a/src/test/java/madderrudder/sim/GapTest.java
+++ b/src/test/java/madderrudder/sim/GapTest.java
@@ -187,7 +187,7 @@
     // Without deputies nothing is granted, and a leader that has not read what there is keeps
     // silent.
     assertTrue(
-        answered > 0 || course.fate() == Fate.UNREAD && !course.deputies(),
+        answered > 0 || (course.fate() == Fate.UNREAD && !course.deputies()),
         "no report was answered after the confirmations");
     assertTrue(
         course.fate().happened(world) || !course.deputies(), course.fate() + " did not come about");
--- a/src/test/java/madderrudder/sim/RandomDaysTest.java
+++ b/src/test/java/madderrudder/sim/RandomDaysTest.java
@@ -318,7 +318,7 @@
         for (int i = 0; i < 10; i++) {
           String node = world.names().get(i % 3);
           world.sim.after(
-              4 * i * World.SECOND, () -> world.cutFromWorkers(node, true, 5 * World.SECOND));
+              4L * i * World.SECOND, () -> world.cutFromWorkers(node, true, 5 * World.SECOND));
         }
       }
     };
--- a/src/test/java/madderrudder/sim/Rules.java
+++ b/src/test/java/madderrudder/sim/Rules.java
@@ -148,9 +148,9 @@
     if (job.kind() != JobKind.GANG) {
       begins(job.id());
     }
-    if (job.types() != null && !job.types().contains(machine.type)
-        || job.zone() != null && !job.zone().equals(machine.zone)
-        || machine.spot && !job.spotAllowed()) {
+    if ((job.types() != null && !job.types().contains(machine.type))
+        || (job.zone() != null && !job.zone().equals(machine.zone))
+        || (machine.spot && !job.spotAllowed())) {
       breaks("wrong_place", task + " on " + machine.id);
     }
     int sameZone = 0;
@@ -277,8 +277,8 @@
    * What a user read in an answer about a job; one to a question asked earlier may well be older.
    */
   void told(String job, int status, String state, boolean submission, long askedMicros) {
-    if (status == 404 && accepted.contains(job)
-        || submission && (status == 400 || status == 422) && accepted.contains(job)) {
+    if ((status == 404 && accepted.contains(job))
+        || (submission && (status == 400 || status == 422) && accepted.contains(job))) {
       breaks("forgotten", job + " got " + status);
     }
     if (status != 200 && status != 201) {
@@ -293,9 +293,9 @@
     acceptedAt.putIfAbsent(job, sim.nowMicros);
     boolean done = state.equals("done");
     boolean cancelled = state.equals("aborted");
-    if (toldDone.getOrDefault(job, Long.MAX_VALUE) < askedMicros && !done
-        || toldCancelled.getOrDefault(job, Long.MAX_VALUE) < askedMicros && !cancelled
-        || cancelled && !askedToCancel.contains(job)) {
+    if ((toldDone.getOrDefault(job, Long.MAX_VALUE) < askedMicros && !done)
+        || (toldCancelled.getOrDefault(job, Long.MAX_VALUE) < askedMicros && !cancelled)
+        || (cancelled && !askedToCancel.contains(job))) {
       breaks("went_back", job + " called " + state);
     }
     if (done) {
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -1,5 +1,6 @@
 package madderrudder.sim;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -240,7 +241,7 @@
 
   private static Map<String, String> query(HttpRequest request) {
     Map<String, String> query = new HashMap<>();
-    for (String part : request.target().substring(request.path().length() + 1).split("&")) {
+    for (String part : request.target().substring(request.path().length() + 1).split("&", -1)) {
       int equals = part.indexOf('=');
       query.put(part.substring(0, equals), part.substring(equals + 1));
     }
@@ -333,10 +334,10 @@
         }
       }
       written++;
-      if (key.startsWith(Keys.FINISHED) && keys.containsKey(key)
-          || key.startsWith(Keys.LIVE)
+      if ((key.startsWith(Keys.FINISHED) && keys.containsKey(key))
+          || (key.startsWith(Keys.LIVE)
               && keys.containsKey(Keys.FINISHED + key.substring(Keys.LIVE.length()))
-              && !write.has("drop")) {
+              && !write.has("drop"))) {
         broken.add(key + " is written again after its end");
       }
       if (write.has("drop")) {
@@ -416,7 +417,7 @@
             out -> {
               out.writeStringField("path", key);
               out.writeFieldName("data");
-              out.writeRawValue(new String(entry.data()));
+              out.writeRawValue(new String(entry.data(), StandardCharsets.UTF_8));
               out.writeNumberField("entry", entry.version());
             }));
   }
@@ -440,7 +441,7 @@
                 out.writeStartObject();
                 out.writeStringField("path", row.getKey());
                 out.writeFieldName("data");
-                out.writeRawValue(new String(row.getValue().data()));
+                out.writeRawValue(new String(row.getValue().data(), StandardCharsets.UTF_8));
                 out.writeNumberField("entry", row.getValue().version());
                 out.writeEndObject();
               }
@@ -477,7 +478,7 @@
                       out.writeStringField(event.data() == null ? "drop" : "write", event.key());
                       if (event.data() != null) {
                         out.writeFieldName("data");
-                        out.writeRawValue(new String(event.data()));
+                        out.writeRawValue(new String(event.data(), StandardCharsets.UTF_8));
                       }
                       out.writeNumberField("entry", event.revision());
                       out.writeEndObject();
--- a/src/test/java/madderrudder/sim/SimUsers.java
+++ b/src/test/java/madderrudder/sim/SimUsers.java
@@ -26,6 +26,8 @@
   private static final long POLL_MICROS = 3_000_000;
   private static final long RETRY_MICROS = 1_200_000;
   private static final long ASK_ALL_MICROS = 10_000_000;
+  private static final List<Priority> ORDINARY_PRIORITIES =
+      List.of(Priority.HIGH, Priority.NORMAL, Priority.LOW);
   static final String GUEST = "duende";
 
   /** What the users call each kind of their jobs. */
@@ -274,7 +276,7 @@
     Priority priority =
         kind == JobKind.SERVICE
             ? Priority.PRODUCTION
-            : Priority.values()[1 + sim.random.nextInt(3)];
+            : ORDINARY_PRIORITIES.get(sim.random.nextInt(ORDINARY_PRIORITIES.size()));
     // A gang's task may take all of a small machine.
     double cpus = kind == JobKind.GANG ? 4 : 1 + sim.random.nextInt(4);
     return new JobSpec(
--- a/src/test/java/madderrudder/sim/UnlistedTroublesTest.java
+++ b/src/test/java/madderrudder/sim/UnlistedTroublesTest.java
@@ -429,10 +429,10 @@
       rules.submits(job);
       rules.told(job.id(), 201, "pending", true, 0);
       boolean left =
-          planted == Planted.CLASS_LEFT_OUT && gang
-              || planted == Planted.TEAM_LEFT_OUT && team.equals("alto")
-              || planted == Planted.NEVER_STARTED && i < 30
-              || planted == Planted.LARGEST_STARVED && tasks > 1;
+          (planted == Planted.CLASS_LEFT_OUT && gang)
+              || (planted == Planted.TEAM_LEFT_OUT && team.equals("alto"))
+              || (planted == Planted.NEVER_STARTED && i < 30)
+              || (planted == Planted.LARGEST_STARVED && tasks > 1);
       if (!left) {
         world.sim.after(
             planted == Planted.LARGEST_LATE && tasks > 1 ? 250 * World.SECOND : 0,
