--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -19,7 +19,7 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.protocol.Heartbeat;
 import madderrudder.protocol.JobKind;
@@ -381,9 +381,9 @@
    */
   private void ran(Assignment assignment, long now, boolean complete) {
     if (assignment.runningMicros >= 0 && !assignment.inherited) {
-      Run run =
-          new Run(
-              assignment.job.like,
+      TaskRun run =
+          new TaskRun(
+              assignment.job.profile,
               assignment.task.index(),
               assignment.attempt,
               assignment.machine.type.name(),
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -10,10 +10,10 @@
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.EstimatePages;
 import madderrudder.estimates.EstimatePages.Refused;
+import madderrudder.estimates.EstimateQuery;
 import madderrudder.estimates.Estimator;
 import madderrudder.estimates.Estimator.ClassSummary;
-import madderrudder.estimates.Question;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
@@ -100,16 +100,17 @@
   }
 
   @Override
-  public void ran(Run run) {
+  public void ran(TaskRun run) {
     if (estimator.observe(run)) {
-      pages.changed(run.like());
+      pages.changed(run.profile());
     }
   }
 
   private Estimate of(Job job) {
     long now = term.scheduler.nowMicros();
     if (job.expected == null || now - job.expected.askedMicros() >= ANSWER_MICROS) {
-      Question question = new Question(job.like, job.spec.estimateMicros(), "", 0, SHARE);
+      EstimateQuery question =
+          new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, SHARE);
       Estimate estimate = estimator.estimate(question);
       if (job.expected == null && LOG.isDebugEnabled()) {
         LOG.debug(
@@ -143,8 +144,8 @@
     long whole =
         estimator
             .estimate(
-                new Question(
-                    assignment.job.like,
+                new EstimateQuery(
+                    assignment.job.profile,
                     spec.estimateMicros(),
                     assignment.machine.type.name(),
                     ran,
--- a/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.state;
 
 import madderrudder.estimates.ClassRatios;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 
 /**
  * The owners' guesses, which are often wrong, on some days mostly one way: what tasks of a class
@@ -11,7 +11,7 @@
   private final ClassRatios ratios = new ClassRatios();
 
   @Override
-  public void ran(Run run) {
+  public void ran(TaskRun run) {
     ratios.observe(run);
   }
 
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import madderrudder.coordination.policy.TeamQuota;
-import madderrudder.estimates.Likeness;
+import madderrudder.estimates.TaskProfile;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
@@ -54,7 +54,7 @@
   public boolean inherited;
 
   /** What its tasks have in common with others. */
-  public final Likeness like;
+  public final TaskProfile profile;
 
   /** What its tasks are expected to take, when that was last asked. */
   public RunTimes.Expected expected;
@@ -89,7 +89,8 @@
     this.version = version;
     this.acceptedWallMicros = acceptedWallMicros;
     this.seenMicros = nowMicros;
-    like = new Likeness(spec.id(), spec.jobClass(), spec.team(), spec.image(), spec.perTask());
+    profile =
+        new TaskProfile(spec.id(), spec.jobClass(), spec.team(), spec.image(), spec.perTask());
   }
 
   /** To be called by the cluster alone, which keeps its own totals beside these. */
--- a/src/main/java/madderrudder/coordination/state/RunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/RunTimes.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.state;
 
 import madderrudder.estimates.Estimate;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 
 /** What the planner takes the run times of tasks to be. */
 public interface RunTimes {
@@ -9,7 +9,7 @@
   record Expected(Estimate estimate, long askedMicros) {}
 
   /** A task has run. */
-  void ran(Run run);
+  void ran(TaskRun run);
 
   /** How long a task of the job takes: as likely less as more. */
   long expectedMicros(Job job);
--- a/src/main/java/madderrudder/estimates/ClassRatios.java
+++ b/src/main/java/madderrudder/estimates/ClassRatios.java
@@ -14,12 +14,12 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  public void observe(Run run) {
+  public void observe(TaskRun run) {
     if (run.complete() && run.guessMicros() > 0) {
       double ratio =
           Math.min(
               MOST_RATIO, Math.max(1 / MOST_RATIO, (double) run.tookMicros() / run.guessMicros()));
-      ratios.merge(run.like().jobClass(), ratio, (old, now) -> old + LEARNING * (now - old));
+      ratios.merge(run.profile().jobClass(), ratio, (old, now) -> old + LEARNING * (now - old));
     }
   }
 
--- a/src/main/java/madderrudder/estimates/EstimatePages.java
+++ b/src/main/java/madderrudder/estimates/EstimatePages.java
@@ -14,7 +14,7 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 import madderrudder.estimates.Estimator.Grade;
-import madderrudder.estimates.Likeness.JobKind;
+import madderrudder.estimates.TaskProfile.JobKind;
 
 /**
  * What an estimator knows as a few pages of text, so that whoever leads next goes on from there. A
@@ -113,11 +113,11 @@
    * A run was taken in: its kinds have changed, and what was held of its class, and so have their
    * pages.
    */
-  public void changed(Likeness like) {
+  public void changed(TaskProfile profile) {
     for (Level level : Estimator.KINDS) {
-      changed.set(page(like.kind(level)));
+      changed.set(page(profile.kind(level)));
     }
-    changed.set(page(like.jobClass()));
+    changed.set(page(profile.jobClass()));
     changed.set(page(""));
   }
 
--- a/src/main/java/madderrudder/estimates/Question.java
+++ b/src/main/java/madderrudder/estimates/EstimateQuery.java
@@ -5,5 +5,5 @@
  * ranMicros} is for how long it runs already; {@code share} is the part of such tasks that shall
  * take as long as the bounds say, between 0 and 1.
  */
-public record Question(
-    Likeness like, long guessMicros, String type, long ranMicros, double share) {}
+public record EstimateQuery(
+    TaskProfile profile, long guessMicros, String type, long ranMicros, double share) {}
--- a/src/main/java/madderrudder/estimates/Estimator.java
+++ b/src/main/java/madderrudder/estimates/Estimator.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import madderrudder.estimates.Estimate.Basis;
-import madderrudder.estimates.Likeness.JobKind;
+import madderrudder.estimates.TaskProfile.JobKind;
 
 /**
  * Learns from tasks that have run how long others will. Each level that has evidence takes n / (n +
@@ -182,19 +182,19 @@
   /**
    * Takes a run in; false if it is absurd, or one more task of a gang's attempt that has been seen.
    */
-  public boolean observe(Run run) {
+  public boolean observe(TaskRun run) {
     if (!run.sane()) {
       counts.refused++;
       return false;
     }
-    Likeness like = run.like();
-    Siblings siblings = jobs.computeIfAbsent(like.job(), job -> new Siblings());
+    TaskProfile profile = run.profile();
+    Siblings siblings = jobs.computeIfAbsent(profile.job(), job -> new Siblings());
     // The tasks of a gang's attempt run as long as each other: they are one run.
     if (siblings.lastAttempt == run.attempt()) {
       return false;
     }
     siblings.lastAttempt = run.attempt();
-    Foretold foretold = foretold(like, run.guessMicros(), basis(like, run.guessMicros()));
+    Foretold foretold = foretold(profile, run.guessMicros(), basis(profile, run.guessMicros()));
     double tookMicros = run.tookMicros() / speed(run.type());
     if (!run.complete()) {
       tookMicros = whole(tookMicros, foretold);
@@ -203,7 +203,7 @@
         counts.setAside++;
         return true;
       }
-      int side = judge(like, foretold, tookMicros);
+      int side = judge(profile, foretold, tookMicros);
       if (siblings.seen == 0) {
         compare(run, side, tookMicros);
       } else if (Integer.bitCount(siblings.seen) == 1) {
@@ -219,7 +219,7 @@
   /**
    * Whether the machine is so much slower than others that nothing is learned from what runs on it.
    */
-  private boolean slow(Run run, Foretold foretold, double tookMicros) {
+  private boolean slow(TaskRun run, Foretold foretold, double tookMicros) {
     double off = Math.log(run.tookMicros() / foretold.median());
     types.add(run.type(), Math.max(-MOST_TYPE_SPEED, Math.min(MOST_TYPE_SPEED, off)));
     // What lies above the median may be the faulty machine's own runs; the other side is not.
@@ -253,15 +253,15 @@
    * Keeps how far off the estimate was, for the bounds of later ones; 1 if the run ended beyond the
    * upper bound, -1 if below the lower one, and 0 between.
    */
-  private int judge(Likeness like, Foretold foretold, double tookMicros) {
+  private int judge(TaskProfile profile, Foretold foretold, double tookMicros) {
     int side =
-        tookMicros > high(like, foretold, JUDGED_SHARE)
+        tookMicros > high(profile, foretold, JUDGED_SHARE)
             ? 1
-            : tookMicros < low(like, foretold, JUDGED_SHARE) ? -1 : 0;
+            : tookMicros < low(profile, foretold, JUDGED_SHARE) ? -1 : 0;
     counts.judged++;
     counts.within += side == 0 ? 1 : 0;
     double score = foretold.score(tookMicros);
-    for (Grade grade : grades(like, foretold)) {
+    for (Grade grade : grades(profile, foretold)) {
       scores.computeIfAbsent(grade, g -> new Scores()).add(score);
     }
     return side;
@@ -271,11 +271,11 @@
    * Of a job's first task: whether the ratio or the time would have been better, and whether all
    * has changed.
    */
-  private void compare(Run run, int side, double tookMicros) {
+  private void compare(TaskRun run, int side, double tookMicros) {
     double ratioLoss = loss(run, Basis.RATIO, tookMicros);
     double timeLoss = loss(run, Basis.TIME, tookMicros);
     for (Level level : KINDS) {
-      Evidence evidence = kinds.get(run.like().kind(level));
+      Evidence evidence = kinds.get(run.profile().kind(level));
       if (evidence != null) {
         evidence.judge(ratioLoss, timeLoss);
         if (way != Way.FOREVER) {
@@ -289,20 +289,23 @@
   /**
    * Of a job's further tasks: whether those that have ended foretold better than other jobs did.
    */
-  private void compareSiblings(Run run, double tookMicros) {
-    Evidence evidence = kinds.get(run.like().kind(Level.CLASS));
+  private void compareSiblings(TaskRun run, double tookMicros) {
+    Evidence evidence = kinds.get(run.profile().kind(Level.CLASS));
     if (evidence != null) {
-      Basis basis = basis(run.like(), run.guessMicros());
+      Basis basis = basis(run.profile(), run.guessMicros());
       evidence.judgeSiblings(
-          loss(foretold(parts(run.like(), run.guessMicros(), basis, DOUBT_OF_SIBLINGS)), tookMicros)
+          loss(
+                  foretold(parts(run.profile(), run.guessMicros(), basis, DOUBT_OF_SIBLINGS)),
+                  tookMicros)
               - loss(
-                  foretold(parts(run.like(), run.guessMicros(), basis, DOUBT_OF_STRANGE_SIBLINGS)),
+                  foretold(
+                      parts(run.profile(), run.guessMicros(), basis, DOUBT_OF_STRANGE_SIBLINGS)),
                   tookMicros));
     }
   }
 
-  private double loss(Run run, Basis basis, double tookMicros) {
-    return loss(foretold(run.like(), run.guessMicros(), basis), tookMicros);
+  private double loss(TaskRun run, Basis basis, double tookMicros) {
+    return loss(foretold(run.profile(), run.guessMicros(), basis), tookMicros);
   }
 
   private static double loss(Foretold foretold, double tookMicros) {
@@ -311,7 +314,7 @@
         : Math.min(MOST_LOSS, Math.abs(Math.log(foretold.median() / tookMicros)));
   }
 
-  private static long ratio(Run run, double tookMicros) {
+  private static long ratio(TaskRun run, double tookMicros) {
     return run.guessMicros() == 0
         ? 0
         : Math.max(
@@ -326,25 +329,25 @@
    * A job of many tasks says little more of other jobs than one of few: it counts with its first
    * task, and each time that it has ended twice as many.
    */
-  private void learn(Run run, Siblings siblings, double tookMicros) {
+  private void learn(TaskRun run, Siblings siblings, double tookMicros) {
     siblings.times.add(time(tookMicros));
     siblings.seen++;
     if (Integer.bitCount(siblings.seen) == 1) {
       for (Level level : KINDS) {
         kinds
-            .computeIfAbsent(run.like().kind(level), kind -> new Evidence(way.window(level)))
+            .computeIfAbsent(run.profile().kind(level), kind -> new Evidence(way.window(level)))
             .add(ratio(run, tookMicros), time(tookMicros));
       }
     }
     counts.learned++;
   }
 
-  private Basis basis(Likeness like, long guessMicros) {
+  private Basis basis(TaskProfile profile, long guessMicros) {
     if (guessMicros == 0) {
       return Basis.TIME;
     }
     for (Level level : List.of(Level.WORK, Level.CLASS)) {
-      Evidence evidence = kinds.get(like.kind(level));
+      Evidence evidence = kinds.get(profile.kind(level));
       if (evidence != null && evidence.judged() >= JUDGED_ENOUGH) {
         return evidence.timeLoss < BETTER * evidence.ratioLoss ? Basis.TIME : Basis.RATIO;
       }
@@ -357,10 +360,10 @@
     return way == Way.NEAREST ? (runs >= JUDGED_ENOUGH ? 1 : 0) : runs / (runs + doubt);
   }
 
-  private List<Part> parts(Likeness like, long guessMicros, Basis basis) {
-    Evidence evidence = kinds.get(like.kind(Level.CLASS));
+  private List<Part> parts(TaskProfile profile, long guessMicros, Basis basis) {
+    Evidence evidence = kinds.get(profile.kind(Level.CLASS));
     return parts(
-        like,
+        profile,
         guessMicros,
         basis,
         evidence == null || evidence.siblingsWorse <= 0
@@ -368,17 +371,18 @@
             : DOUBT_OF_STRANGE_SIBLINGS);
   }
 
-  private List<Part> parts(Likeness like, long guessMicros, Basis basis, double doubtOfSiblings) {
+  private List<Part> parts(
+      TaskProfile profile, long guessMicros, Basis basis, double doubtOfSiblings) {
     List<Part> parts = new ArrayList<>(6);
     double rest = 1;
-    Siblings siblings = jobs.get(like.job());
+    Siblings siblings = jobs.get(profile.job());
     if (siblings != null && siblings.seen > 0) {
       double weight = weight(siblings.times.count(), doubtOfSiblings);
       parts.add(new Part(Level.JOB, siblings.times, MILLI, weight));
       rest -= weight;
     }
     for (Level level : KINDS) {
-      Evidence evidence = kinds.get(like.kind(level));
+      Evidence evidence = kinds.get(profile.kind(level));
       // The times of other classes say nothing of this one's, but how wrong their owners' guesses
       // are does.
       boolean byTime = basis == Basis.TIME && level != Level.ALL;
@@ -409,8 +413,8 @@
   }
 
   /** Null if nothing is known. */
-  private Foretold foretold(Likeness like, long guessMicros, Basis basis) {
-    return foretold(parts(like, guessMicros, basis));
+  private Foretold foretold(TaskProfile profile, long guessMicros, Basis basis) {
+    return foretold(parts(profile, guessMicros, basis));
   }
 
   private static Foretold foretold(List<Part> parts) {
@@ -434,10 +438,10 @@
         most.sketch() == null ? 0 : most.sketch().count());
   }
 
-  private static List<Grade> grades(Likeness like, Foretold foretold) {
+  private static List<Grade> grades(TaskProfile profile, Foretold foretold) {
     int evidence = Integer.SIZE - Integer.numberOfLeadingZeros(foretold.runs());
     return List.of(
-        new Grade(like.jobClass(), foretold.level(), evidence),
+        new Grade(profile.jobClass(), foretold.level(), evidence),
         new Grade("", foretold.level(), evidence));
   }
 
@@ -445,8 +449,8 @@
    * What estimates like this one have held: the class's own if there are enough. Null if nothing is
    * known.
    */
-  private Scores scores(Likeness like, Foretold foretold) {
-    List<Grade> grades = grades(like, foretold);
+  private Scores scores(TaskProfile profile, Foretold foretold) {
+    List<Grade> grades = grades(profile, foretold);
     Scores own = scores.get(grades.get(0));
     if (own != null && own.count() >= SCORES_ENOUGH) {
       return own;
@@ -455,8 +459,8 @@
     return all != null && all.count() >= LEAST_SCORES ? all : null;
   }
 
-  private double high(Likeness like, Foretold foretold, double share) {
-    Scores known = scores(like, foretold);
+  private double high(TaskProfile profile, Foretold foretold, double share) {
+    Scores known = scores(profile, foretold);
     double beyond = (1 - share) / 2;
     double bound =
         known == null
@@ -465,8 +469,8 @@
     return Math.min(bound, MOST * foretold.median());
   }
 
-  private double low(Likeness like, Foretold foretold, double share) {
-    Scores known = scores(like, foretold);
+  private double low(TaskProfile profile, Foretold foretold, double share) {
+    Scores known = scores(profile, foretold);
     double beyond = (1 - share) / 2;
     double bound =
         known == null
@@ -475,18 +479,18 @@
     return Math.max(bound, foretold.median() / MOST);
   }
 
-  public Estimate estimate(Question question) {
-    Likeness like = question.like();
-    Basis basis = basis(like, question.guessMicros());
-    Foretold foretold = foretold(like, question.guessMicros(), basis);
+  public Estimate estimate(EstimateQuery question) {
+    TaskProfile profile = question.profile();
+    Basis basis = basis(profile, question.guessMicros());
+    Foretold foretold = foretold(profile, question.guessMicros(), basis);
     if (foretold == null) {
       return Estimate.UNKNOWN;
     }
     double speed = speed(question.type());
     double ran = question.ranMicros() / speed;
     double median = foretold.mixture().quantileBeyond(ran, 0.5);
-    double low = low(like, foretold, question.share());
-    double high = high(like, foretold, question.share());
+    double low = low(profile, foretold, question.share());
+    double high = high(profile, foretold, question.share());
     if (ran > 0) {
       // The bounds of what has run for some time are those of what takes longer.
       low = Math.max(ran, Math.min(low, median));
@@ -510,11 +514,11 @@
    * Why the estimate is what it is: each level's runs, its share of the weight, and its median in
    * seconds.
    */
-  public String explain(Question question) {
-    Likeness like = question.like();
-    Basis basis = basis(like, question.guessMicros());
+  public String explain(EstimateQuery question) {
+    TaskProfile profile = question.profile();
+    Basis basis = basis(profile, question.guessMicros());
     StringBuilder text = new StringBuilder("by " + basis.name().toLowerCase(Locale.ROOT));
-    for (Part part : parts(like, question.guessMicros(), basis)) {
+    for (Part part : parts(profile, question.guessMicros(), basis)) {
       text.append(
           String.format(
               Locale.ROOT,
@@ -524,8 +528,8 @@
               part.weight(),
               mixture(List.of(part)).quantile(0.5) / 1e6));
     }
-    Foretold foretold = foretold(like, question.guessMicros(), basis);
-    Scores known = foretold == null ? null : scores(like, foretold);
+    Foretold foretold = foretold(profile, question.guessMicros(), basis);
+    Scores known = foretold == null ? null : scores(profile, foretold);
     text.append(
         known == null
             ? "; bounds as it is spread"
--- a/src/main/java/madderrudder/estimates/Likeness.java
+++ b/src/main/java/madderrudder/estimates/TaskProfile.java
@@ -3,7 +3,7 @@
 import madderrudder.protocol.Resources;
 
 /** What runs have in common, or not. */
-public record Likeness(String job, String jobClass, String team, String image, Resources takes) {
+public record TaskProfile(String job, String jobClass, String team, String image, Resources takes) {
 
   /** The runs that are alike on a level; which job they belong to is kept apart from these. */
   record JobKind(Level level, String jobClass, String team, String image, int size) {}
--- a/src/main/java/madderrudder/estimates/Run.java
+++ b/src/main/java/madderrudder/estimates/TaskRun.java
@@ -6,8 +6,8 @@
  * is that it takes at least so long. {@code guessMicros} is 0 where the owner gave none. {@code
  * type} and {@code machine} may be empty.
  */
-public record Run(
-    Likeness like,
+public record TaskRun(
+    TaskProfile profile,
     int task,
     long attempt,
     String type,
--- a/src/main/java/madderrudder/metrics/RunHistory.java
+++ b/src/main/java/madderrudder/metrics/RunHistory.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 
 /**
  * The runs that this leader has seen end, the latest of them, numbered from 1: for operators to
@@ -22,13 +22,13 @@
   private long last;
 
   /** A run and when it ended. */
-  public record Ended(long atWallMicros, Run run) {}
+  public record Ended(long atWallMicros, TaskRun run) {}
 
   public RunHistory(long term) {
     this.term = term;
   }
 
-  public void add(long atWallMicros, Run run) {
+  public void add(long atWallMicros, TaskRun run) {
     if (runs.size() == MOST_RUNS) {
       runs.removeFirst();
     }
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import madderrudder.estimates.Likeness;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskProfile;
+import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.MalformedMessageException;
@@ -39,18 +39,18 @@
   private RunHistoryCodec() {}
 
   public static void write(JsonGenerator out, Ended ended) throws IOException {
-    Run run = ended.run();
-    Likeness like = run.like();
+    TaskRun run = ended.run();
+    TaskProfile profile = run.profile();
     out.writeNumberField("at_s", ended.atWallMicros() / 1e6);
-    out.writeStringField("job", like.job());
+    out.writeStringField("job", profile.job());
     out.writeNumberField("task", run.task());
     out.writeNumberField("attempt", run.attempt());
-    out.writeStringField("class", like.jobClass());
-    out.writeStringField("team", like.team());
-    out.writeStringField("image", like.image());
-    out.writeNumberField("cpus", like.takes().milliCpus() / 1e3);
-    out.writeNumberField("gpus", like.takes().milliGpus() / 1e3);
-    out.writeNumberField("memory_gb", like.takes().memoryMb() / 1e3);
+    out.writeStringField("class", profile.jobClass());
+    out.writeStringField("team", profile.team());
+    out.writeStringField("image", profile.image());
+    out.writeNumberField("cpus", profile.takes().milliCpus() / 1e3);
+    out.writeNumberField("gpus", profile.takes().milliGpus() / 1e3);
+    out.writeNumberField("memory_gb", profile.takes().memoryMb() / 1e3);
     out.writeStringField("type", run.type());
     out.writeStringField("machine", run.machine());
     out.writeNumberField("guess_s", run.guessMicros() / 1e6);
@@ -59,8 +59,8 @@
   }
 
   public static Ended read(Fields in) throws MalformedMessageException {
-    Likeness like =
-        new Likeness(
+    TaskProfile profile =
+        new TaskProfile(
             in.text("job"),
             in.text("class"),
             in.text("team", ""),
@@ -71,9 +71,9 @@
     if (!end.equals(DONE) && !end.equals(PART)) {
       throw new MalformedMessageException("field end is neither " + DONE + " nor " + PART);
     }
-    Run run =
-        new Run(
-            like,
+    TaskRun run =
+        new TaskRun(
+            profile,
             in.smallCount("task"),
             in.count("attempt", 0),
             in.text("type", ""),
--- a/src/main/java/madderrudder/replay/Foretelling.java
+++ b/src/main/java/madderrudder/replay/Foretelling.java
@@ -3,11 +3,11 @@
 import madderrudder.estimates.ClassRatios;
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.Estimate.Basis;
+import madderrudder.estimates.EstimateQuery;
 import madderrudder.estimates.Estimator;
 import madderrudder.estimates.Estimator.Way;
 import madderrudder.estimates.Level;
-import madderrudder.estimates.Question;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 
 /** A way to foretell run times, asked before each run and told of it afterwards. */
 interface Foretelling {
@@ -18,9 +18,9 @@
     return false;
   }
 
-  Estimate before(Run run, double share);
+  Estimate before(TaskRun run, double share);
 
-  void after(Run run);
+  void after(TaskRun run);
 
   private static Estimate plain(long micros) {
     return new Estimate(micros, micros, micros, 0, 0, Level.NONE, Basis.RATIO);
@@ -35,12 +35,12 @@
       }
 
       @Override
-      public Estimate before(Run run, double share) {
+      public Estimate before(TaskRun run, double share) {
         return plain(run.guessMicros());
       }
 
       @Override
-      public void after(Run run) {
+      public void after(TaskRun run) {
         // A guess learns nothing.
       }
     };
@@ -56,12 +56,12 @@
       }
 
       @Override
-      public Estimate before(Run run, double share) {
-        return plain(ratios.expectedMicros(run.like().jobClass(), run.guessMicros()));
+      public Estimate before(TaskRun run, double share) {
+        return plain(ratios.expectedMicros(run.profile().jobClass(), run.guessMicros()));
       }
 
       @Override
-      public void after(Run run) {
+      public void after(TaskRun run) {
         ratios.observe(run);
       }
     };
@@ -80,13 +80,13 @@
       }
 
       @Override
-      public Estimate before(Run run, double share) {
+      public Estimate before(TaskRun run, double share) {
         return estimator.estimate(
-            new Question(run.like(), run.guessMicros(), run.type(), 0, share));
+            new EstimateQuery(run.profile(), run.guessMicros(), run.type(), 0, share));
       }
 
       @Override
-      public void after(Run run) {
+      public void after(TaskRun run) {
         estimator.observe(run);
       }
     };
--- a/src/main/java/madderrudder/replay/Generator.java
+++ b/src/main/java/madderrudder/replay/Generator.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import madderrudder.estimates.Likeness;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskProfile;
+import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.protocol.Resources;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -126,8 +126,8 @@
       default -> {}
     }
     int tasks = shape == Shape.ARRAYS ? 1 + random.nextInt(MOST_TASKS) : 1 + random.nextInt(3);
-    Likeness like =
-        new Likeness("job-" + ++jobs, jobClass, team, image, new Resources(4_000, 0, 8_000));
+    TaskProfile profile =
+        new TaskProfile("job-" + ++jobs, jobClass, team, image, new Resources(4_000, 0, 8_000));
     for (int task = 0; task < tasks && drawn < runs; task++) {
       int machine = random.nextInt(MACHINES);
       boolean slowType = machine % 2 == 1;
@@ -136,9 +136,9 @@
           best * jobNoise * noise(shape) * (machine % FAULTY_EACH == 0 ? FAULTY_SLOWER : 1);
       boolean stopped = random.nextDouble() < STOPPED;
       took *= stopped ? random.nextDouble() : 1;
-      Run run =
-          new Run(
-              like,
+      TaskRun run =
+          new TaskRun(
+              profile,
               task,
               ++drawn,
               slowType ? "slow" : "fast",
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import madderrudder.estimates.Likeness;
+import madderrudder.estimates.TaskProfile;
 import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.metrics.RunHistoryCodec;
 import madderrudder.protocol.Fields;
@@ -156,8 +156,8 @@
       bad(line, e.getMessage());
       return;
     }
-    Likeness like = ended.run().like();
-    if (!seen.add(like.job() + "/" + ended.run().task() + "/" + ended.run().attempt())) {
+    TaskProfile profile = ended.run().profile();
+    if (!seen.add(profile.job() + "/" + ended.run().task() + "/" + ended.run().attempt())) {
       repeated++;
       return;
     }
--- a/src/main/java/madderrudder/replay/Replay.java
+++ b/src/main/java/madderrudder/replay/Replay.java
@@ -9,7 +9,7 @@
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.Estimate.Basis;
 import madderrudder.estimates.Level;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.RunHistory.Ended;
 import org.HdrHistogram.Histogram;
 
@@ -52,7 +52,7 @@
   }
 
   void take(Ended ended, long bestMicros) throws IOException {
-    Run run = ended.run();
+    TaskRun run = ended.run();
     outOfOrder += ended.atWallMicros() < lastAtMicros ? 1 : 0;
     lastAtMicros = ended.atWallMicros();
     if (!run.sane()) {
@@ -74,9 +74,9 @@
     }
   }
 
-  private void ask(Run run, long bestMicros) {
+  private void ask(TaskRun run, long bestMicros) {
     int chunk = (int) (asked++ / CHUNK);
-    String jobClass = run.like().jobClass();
+    String jobClass = run.profile().jobClass();
     for (int i = 0; i < ways.size(); i++) {
       Foretelling way = ways.get(i);
       long from = System.nanoTime();
--- a/src/main/java/madderrudder/tools/EstimateCommand.java
+++ b/src/main/java/madderrudder/tools/EstimateCommand.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Locale;
 import madderrudder.estimates.Estimate;
+import madderrudder.estimates.EstimateQuery;
 import madderrudder.estimates.Estimator;
-import madderrudder.estimates.Likeness;
-import madderrudder.estimates.Question;
+import madderrudder.estimates.TaskProfile;
 import madderrudder.protocol.Resources;
 import madderrudder.replay.HistoryReader;
 import madderrudder.replay.HtmlReport;
@@ -126,17 +126,21 @@
     } catch (IOException e) {
       throw new ParameterException(spec.commandLine(), reason(e));
     }
-    Likeness like =
-        new Likeness(
+    TaskProfile profile =
+        new TaskProfile(
             "",
             jobClass,
             team,
             image,
             new Resources(
                 Math.round(1e3 * cpus), Math.round(1e3 * gpus), Math.round(1e3 * memoryGb)));
-    Question question =
-        new Question(
-            like, Math.round(MICROS * guessSeconds), type, Math.round(MICROS * ranSeconds), share);
+    EstimateQuery question =
+        new EstimateQuery(
+            profile,
+            Math.round(MICROS * guessSeconds),
+            type,
+            Math.round(MICROS * ranSeconds),
+            share);
     Estimate estimate = estimator.estimate(question);
     PrintWriter out = spec.commandLine().getOut();
     if (estimate.unknown()) {
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
@@ -22,7 +22,7 @@
 import madderrudder.coordination.state.Machine;
 import madderrudder.coordination.state.RunTimes;
 import madderrudder.coordination.state.ScaleOutRequest;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskRun;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.MachineType;
@@ -82,7 +82,7 @@
   /** Knows that tasks take between 10 and 40 s, mostly 20, and which end within the next second. */
   private record KnownRunTimes(Set<Assignment> ending) implements RunTimes {
     @Override
-    public void ran(Run run) {
+    public void ran(TaskRun run) {
       throw new AssertionError("planning does not learn");
     }
 
@@ -729,7 +729,7 @@
     // Tasks turn out to take half as long as estimated: the first can be in time after all.
     for (int i = 0; i < 200; i++) {
       wanted.runTimes.ran(
-          new Run(late.like, i, i, "", "", late.spec.estimateMicros(), 15 * SECOND, true));
+          new TaskRun(late.profile, i, i, "", "", late.spec.estimateMicros(), 15 * SECOND, true));
     }
     assertEquals(List.of(late, fresh), Demand.of(wanted, 30 * SECOND + 1).waiting());
   }
--- a/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
@@ -45,7 +45,7 @@
       @ForAll @DoubleRange(min = 0.1, max = 0.95) double share) {
     Estimator estimator = learned(timesS, 0);
     Estimate estimate =
-        estimator.estimate(new Question(Runs.like("new", "class"), 0, "", 0, share));
+        estimator.estimate(new EstimateQuery(Runs.profile("new", "class"), 0, "", 0, share));
     double least = 1e6 * Collections.min(timesS) / STEP;
     double most = 1e6 * Collections.max(timesS) * STEP;
     assertTrue(
--- a/src/test/java/madderrudder/estimates/EstimatorTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorTest.java
@@ -102,7 +102,7 @@
     for (int i = 0; i < 900; i++) {
       double whole = 60 * logNormal(random, 0.5);
       double stop = 20 + 100 * random.nextDouble();
-      Run run =
+      TaskRun run =
           Runs.of("job-" + i, 0, "class", "m-" + i % 50, 60, Math.min(whole, stop), whole <= stop);
       estimator.observe(run);
       if (run.complete()) {
@@ -123,10 +123,11 @@
   void tasksOfAGangCountAsOneRun() {
     for (int job = 0; job < 10; job++) {
       for (int task = 0; task < 50; task++) {
-        Run one = Runs.of("gang-" + job, task, "class", "m-" + task, 60, job == 0 ? 600 : 60, true);
+        TaskRun one =
+            Runs.of("gang-" + job, task, "class", "m-" + task, 60, job == 0 ? 600 : 60, true);
         estimator.observe(
-            new Run(
-                one.like(),
+            new TaskRun(
+                one.profile(),
                 task,
                 job,
                 "",
@@ -150,7 +151,8 @@
           Runs.of("array", task, "class", "m-" + task, 60, 200 * logNormal(random, 0.02), true));
     }
     Estimate estimate =
-        estimator.estimate(new Question(Runs.like("array", "class"), 60 * SECOND, "", 0, 0.8));
+        estimator.estimate(
+            new EstimateQuery(Runs.profile("array", "class"), 60 * SECOND, "", 0, 0.8));
     assertNear(200, estimate.medianMicros(), 1.1);
     assertEquals(Level.JOB, estimate.level());
   }
@@ -174,10 +176,10 @@
   @Test
   void typesOfMachinesDifferInSpeed() {
     for (int i = 0; i < 1_200; i++) {
-      Run run = Runs.of("class", 60, (i % 2 == 0 ? 60 : 120) * logNormal(random, 0.05));
+      TaskRun run = Runs.of("class", 60, (i % 2 == 0 ? 60 : 120) * logNormal(random, 0.05));
       estimator.observe(
-          new Run(
-              run.like(),
+          new TaskRun(
+              run.profile(),
               0,
               run.attempt(),
               i % 2 == 0 ? "fast" : "slow",
@@ -186,10 +188,12 @@
               run.tookMicros(),
               true));
     }
-    Question any = new Question(Runs.like("new", "class"), 60 * SECOND, "", 0, 0.8);
+    EstimateQuery any = new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 0, 0.8);
     assertNear(85, estimator.estimate(any).medianMicros(), 1.15);
-    Question fast = new Question(Runs.like("new", "class"), 60 * SECOND, "fast", 0, 0.8);
-    Question slow = new Question(Runs.like("new", "class"), 60 * SECOND, "slow", 0, 0.8);
+    EstimateQuery fast =
+        new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "fast", 0, 0.8);
+    EstimateQuery slow =
+        new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "slow", 0, 0.8);
     assertNear(60, estimator.estimate(fast).medianMicros(), 1.15);
     assertNear(120, estimator.estimate(slow).medianMicros(), 1.15);
   }
@@ -201,10 +205,10 @@
   @Test
   void typesOfOneSpeedAreNotToldApart() {
     for (int i = 0; i < 3_000; i++) {
-      Run run = Runs.of("class-" + i % 3, 60, 60 * Math.pow(1 - random.nextDouble(), -1 / 1.5));
+      TaskRun run = Runs.of("class-" + i % 3, 60, 60 * Math.pow(1 - random.nextDouble(), -1 / 1.5));
       estimator.observe(
-          new Run(
-              run.like(),
+          new TaskRun(
+              run.profile(),
               0,
               run.attempt(),
               "type-" + i % 2,
@@ -214,7 +218,8 @@
               true));
       if (i >= 1_000 && i % 50 == 0) {
         String why =
-            estimator.explain(new Question(run.like(), run.guessMicros(), "type-0", 0, 0.8));
+            estimator.explain(
+                new EstimateQuery(run.profile(), run.guessMicros(), "type-0", 0, 0.8));
         assertFalse(
             why.contains("take") && !why.matches(".* take (0\\.9|1\\.0)\\d times as long"), why);
       }
@@ -229,12 +234,12 @@
     }
     Estimate running =
         estimator.estimate(
-            new Question(Runs.like("new", "class"), 60 * SECOND, "", 40 * SECOND, 0.8));
+            new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 40 * SECOND, 0.8));
     assertNear(100, running.medianMicros(), 1.25);
     assertTrue(running.lowMicros() >= 40 * SECOND);
     Estimate beyondAll =
         estimator.estimate(
-            new Question(Runs.like("new", "class"), 60 * SECOND, "", 5_000 * SECOND, 0.8));
+            new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 5_000 * SECOND, 0.8));
     assertTrue(beyondAll.medianMicros() >= 5_000 * SECOND);
   }
 
@@ -271,9 +276,9 @@
     int held = 0;
     for (int i = 0; i < 2_500; i++) {
       double noise = i % 3 == 0 ? 0.6 : 0.1;
-      Run run = Runs.of("class-" + i % 3, 60, 60 * logNormal(random, noise));
+      TaskRun run = Runs.of("class-" + i % 3, 60, 60 * logNormal(random, noise));
       Estimate estimate =
-          estimator.estimate(new Question(run.like(), run.guessMicros(), "", 0, share));
+          estimator.estimate(new EstimateQuery(run.profile(), run.guessMicros(), "", 0, share));
       held +=
           i >= 500
                   && run.tookMicros() >= estimate.lowMicros()
@@ -292,8 +297,8 @@
     }
     String other =
         estimator.explain(
-            new Question(
-                new Likeness("new", "class", "basso", "img", Resources.NONE),
+            new EstimateQuery(
+                new TaskProfile("new", "class", "basso", "img", Resources.NONE),
                 60 * SECOND,
                 "",
                 0,
@@ -303,7 +308,7 @@
         other);
     assertTrue(other.contains("bounds as it is spread"), other);
     String same =
-        estimator.explain(new Question(Runs.like("new", "class"), 60 * SECOND, "", 0, 0.8));
+        estimator.explain(new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 0, 0.8));
     assertTrue(same.contains("; work: ") && same.contains("such estimates held"), same);
   }
 }
--- a/src/test/java/madderrudder/estimates/Runs.java
+++ b/src/test/java/madderrudder/estimates/Runs.java
@@ -10,15 +10,15 @@
 
   private Runs() {}
 
-  static Likeness like(String job, String jobClass) {
-    return new Likeness(job, jobClass, "alto", "img", new Resources(4_000, 0, 8_000));
+  static TaskProfile profile(String job, String jobClass) {
+    return new TaskProfile(job, jobClass, "alto", "img", new Resources(4_000, 0, 8_000));
   }
 
-  static Run of(String jobClass, double guessS, double tookS) {
+  static TaskRun of(String jobClass, double guessS, double tookS) {
     return of("job-" + ++last, 0, jobClass, "m", guessS, tookS, true);
   }
 
-  static Run of(
+  static TaskRun of(
       String job,
       int task,
       String jobClass,
@@ -26,8 +26,8 @@
       double guessS,
       double tookS,
       boolean complete) {
-    return new Run(
-        like(job, jobClass),
+    return new TaskRun(
+        profile(job, jobClass),
         task,
         ++last,
         "",
@@ -39,7 +39,7 @@
 
   static Estimate ask(Estimator estimator, String jobClass, double guessS) {
     return estimator.estimate(
-        new Question(like("new", jobClass), Math.round(guessS * SECOND), "", 0, 0.8));
+        new EstimateQuery(profile("new", jobClass), Math.round(guessS * SECOND), "", 0, 0.8));
   }
 
   static double logNormal(RandomGenerator random, double deviation) {
--- a/src/test/java/madderrudder/replay/ReplayTest.java
+++ b/src/test/java/madderrudder/replay/ReplayTest.java
@@ -19,8 +19,8 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import javax.xml.parsers.DocumentBuilderFactory;
-import madderrudder.estimates.Likeness;
-import madderrudder.estimates.Run;
+import madderrudder.estimates.TaskProfile;
+import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.RunHistory;
 import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.protocol.Json;
@@ -99,10 +99,11 @@
   @ParameterizedTest
   @EnumSource(HistoryWriter.Format.class)
   void anyNamesComeThrough(HistoryWriter.Format format) throws IOException {
-    Likeness like =
-        new Likeness("a,b", "say \"x\"", "team\nof two", "7", new Resources(1_500, 250, 1));
+    TaskProfile profile =
+        new TaskProfile("a,b", "say \"x\"", "team\nof two", "7", new Resources(1_500, 250, 1));
     Ended ended =
-        new Ended(1_790_000_000_123_456L, new Run(like, 2, 9, "", "m;1", 0, 1_250_000, false));
+        new Ended(
+            1_790_000_000_123_456L, new TaskRun(profile, 2, 9, "", "m;1", 0, 1_250_000, false));
     StringWriter out = new StringWriter();
     new HistoryWriter(out, format, false).write(ended, 0);
     Path file = folder.resolve(format == HistoryWriter.Format.CSV ? "odd.csv" : "odd.jsonl");
@@ -256,8 +257,15 @@
     for (int i = 1; i <= runs; i++) {
       history.add(
           i,
-          new Run(
-              new Likeness("j" + i, "c", "t", "i", Resources.NONE), 0, i, "", "", 1, 5_000, true));
+          new TaskRun(
+              new TaskProfile("j" + i, "c", "t", "i", Resources.NONE),
+              0,
+              i,
+              "",
+              "",
+              1,
+              5_000,
+              true));
     }
     return history;
   }
