--- a/bench/Regress.java
+++ b/bench/Regress.java
@@ -18,7 +18,7 @@
 import java.util.stream.Stream;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessage;
+import madderrudder.protocol.MalformedMessageException;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.Option;
@@ -294,7 +294,7 @@
             System.out.printf(Locale.ROOT, "%-26s %-26s %8.3f  %s; %s%n", site.name(), Path.of(file).getFileName(), figure,
                     least(served), remarks.isEmpty() ? "none" : String.join("; ", remarks));
             return remarks.isEmpty() && figure >= 0 && !served.isEmpty();
-        } catch (MalformedMessage e) {
+        } catch (MalformedMessageException e) {
             throw new Unable(report + ": " + e.getMessage());
         } finally {
             Files.delete(report);
@@ -302,7 +302,7 @@
     }
 
     /** The least served of each class and team as a report has it: of its jobs started or done, or of its replica time. */
-    private static Map<String, Double> served(Fields report) throws MalformedMessage {
+    private static Map<String, Double> served(Fields report) throws MalformedMessageException {
         Map<String, Double> served = new LinkedHashMap<>();
         Fields classes = report.object("classes");
         for (String name : classes.names()) {
@@ -485,7 +485,7 @@
                         in.flag("hunted", false), recorded));
             }
             return sites;
-        } catch (MalformedMessage e) {
+        } catch (MalformedMessageException e) {
             throw new Unable(FIGURES + ": " + e.getMessage());
         }
     }
@@ -524,7 +524,7 @@
             return new Entry(in.text("id"), in.text("cmd"), in.texts("argv").contains("--quick"),
                     in.text("site", "-"), in.amount("score", -1),
                     in.flag("ok") ? null : in.text("error", "not finished"), days);
-        } catch (MalformedMessage e) {
+        } catch (MalformedMessageException e) {
             throw new Unable(path + ": " + e.getMessage());
         }
     }
