--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -679,7 +679,7 @@
         Heartbeat report = WorkerCodec.readReport(response.body());
         overtaken = FencingToken.term(report.token()) == term.term && report.session() == session;
         if (FencingToken.term(report.token()) > term.term) {
-          term.election.heardToken(report.token());
+          term.election.observeToken(report.token());
         } else if (status == 200 && report.machine().equals(machine.id)) {
           settle(machine, session, starts, report);
         }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -209,7 +209,7 @@
    * worker's lease begins only after that.
    */
   private void answeredEarlier(Machine machine) {
-    machine.lastAnsweredMicros += termAcknowledgements.all() ? 0 : term.safety.answerMicros();
+    machine.lastAnsweredMicros += termAcknowledgements.complete() ? 0 : term.safety.answerMicros();
   }
 
   /**
@@ -295,14 +295,14 @@
                 now - SafetyBounds.minusClockDrift(1000L * answer.agoMillis()));
       }
     }
-    term.delegation.heard(answered);
+    term.delegation.recordRenewals(answered);
   }
 
   /** Another controller's word, with what it has heard of this process, or null. */
   public void heard(MembershipStatus standing, StampEcho mine) {
     if (dependencies.others().contains(standing.member())) {
-      term.delegation.heard(standing, mine, term.scheduler.nowMicros());
-      if (termAcknowledgements.heard(standing, mine, term.scheduler.nowMicros())) {
+      term.delegation.recordStatus(standing, mine, term.scheduler.nowMicros());
+      if (termAcknowledgements.record(standing, mine, term.scheduler.nowMicros())) {
         othersStoodBack();
       }
     }
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -8,134 +8,168 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
- * What a leader knows of the controllers that may answer workers in its stead: until when each may,
- * and up to which moment it has told of all its answers. From that follows when a silent machine's
- * worker has surely dropped everything.
+ * What a leader knows of the controllers to which it has delegated the answering of heartbeats:
+ * until when each may answer, and up to which moment all its answers are known. From that follows
+ * when a silent machine's worker has certainly dropped its tasks. The argument is in
+ * docs/delegation.md.
+ *
+ * <p>Confined to the event loop thread. All times are microseconds of the leader's steady clock.
  */
 public final class DelegationTracker {
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   private final SafetyBounds safety;
-  private final long beginMicros;
-  private final Map<String, Member> members = new HashMap<>();
+  private final long termBeginMicros;
+  private final Map<String, Delegate> delegates = new HashMap<>();
 
-  /** One controller; the times are of the leader's clock. */
-  private static final class Member {
+  /** The process of a controller that is known to be its latest. */
+  private static final class Delegate {
     long incarnation;
-    long firstMicros;
+    long firstHeardMicros;
 
     /** Up to this moment all its answers are known. */
-    long toldMicros = NEVER;
+    long answersKnownUpToMicros = NEVER;
 
     /** It may answer until this moment. */
-    long grantedMicros = NEVER;
+    long grantEndMicros = NEVER;
 
     /** Earlier processes of its name may have answered until this moment. */
-    long formerMicros = NEVER;
+    long predecessorsEndMicros = NEVER;
 
-    long partsStampMicros;
-    int parts;
+    /** The stamp of the renewals that came last, and how many messages with it have come. */
+    long renewalsStampMicros;
+
+    int renewalsMessages;
+
+    void startOver(long newIncarnation, long nowMicros) {
+      incarnation = newIncarnation;
+      firstHeardMicros = nowMicros;
+      answersKnownUpToMicros = NEVER;
+      grantEndMicros = NEVER;
+      renewalsMessages = 0;
+    }
+
+    boolean hasSentAllRenewals(MembershipStatus status) {
+      return status.answeredParts() == 0
+          || (renewalsStampMicros == status.stampMicros()
+              && renewalsMessages == status.answeredParts());
+    }
   }
 
-  /** The leader's term begins at the moment given. */
-  public DelegationTracker(SafetyBounds safety, long beginMicros) {
+  /**
+   * Creates a tracker that knows of no delegate.
+   *
+   * @param safety the length of a worker's lease, with its margin
+   * @param termBeginMicros when the leader's term began
+   */
+  public DelegationTracker(SafetyBounds safety, long termBeginMicros) {
     this.safety = safety;
-    this.beginMicros = beginMicros;
+    this.termBeginMicros = termBeginMicros;
   }
 
   /**
-   * The process that was heard may answer until then, if it hears of it; false if it may be none
-   * that lives.
+   * Notes a grant that is about to be sent: the process may answer heartbeats until it ends.
+   *
+   * @param to the process, as it was last heard
+   * @return false if it is not the latest known process of its controller; then it must not be sent
+   *     the grant
    */
   public boolean grant(StampEcho to, long untilMicros) {
-    Member member = members.get(to.member());
-    if (member == null || member.incarnation != to.incarnation()) {
+    Delegate delegate = delegates.get(to.member());
+    if (delegate == null || delegate.incarnation != to.incarnation()) {
       return false;
     }
-    member.grantedMicros = Math.max(member.grantedMicros, untilMicros);
+    delegate.grantEndMicros = Math.max(delegate.grantEndMicros, untilMicros);
     return true;
   }
 
-  /** A part of what a controller has answered; the answers themselves are the caller's to note. */
-  public void heard(DelegatedRenewals part) {
-    Member member = members.get(part.member());
-    if (member == null || member.incarnation != part.incarnation()) {
+  /**
+   * Notes that one message of a delegate's renewals has come. The renewals themselves are for the
+   * caller to enter at their machines.
+   */
+  public void recordRenewals(DelegatedRenewals renewals) {
+    Delegate delegate = delegates.get(renewals.member());
+    if (delegate == null || delegate.incarnation != renewals.incarnation()) {
       return;
     }
-    member.parts = member.partsStampMicros == part.stampMicros() ? member.parts + 1 : 1;
-    member.partsStampMicros = part.stampMicros();
+    boolean sameStamp = delegate.renewalsStampMicros == renewals.stampMicros();
+    delegate.renewalsMessages = sameStamp ? delegate.renewalsMessages + 1 : 1;
+    delegate.renewalsStampMicros = renewals.stampMicros();
   }
 
-  /** A controller's word, with what it has heard of this leader's process, or null. */
-  public void heard(MembershipStatus standing, StampEcho mine, long nowMicros) {
-    Member member = members.get(standing.member());
-    if (member == null) {
-      member = new Member();
-      member.incarnation = standing.incarnation();
-      member.firstMicros = nowMicros;
-      members.put(standing.member(), member);
-    } else if (member.incarnation != standing.incarnation()
-        && !succeeds(member, standing, mine, nowMicros)) {
+  /**
+   * Notes the status that another controller has sent after its renewals.
+   *
+   * @param echo what that controller has heard of this very process, or null if nothing
+   */
+  public void recordStatus(MembershipStatus status, StampEcho echo, long nowMicros) {
+    Delegate delegate = delegates.get(status.member());
+    if (delegate == null) {
+      delegate = new Delegate();
+      delegate.startOver(status.incarnation(), nowMicros);
+      delegates.put(status.member(), delegate);
+    } else if (delegate.incarnation != status.incarnation()
+        && !replace(delegate, status, echo, nowMicros)) {
       return;
     }
-    boolean complete =
-        standing.answeredParts() == 0
-            || (member.partsStampMicros == standing.stampMicros()
-                && member.parts == standing.answeredParts());
-    if (mine != null && complete) {
-      // What it has heard of this term's leader keeps it from answering in its stead for a while
-      // more.
-      long leaderSilenceMicros =
-          mine.stampMicros() >= beginMicros
-              ? SafetyBounds.minusClockDrift(safety.leaderSilenceMicros())
-              : 0;
-      member.toldMicros = Math.max(member.toldMicros, mine.stampMicros() + leaderSilenceMicros);
+    if (echo != null && delegate.hasSentAllRenewals(status)) {
+      delegate.answersKnownUpToMicros =
+          Math.max(delegate.answersKnownUpToMicros, echo.stampMicros() + silenceAfter(echo));
     }
   }
 
+  /** A delegate that has heard the leader of this term does not answer for a while after that. */
+  private long silenceAfter(StampEcho echo) {
+    return echo.stampMicros() >= termBeginMicros
+        ? SafetyBounds.minusClockDrift(safety.leaderSilenceMicros())
+        : 0;
+  }
+
   /**
-   * One process at a time has the name. A process that has heard what was sent after another of the
-   * name was first heard lived later than that one, which so has ended, before this one began;
-   * otherwise it may be the earlier one, late on its way.
+   * Puts a new process in the place of an earlier one of the same name, if it is the later of the
+   * two. One process at a time has the name. A process that has heard what was sent after another
+   * was first heard lived later than that one, which therefore ended before this one began.
+   * Otherwise the message may be the earlier process's, late on its way.
+   *
+   * @return false if the process is not proved to be the later one
    */
-  private static boolean succeeds(
-      Member member, MembershipStatus standing, StampEcho mine, long nowMicros) {
-    if (mine == null || mine.stampMicros() < member.firstMicros) {
+  private static boolean replace(
+      Delegate delegate, MembershipStatus status, StampEcho echo, long nowMicros) {
+    if (echo == null || echo.stampMicros() < delegate.firstHeardMicros) {
       return false;
     }
-    long bornMicros = nowMicros - SafetyBounds.minusClockDrift(standing.ageMicros());
-    long lastMicros = Math.min(member.grantedMicros, bornMicros);
-    if (lastMicros > member.toldMicros) {
-      member.formerMicros = Math.max(member.formerMicros, lastMicros);
+    long bornMicros = nowMicros - SafetyBounds.minusClockDrift(status.ageMicros());
+    long lastAnswerMicros = Math.min(delegate.grantEndMicros, bornMicros);
+    if (lastAnswerMicros > delegate.answersKnownUpToMicros) {
+      delegate.predecessorsEndMicros = Math.max(delegate.predecessorsEndMicros, lastAnswerMicros);
     }
-    member.incarnation = standing.incarnation();
-    member.firstMicros = nowMicros;
-    member.toldMicros = NEVER;
-    member.grantedMicros = NEVER;
-    member.parts = 0;
+    delegate.startOver(status.incarnation(), nowMicros);
     return true;
   }
 
   /**
-   * Whether a worker has surely dropped everything, given when it was last known to be answered. A
-   * controller that has not told of all its answers up to the end of the worker's lease may have
-   * prolonged it for as long as it may answer; the others then have to have told of theirs up to
-   * that later end.
+   * Whether a worker's lease has certainly expired, so that it has dropped its tasks. A delegate
+   * whose answers are not all known up to the end of the lease may have renewed it for as long as
+   * its grant lasts; the answers of the others then have to be known up to that later end.
+   *
+   * @param lastAnsweredMicros when the worker's heartbeat was last known to be answered
    */
-  public boolean dropped(long answeredMicros, long nowMicros) {
-    long end = answeredMicros + safety.leaseMicros();
-    for (Member member : members.values()) {
-      end = Math.max(end, member.formerMicros + safety.leaseMicros());
+  public boolean leaseExpired(long lastAnsweredMicros, long nowMicros) {
+    long endMicros = lastAnsweredMicros + safety.leaseMicros();
+    for (Delegate delegate : delegates.values()) {
+      endMicros = Math.max(endMicros, delegate.predecessorsEndMicros + safety.leaseMicros());
     }
-    for (boolean later = nowMicros > end; later; ) {
-      later = false;
-      for (Member member : members.values()) {
-        if (member.toldMicros < end && member.grantedMicros + safety.leaseMicros() > end) {
-          end = member.grantedMicros + safety.leaseMicros();
-          later = true;
+    boolean moved = nowMicros > endMicros;
+    while (moved) {
+      moved = false;
+      for (Delegate delegate : delegates.values()) {
+        long possibleEndMicros = delegate.grantEndMicros + safety.leaseMicros();
+        if (delegate.answersKnownUpToMicros < endMicros && possibleEndMicros > endMicros) {
+          endMicros = possibleEndMicros;
+          moved = true;
         }
       }
     }
-    return nowMicros > end;
+    return nowMicros > endMicros;
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -16,50 +16,61 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * Answers workers in the stead of a leader that can't be reached, so that their leases last, and
- * never with a command. A leader grants that for a while, counted on this controller's clock from
- * the sending of what the grant answers: a grant that was held on its way is worth no more for it.
- * See docs/deputies.md.
+ * Answers heartbeats on behalf of a leader that can't be reached, so that workers' leases are
+ * renewed, and never with a command. A leader grants that for a bounded time, counted on this
+ * controller's clock from the sending of what the grant answers: a grant that was delayed on its
+ * way is worth no more for it. The argument is in docs/delegation.md.
+ *
+ * <p>Confined to the event loop thread. All times are microseconds of this controller's steady
+ * clock.
  */
 public final class HeartbeatDelegate {
-  /** Five pulses: a leader not heard for so long may be gone, or this controller cut off. */
-  private static final long HEARD_MICROS = 2_000_000;
+  /**
+   * Five times the period of status messages: a leader not heard for so long may be gone, or this
+   * controller cut off.
+   */
+  private static final long HEARD_LATELY_MICROS = 2_000_000;
 
-  /** Leases that began longer ago have surely ended, and need not be told of. */
-  private static final long TELL_SLACK_MICROS = 2_000_000;
+  /** Leases that were renewed longer ago have certainly expired, and need not be reported. */
+  private static final long REPORT_SLACK_MICROS = 2_000_000;
 
-  private static final int PART_BYTES = PeerMessage.MAX_BYTES / 2;
+  private static final int RENEWALS_MESSAGE_BYTES = PeerMessage.MAX_BYTES / 2;
 
   /**
-   * Of an answer in a frame, beside the machine's name, whose letters may take three bytes each.
+   * A renewal's bytes in a message beside the machine's name, whose letters may take three bytes
+   * each.
    */
-  private static final int ANSWER_BYTES = 6;
+  private static final int RENEWAL_BYTES = 6;
 
   private final Scheduler scheduler;
   private final SafetyBounds safety;
   private final String member;
   private final long incarnation;
   private final long bornMicros;
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final Map<String, PeerContact> peers = new HashMap<>();
 
-  /**
-   * When each machine was last answered, and to which report; the one answered longest ago comes
-   * first.
-   */
-  private final Map<String, Given> answered = new LinkedHashMap<>();
+  /** Each machine's latest answer; the machine answered longest ago comes first. */
+  private final Map<String, Answered> answered = new LinkedHashMap<>();
 
-  private long term;
+  private long grantTerm;
   private String granter;
-  private long endMicros;
-  private long harmlessUntilMicros = Long.MIN_VALUE / 4;
+  private long grantEndMicros;
+  private long renewalSafeUntilMicros = Long.MIN_VALUE / 4;
 
-  /** An answer that was given, and the report that it was given to. */
-  private record Given(long atMicros, long session, long seq) {}
+  /** When an answer was given, and the session and sequence number of the heartbeat it was for. */
+  private record Answered(long atMicros, long session, long seq) {}
 
-  /** What was last heard of a peer, and when on this controller's clock. */
-  private record Heard(long incarnation, long stampMicros, long atMicros) {}
+  /** The process and stamp last heard of a peer, and when on this controller's clock. */
+  private record PeerContact(long incarnation, long stampMicros, long heardMicros) {}
 
-  /** {@code incarnation} tells this process from others of the same name. */
+  /**
+   * Creates a delegate without a grant.
+   *
+   * @param scheduler the steady clock
+   * @param safety the length of a worker's lease, with its margin
+   * @param member this controller's name
+   * @param incarnation a random number that tells this process from others of the same name
+   */
   public HeartbeatDelegate(
       Scheduler scheduler, SafetyBounds safety, String member, long incarnation) {
     this.scheduler = scheduler;
@@ -69,25 +80,28 @@
     bornMicros = scheduler.nowMicros();
   }
 
-  /** A peer's word; if it leads in the highest term known, its grant counts from now on. */
-  public void take(MembershipStatus standing, long highestTerm) {
-    heard.put(
-        standing.member(),
-        new Heard(standing.incarnation(), standing.stampMicros(), scheduler.nowMicros()));
-    StampEcho mine = echo(standing);
-    if (mine == null || standing.term() != highestTerm || standing.grantMicros() <= 0) {
+  /**
+   * Notes a peer's status. If it leads in the highest term known and grants this process something,
+   * that grant counts from now on.
+   */
+  public void recordStatus(MembershipStatus status, long highestTerm) {
+    peers.put(
+        status.member(),
+        new PeerContact(status.incarnation(), status.stampMicros(), scheduler.nowMicros()));
+    StampEcho echo = echoOfThisProcess(status);
+    if (echo == null || status.term() != highestTerm || status.grantMicros() <= 0) {
       return;
     }
-    long end = mine.stampMicros() + SafetyBounds.minusClockDrift(standing.grantMicros());
-    endMicros = standing.term() == term ? Math.max(endMicros, end) : end;
-    harmlessUntil(end);
-    term = standing.term();
-    granter = standing.member();
+    long end = echo.stampMicros() + SafetyBounds.minusClockDrift(status.grantMicros());
+    grantEndMicros = status.term() == grantTerm ? Math.max(grantEndMicros, end) : end;
+    renewalSafeUntil(end);
+    grantTerm = status.term();
+    granter = status.member();
   }
 
-  /** What the peer has heard of this very process, or null. */
-  public StampEcho echo(MembershipStatus standing) {
-    for (StampEcho echo : standing.echoes()) {
+  /** What the peer has heard of this very process, or null if nothing. */
+  public StampEcho echoOfThisProcess(MembershipStatus status) {
+    for (StampEcho echo : status.echoes()) {
       if (echo.member().equals(member) && echo.incarnation() == incarnation) {
         return echo;
       }
@@ -95,109 +109,121 @@
     return null;
   }
 
-  /** Whether the peer has been heard within the last pulses. */
-  public boolean hears(String peer) {
-    Heard last = heard.get(peer);
-    return last != null && scheduler.nowMicros() - last.atMicros() < HEARD_MICROS;
+  /** Whether the peer was heard within the last 2 s. */
+  public boolean hasHeardLately(String peer) {
+    PeerContact last = peers.get(peer);
+    return last != null && scheduler.nowMicros() - last.heardMicros() < HEARD_LATELY_MICROS;
   }
 
   /**
-   * Whether workers may be answered under the term's token: no higher one is known, the grant
-   * lasts, and nothing was heard for a while of the leader that gave it.
+   * Whether heartbeats may be answered under the grant: no higher term is known, the grant lasts,
+   * and nothing was heard for a while of the leader that gave it.
    */
   public boolean mayAnswer(long highestTerm) {
-    long now = scheduler.nowMicros();
-    return term > 0
-        && term == highestTerm
-        && now < endMicros
-        && now - heard.get(granter).atMicros() > safety.leaderSilenceMicros();
+    long nowMicros = scheduler.nowMicros();
+    return grantTerm > 0
+        && grantTerm == highestTerm
+        && nowMicros < grantEndMicros
+        && nowMicros - peers.get(granter).heardMicros() > safety.leaderSilenceMicros();
   }
 
-  /**
-   * Any grant, also one that this process has given as the leader, says until when an answer
-   * without commands is harmless.
-   */
-  public void harmlessUntil(long micros) {
-    harmlessUntilMicros = Math.max(harmlessUntilMicros, micros);
+  /** Notes the end of a grant that this process has given itself, as the leader. */
+  public void renewalSafeUntil(long grantEnd) {
+    renewalSafeUntilMicros = Math.max(renewalSafeUntilMicros, grantEnd);
   }
 
   /**
    * Up to this moment an answer without commands keeps no cancelled task for too long, whoever
-   * gives it and in whatever term: of the jobs that were cancelled before the news that the grant
-   * counts from, nothing was anywhere any more, and a lease that such an answer begins is over in
-   * time for those cancelled since.
+   * gives it and in whatever term: it is the latest end of any grant that this process has received
+   * or given. Of the jobs that were cancelled before the news that the grant counts from, no task
+   * was left anywhere, and a lease that such an answer renews expires in time for those cancelled
+   * since. Far in the past if there was no grant.
    */
-  public long harmlessUntilMicros() {
-    return harmlessUntilMicros;
+  public long renewalSafeUntilMicros() {
+    return renewalSafeUntilMicros;
   }
 
-  /** The token to answer with. */
-  public long term() {
-    return term;
+  /** The term of the grant, under whose token heartbeats are answered; 0 without a grant. */
+  public long grantTerm() {
+    return grantTerm;
   }
 
   /**
-   * The worker gets an answer at this moment; false if it has gone on since it sent the report,
-   * which is a late copy.
+   * Notes that a heartbeat is answered at this moment.
+   *
+   * @return false if a later heartbeat of the worker has been answered: this one is a late copy,
+   *     and must not be answered
    */
-  public boolean answers(Heartbeat report) {
-    Given last = answered.get(report.machine());
-    if (last != null && !report.newerThan(last.session(), last.seq())) {
+  public boolean recordAnswer(Heartbeat heartbeat) {
+    Answered last = answered.get(heartbeat.machine());
+    if (last != null && !heartbeat.newerThan(last.session(), last.seq())) {
       return false;
     }
-    answered.remove(report.machine());
+    answered.remove(heartbeat.machine());
     answered.put(
-        report.machine(), new Given(scheduler.nowMicros(), report.session(), report.seq()));
+        heartbeat.machine(),
+        new Answered(scheduler.nowMicros(), heartbeat.session(), heartbeat.seq()));
     return true;
   }
 
   /**
-   * What peers are to be told: how this process stands, and before it, which machines it has
-   * answered within the time that a lease lasts.
+   * What peers are to be sent: which machines this process has answered within the length of a
+   * lease, and then its status.
+   *
+   * @param highestTerm the highest term known
+   * @param grantMicros for how long peers may answer, if this controller leads; else 0
+   * @param echoes the stamps to be sent back, as {@link #echoes}
    */
-  public List<PeerMessage> frames(long highestTerm, long grantMicros, List<StampEcho> echoes) {
-    long now = scheduler.nowMicros();
-    List<PeerMessage> frames = new ArrayList<>();
-    List<LeaseRenewal> part = new ArrayList<>();
+  public List<PeerMessage> statusMessages(
+      long highestTerm, long grantMicros, List<StampEcho> echoes) {
+    long nowMicros = scheduler.nowMicros();
+    List<PeerMessage> messages = renewalMessages(nowMicros);
+    messages.add(
+        new MembershipStatus(
+            member,
+            incarnation,
+            nowMicros,
+            nowMicros - bornMicros,
+            highestTerm,
+            grantMicros,
+            messages.size(),
+            echoes));
+    return messages;
+  }
+
+  /** The renewals, in as many messages as keep each within its bound; forgets expired ones. */
+  private List<PeerMessage> renewalMessages(long nowMicros) {
+    List<PeerMessage> messages = new ArrayList<>();
+    List<LeaseRenewal> renewals = new ArrayList<>();
     int bytes = 0;
-    for (Iterator<Map.Entry<String, Given>> all = answered.entrySet().iterator(); all.hasNext(); ) {
-      Map.Entry<String, Given> one = all.next();
-      long ago = now - one.getValue().atMicros();
-      if (ago > safety.leaseMicros() + TELL_SLACK_MICROS) {
-        all.remove();
+    Iterator<Map.Entry<String, Answered>> entries = answered.entrySet().iterator();
+    while (entries.hasNext()) {
+      Map.Entry<String, Answered> entry = entries.next();
+      long agoMicros = nowMicros - entry.getValue().atMicros();
+      if (agoMicros > safety.leaseMicros() + REPORT_SLACK_MICROS) {
+        entries.remove();
         continue;
       }
-      part.add(new LeaseRenewal(one.getKey(), (int) (ago / 1000)));
-      bytes += ANSWER_BYTES + 3 * one.getKey().length();
-      if (bytes > PART_BYTES) {
-        frames.add(new DelegatedRenewals(member, incarnation, now, part));
-        part = new ArrayList<>();
+      renewals.add(new LeaseRenewal(entry.getKey(), (int) (agoMicros / 1000)));
+      bytes += RENEWAL_BYTES + 3 * entry.getKey().length();
+      if (bytes > RENEWALS_MESSAGE_BYTES) {
+        messages.add(new DelegatedRenewals(member, incarnation, nowMicros, renewals));
+        renewals = new ArrayList<>();
         bytes = 0;
       }
     }
-    if (!part.isEmpty()) {
-      frames.add(new DelegatedRenewals(member, incarnation, now, part));
+    if (!renewals.isEmpty()) {
+      messages.add(new DelegatedRenewals(member, incarnation, nowMicros, renewals));
     }
-    frames.add(
-        new MembershipStatus(
-            member,
-            incarnation,
-            now,
-            now - bornMicros,
-            highestTerm,
-            grantMicros,
-            frames.size(),
-            echoes));
-    return frames;
+    return messages;
   }
 
-  /** The stamps last heard, to be sent back. */
+  /** The stamps last heard of each peer, to be sent back. */
   public List<StampEcho> echoes() {
-    return heard.entrySet().stream()
-        .map(
-            peer ->
-                new StampEcho(
-                    peer.getKey(), peer.getValue().incarnation(), peer.getValue().stampMicros()))
-        .toList();
+    return peers.entrySet().stream().map(peer -> echo(peer.getKey(), peer.getValue())).toList();
+  }
+
+  private static StampEcho echo(String peer, PeerContact last) {
+    return new StampEcho(peer, last.incarnation(), last.stampMicros());
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -1,68 +1,107 @@
 package madderrudder.coordination.membership;
 
-import java.util.List;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import madderrudder.coordination.policy.FencingToken;
-import madderrudder.coordination.policy.SafetyBounds;
-import madderrudder.persistence.CommitQueue;
-import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreClient;
-import madderrudder.persistence.StoreReply.Outcome;
-import madderrudder.protocol.Json;
-import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec;
-import madderrudder.protocol.StoreCodec.Condition;
-import madderrudder.protocol.StoreCodec.Item;
-import madderrudder.protocol.StoreCodec.Write;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out who leads, and leads when nobody does. The leader's key hangs on a hold in the store;
- * who writes it raises the term in the same transaction.
+ * Elects the leader. The leader's key in the store is attached to a lease; the compare-and-swap
+ * that writes it raises the term in the same transaction, so that a term has one leader at most.
+ *
+ * <pre>
+ *              key absent, or left by an               compare-and-swap
+ *              earlier process of this member          succeeded
+ *   FOLLOWER ----------------------------&gt; CAMPAIGNING -----------&gt; LEADING
+ *      ^  ^                                     |                      |
+ *      |  +---- lease or swap refused ----------+                      |
+ *      +------- lease expired, higher term observed, stepped down -----+
+ * </pre>
+ *
+ * <p>Confined to the event loop thread. All times are microseconds of the scheduler's steady clock.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-  private static final long RETRY_MICROS = 200_000;
-  private static final long CHECK_MICROS = 300_000;
-  private static final long FOLLOW_MICROS = 2_000_000;
+  private static final long CAMPAIGN_CHECK_MICROS = 300_000;
+
+  /** Spreads the campaigns of controllers that see the key vanish together. */
+  private static final long CAMPAIGN_JITTER_MICROS = 30_000;
+
+  /** A leader that yields leaves the others so much time to be elected. */
   private static final long YIELD_MICROS = 4_000_000;
-  private static final int EXTENSIONS_PER_HOLD = 4;
 
   /**
    * Half of the terms that tokens have room for; a term a millisecond would take eight years to get
    * there.
    */
-  private static final long MOST_TERM = 1L << 38;
+  private static final long MAX_PLAUSIBLE_TERM = 1L << 38;
 
-  /** What becomes of a node. */
+  /** Is told when this controller begins and ceases to lead. */
   public interface Listener {
+    /**
+     * This controller leads from now on.
+     *
+     * @param term the new term
+     * @param termVersion the version of the term's key in the store, on which the leader's own
+     *     compare-and-swaps build
+     */
     void elected(long term, long termVersion);
 
+    /** This controller no longer leads. */
     void deposed();
   }
 
+  private enum State {
+    /** Another controller leads, or nobody is known to. */
+    FOLLOWER,
+    /** A lease was asked for, and with it the leader's key is claimed. */
+    CAMPAIGNING,
+    /** The leader's key names this process, as far as it knows. */
+    LEADING
+  }
+
   private final Scheduler scheduler;
   private final StoreClient store;
   private final RandomGenerator random;
   private final String member;
   private final long leaseMicros;
   private final Listener listener;
-  private boolean campaigning;
-  private boolean leading;
+  private final LeaderKeyWatch watch;
+
+  private State state = State.FOLLOWER;
+
+  /** The term in which this controller leads, or led last. */
   private long term;
-  private long lease;
-  private long leaseEndMicros;
+
+  /** The lease of that term; null before this controller has led. */
+  private LeaderLease lease;
+
   private long highestTerm;
+
+  /** The leader of the highest term known, or null. */
   private String leader;
-  private boolean vacant;
 
-  /** The version of the leader's key if an earlier process of this member holds it, else 0. */
-  private long inherited;
+  /** The store has said that the leader's key does not exist. */
+  private boolean keyAbsent;
 
-  private long notBeforeMicros = Long.MIN_VALUE;
+  /** The version of the leader's key if an earlier process of this member wrote it, else 0. */
+  private long predecessorVersion;
 
+  private long campaignNotBeforeMicros = Long.MIN_VALUE;
+
+  /**
+   * Creates a follower that does nothing before {@link #start}.
+   *
+   * @param scheduler clock and timers of the event loop
+   * @param store where the leader's key, the term and the lease are
+   * @param random spreads campaigns in time
+   * @param member this controller's name; one process at a time has it
+   * @param leaseMicros the length of the leader's lease in microseconds
+   * @param listener is told of the beginning and the end of this controller's terms
+   */
   public LeaderElection(
       Scheduler scheduler,
       StoreClient store,
@@ -76,290 +115,196 @@
     this.member = member;
     this.leaseMicros = leaseMicros;
     this.listener = listener;
+    watch = new LeaderKeyWatch(scheduler, store, this::onLeaderNamed, this::onLeaderAbsent);
   }
 
+  /** Begins to follow the leader's key, and to campaign whenever it is absent. */
   public void start() {
-    read();
-    scheduler.every(CHECK_MICROS, this::campaignIfVacant);
+    watch.start();
+    scheduler.every(CAMPAIGN_CHECK_MICROS, this::campaignIfPossible);
   }
 
-  /** The member believed to lead, or null. */
-  public String leader() {
-    return leading ? member : leader;
-  }
-
-  public boolean leading() {
-    return leading;
+  /** The member believed to lead; empty if none is known. */
+  public Optional<String> leader() {
+    return state == State.LEADING ? Optional.of(member) : Optional.ofNullable(leader);
   }
 
+  /** The highest term this controller knows of; 0 before it has heard of any. */
   public long highestTerm() {
     return highestTerm;
   }
 
-  /** The hold surely lasts, as far as this node's own clock can tell. */
+  /** Whether this controller leads and its lease has not expired by its own clock. */
   public boolean holdsLease() {
-    return leading && scheduler.nowMicros() < leaseEndMicros;
+    return state == State.LEADING && scheduler.nowMicros() < lease.endMicros();
   }
 
-  /** The moment up to which the hold surely lasts. */
+  /**
+   * The moment up to which the lease certainly lasts, drift of the clocks allowed for; of the last
+   * lease if this controller does not lead, and 0 if it never did.
+   */
   public long leaseEndMicros() {
-    return leaseEndMicros;
+    return lease == null ? 0 : lease.endMicros();
+  }
+
+  /** A term that a peer knows of. A higher one than its own ends a leader's term. */
+  public void observeTerm(long otherTerm) {
+    if (otherTerm <= highestTerm) {
+      return;
+    }
+    highestTerm = otherTerm;
+    if (state == State.LEADING && otherTerm > term) {
+      stepDown("term " + otherTerm + " observed");
+    }
   }
 
   /**
-   * A term heard of from a peer or a worker. Somebody with a higher one has replaced this leader. A
-   * process that starts while the store is away mostly hears of the term from a worker first, and
-   * of its leader later.
+   * A term that a peer knows of, and who leads in it. A process that starts while the store is away
+   * mostly learns of the term from a worker first, and of its leader later, so that the same term
+   * may still bring a name.
+   *
+   * @param otherTerm the peer's highest term
+   * @param otherLeader the leader's name, or empty if the peer knows none
    */
-  public void heard(long otherTerm, String otherLeader) {
-    if (otherTerm == highestTerm
-        && leader == null
-        && !vacant
-        && otherLeader != null
-        && !otherLeader.isEmpty()) {
+  public void observeLeader(long otherTerm, String otherLeader) {
+    boolean firstName = otherTerm == highestTerm && leader == null && !keyAbsent;
+    if (!otherLeader.isEmpty() && (otherTerm > highestTerm || firstName)) {
       leader = otherLeader;
     }
-    if (otherTerm > highestTerm) {
-      highestTerm = otherTerm;
-      if (otherLeader != null && !otherLeader.isEmpty()) {
-        leader = otherLeader;
-      }
-      if (leading && otherTerm > term) {
-        stepDown("term " + otherTerm + " heard of");
-      }
-    }
+    observeTerm(otherTerm);
   }
 
   /**
-   * A token that a worker has seen; false for one that no leader can have given. Believed, it would
-   * leave no higher term to lead in.
+   * A fencing token that a worker has seen.
+   *
+   * @return false if no leader can have issued it; its term is then ignored, since believing it
+   *     would leave no higher term to lead in
    */
-  public boolean heardToken(long token) {
-    if (FencingToken.term(token) > Math.max(MOST_TERM, highestTerm)) {
+  public boolean observeToken(long token) {
+    long tokenTerm = FencingToken.term(token);
+    if (tokenTerm > Math.max(MAX_PLAUSIBLE_TERM, highestTerm)) {
       return false;
     }
-    heard(FencingToken.term(token), null);
+    observeTerm(tokenTerm);
     return true;
   }
 
-  /** Steps down in favour of another node: this one does not campaign for a while. */
+  /**
+   * Steps down in favour of another controller: this one does not campaign for a while.
+   *
+   * @param why the reason, for the log
+   */
   public void yieldLeadership(String why) {
-    notBeforeMicros = scheduler.nowMicros() + YIELD_MICROS;
+    campaignNotBeforeMicros = scheduler.nowMicros() + YIELD_MICROS;
     stepDown(why);
   }
 
+  /**
+   * Ends this controller's term and gives its lease back; does nothing if it does not lead.
+   *
+   * @param why the reason, for the log
+   */
   public void stepDown(String why) {
-    if (!leading) {
+    if (state != State.LEADING) {
       return;
     }
     LOG.info("stepping down from term {}: {}", term, why);
-    leading = false;
-    store.revokeLease(lease);
+    state = State.FOLLOWER;
+    lease.release();
     listener.deposed();
   }
 
-  private void read() {
-    store.range(
-        Keys.LEAD_PREFIX,
-        "",
-        reply -> {
-          if (!reply.is(Outcome.OK)) {
-            scheduler.after(RETRY_MICROS, this::read);
-            return;
-          }
-          boolean found = false;
-          for (Item item : reply.value().items()) {
-            found |= note(item);
-          }
-          if (!found) {
-            noteVacant();
-          }
-          follow(reply.value().revision());
-        });
-  }
-
-  private void follow(long revision) {
-    store.follow(
-        Keys.LEAD_PREFIX,
-        revision,
-        FOLLOW_MICROS,
-        reply -> {
-          if (reply.is(Outcome.OK)) {
-            for (Item item : reply.value().items()) {
-              if (!note(item)) {
-                noteVacant();
-              }
-            }
-            follow(reply.value().revision());
-          } else if (reply.is(Outcome.GONE)) {
-            read();
-          } else {
-            scheduler.after(RETRY_MICROS, () -> follow(revision));
-          }
-        });
-  }
-
-  private boolean note(Item item) {
-    if (item.value() == null || !item.key().equals(Keys.LEAD)) {
-      return false;
+  private void onLeaderNamed(LeaderRecord named, long version) {
+    keyAbsent = false;
+    predecessorVersion = 0;
+    if (state == State.FOLLOWER && named.member().equals(member)) {
+      replacePredecessor(version);
     }
-    try {
-      long itsTerm = item.value().count("term");
-      String itsMember = item.value().text("member");
-      vacant = false;
-      inherited = 0;
-      if (!leading && !campaigning && itsMember.equals(member)) {
-        noteInherited(item);
-      }
-      if (itsTerm >= highestTerm) {
-        leader = itsMember;
-      }
-      heard(itsTerm, itsMember);
-    } catch (MalformedMessageException e) {
-      LOG.info("the leader's key is unreadable: {}", e.getMessage());
+    if (named.term() >= highestTerm) {
+      leader = named.member();
     }
-    return true;
+    observeLeader(named.term(), named.member());
   }
 
   /**
-   * One process at a time has this member's name, so the one that holds the lead has ended, and its
-   * hold need not be waited for. After an outage of the store, which ends with all holds at their
-   * full time, that once cost workers their leases.
+   * One process at a time has this member's name, so the one that the key names has ended, and its
+   * lease need not be waited for. After an outage of the store, which ends with all leases at their
+   * full time, waiting for it once cost workers their own leases.
    */
-  private void noteInherited(Item item) {
-    inherited = item.version();
-    scheduler.execute(this::campaignIfVacant);
+  private void replacePredecessor(long version) {
+    predecessorVersion = version;
+    scheduler.execute(this::campaignIfPossible);
   }
 
-  private void noteVacant() {
-    vacant = true;
-    inherited = 0;
-    if (!leading) {
+  private void onLeaderAbsent() {
+    keyAbsent = true;
+    predecessorVersion = 0;
+    if (state != State.LEADING) {
       leader = null;
-      scheduler.after(random.nextLong(30_000), this::campaignIfVacant);
+      scheduler.after(random.nextLong(CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
     }
   }
 
-  private void campaignIfVacant() {
-    if ((!vacant && inherited == 0)
-        || leading
-        || campaigning
-        || scheduler.nowMicros() < notBeforeMicros) {
+  private boolean mayCampaign() {
+    return state == State.FOLLOWER
+        && (keyAbsent || predecessorVersion != 0)
+        && scheduler.nowMicros() >= campaignNotBeforeMicros;
+  }
+
+  private void campaignIfPossible() {
+    if (!mayCampaign()) {
       return;
     }
-    campaigning = true;
-    long sentMicros = scheduler.nowMicros();
-    store.grantLease(
-        leaseMicros,
-        reply -> {
-          if (!reply.is(Outcome.OK)) {
-            campaigning = false;
-            return;
-          }
-          readTerm(reply.value(), sentMicros);
-        });
+    state = State.CAMPAIGNING;
+    long requestedMicros = scheduler.nowMicros();
+    new LeadershipCampaign(store, member, new OwnCandidate(requestedMicros)).start(leaseMicros);
   }
 
-  private void readTerm(long newLease, long sentMicros) {
-    store.getUrgent(
-        Keys.TERM,
-        reply -> {
-          try {
-            if (reply.is(Outcome.OK)) {
-              claim(
-                  newLease,
-                  sentMicros,
-                  CommitQueue.readTerm(reply.value().value()),
-                  reply.value().version());
-              return;
-            }
-            if (reply.is(Outcome.GONE)) {
-              claim(newLease, sentMicros, 0, 0);
-              return;
-            }
-          } catch (MalformedMessageException e) {
-            LOG.error("the term key is unreadable: {}", e.getMessage());
-          }
-          giveUp(newLease);
-        });
-  }
+  /** This controller as the candidate of a campaign that began at the moment given. */
+  private final class OwnCandidate implements LeadershipCampaign.Candidate {
+    private final long requestedMicros;
 
-  private void claim(long newLease, long sentMicros, long oldTerm, long termVersion) {
-    long newTerm = Math.max(oldTerm, highestTerm) + 1;
-    byte[] lead =
-        Json.object(
-            out -> {
-              out.writeNumberField("term", newTerm);
-              out.writeStringField("member", member);
-            });
-    List<Write> writes =
-        List.of(
-            new Write(Keys.LEAD, lead, newLease),
-            Write.put(Keys.TERM, CommitQueue.helm(newTerm, member, 0)));
-    byte[] body =
-        StoreCodec.commit(
-            List.of(new Condition(Keys.LEAD, inherited), new Condition(Keys.TERM, termVersion)),
-            writes);
-    store.commitUrgent(
-        body,
-        reply -> {
-          campaigning = false;
-          // After a silence the claim may still come true; with its hold given back it ends at
-          // once.
-          // The watch may bring this very claim before its answer comes: only a higher term counts.
-          if (!reply.is(Outcome.OK) || highestTerm > newTerm) {
-            giveUp(newLease);
-            return;
-          }
-          lead(newTerm, newLease, sentMicros, reply.value());
-        });
-  }
+    OwnCandidate(long requestedMicros) {
+      this.requestedMicros = requestedMicros;
+    }
+
+    @Override
+    public long highestTerm() {
+      return highestTerm;
+    }
+
+    @Override
+    public long replaceableVersion() {
+      return predecessorVersion;
+    }
+
+    @Override
+    public void won(long newTerm, long newLease, long termVersion) {
+      lead(newTerm, newLease, requestedMicros, termVersion);
+    }
 
-  private void giveUp(long newLease) {
-    campaigning = false;
-    store.revokeLease(newLease);
+    @Override
+    public void lost() {
+      state = State.FOLLOWER;
+    }
   }
 
-  private void lead(long newTerm, long newLease, long sentMicros, long termVersion) {
-    leading = true;
-    vacant = false;
-    inherited = 0;
+  private void lead(long newTerm, long newLease, long requestedMicros, long termVersion) {
+    state = State.LEADING;
+    keyAbsent = false;
+    predecessorVersion = 0;
     term = newTerm;
     highestTerm = newTerm;
-    lease = newLease;
-    leaseEndMicros = SafetyBounds.leaseEndMicros(sentMicros, leaseMicros);
+    lease =
+        new LeaderLease(
+            scheduler,
+            store,
+            newLease,
+            requestedMicros,
+            leaseMicros,
+            () -> stepDown("the lease has expired"));
     LOG.info("leading in term {}", term);
     listener.elected(term, termVersion);
-    extendLater(newTerm, leaseMicros / EXTENSIONS_PER_HOLD);
-  }
-
-  private void extendLater(long forTerm, long delayMicros) {
-    scheduler.after(
-        delayMicros,
-        () -> {
-          if (leading && term == forTerm) {
-            extend(forTerm);
-          }
-        });
-  }
-
-  private void extend(long forTerm) {
-    long sentMicros = scheduler.nowMicros();
-    store.renewLease(
-        lease,
-        reply -> {
-          if (!leading || term != forTerm) {
-            return;
-          }
-          if (reply.is(Outcome.OK)) {
-            leaseEndMicros =
-                Math.max(leaseEndMicros, SafetyBounds.leaseEndMicros(sentMicros, leaseMicros));
-            extendLater(forTerm, leaseMicros / EXTENSIONS_PER_HOLD);
-          } else if (reply.is(Outcome.GONE)) {
-            stepDown("the hold has ended");
-          } else {
-            extendLater(forTerm, RETRY_MICROS);
-          }
-        });
+    lease.keepRenewed();
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -234,7 +234,7 @@
       boolean counts = machine.reported || !machine.assignments.isEmpty();
       if (!machine.leaseExpired
           && counts
-          && term.delegation.dropped(machine.lastAnsweredMicros, nowMicros)) {
+          && term.delegation.leaseExpired(machine.lastAnsweredMicros, nowMicros)) {
         LOG.info("{} has been silent for a lease", machine.id);
         machine.leaseExpired = true;
         releaseAll(machine);
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -145,7 +145,7 @@
             settings.member(),
             Set.copyOf(settings.peers().keySet()),
             metrics,
-            deputy::harmlessUntilMicros);
+            deputy::renewalSafeUntilMicros);
     reports =
         new HeartbeatEndpoint(
             new HeartbeatEndpoint.Surroundings(
@@ -193,7 +193,7 @@
     long sinceMicros = lastPulseMicros < 0 ? PULSE_MICROS : now - lastPulseMicros;
     metrics.record(Timing.LOOP_DELAY, sinceMicros - PULSE_MICROS);
     lastPulseMicros = now;
-    String name = election.leader();
+    String name = election.leader().orElse(null);
     double spare = leader == null ? 0 : leader.spareWritesPerSecond(sinceMicros);
     writes.wanted(store.takeWanted() * 1e6 / Math.max(1, sinceMicros));
     if (leader != null) {
@@ -216,12 +216,12 @@
     }
     long grantMicros = leader == null ? 0 : leader.grantMicros();
     if (grantMicros > 0) {
-      deputy.harmlessUntil(now + grantMicros);
+      deputy.renewalSafeUntil(now + grantMicros);
     }
     List<PeerMessage.StampEcho> echoes =
         grantMicros > 0 ? leader.granted(deputy.echoes(), grantMicros) : deputy.echoes();
     deputy
-        .frames(election.highestTerm(), grantMicros, echoes)
+        .statusMessages(election.highestTerm(), grantMicros, echoes)
         .forEach(frame -> peers.broadcast(PeerMessage.encode(frame)));
   }
 
@@ -231,9 +231,9 @@
       PeerMessage frame = PeerMessage.decode(bytes);
       if (frame instanceof PeerMessage.NodeStatus pulse) {
         heard.put(pulse.member(), new Heard(pulse.storeAnswers(), scheduler.nowMicros()));
-        election.heard(pulse.term(), pulse.leader());
+        election.observeLeader(pulse.term(), pulse.leader());
         writes.heard(pulse.member(), pulse.wantedMilliWrites() / 1000.0, scheduler.nowMicros());
-        if (leader == null && pulse.member().equals(election.leader())) {
+        if (leader == null && pulse.member().equals(election.leader().orElse(null))) {
           writes.lent(pulse.spareMilliWrites() / 1000.0, scheduler.nowMicros());
         }
       } else if (frame instanceof PeerMessage.ProgressUpdate progress) {
@@ -241,10 +241,10 @@
           progress.jobs().forEach(job -> told.put(job.job(), job));
         }
       } else if (frame instanceof PeerMessage.MembershipStatus standing) {
-        election.heard(standing.term(), null);
-        deputy.take(standing, election.highestTerm());
+        election.observeTerm(standing.term());
+        deputy.recordStatus(standing, election.highestTerm());
         if (leader != null) {
-          leader.heard(standing, deputy.echo(standing));
+          leader.heard(standing, deputy.echoOfThisProcess(standing));
         }
       } else if (frame instanceof PeerMessage.DelegatedRenewals answered) {
         if (leader != null) {
@@ -335,8 +335,7 @@
   private HttpResponse history(String after) {
     if (leader == null || !leader.ready()) {
       return JobEndpoint.unavailable(
-          "only the leader knows, "
-              + (election.leader() == null ? "which is not known" : election.leader()));
+          "only the leader knows, " + election.leader().orElse("which is not known"));
     }
     try {
       long number = Long.parseLong(after);
@@ -347,7 +346,7 @@
   }
 
   private void writeMetrics(JsonGenerator out) throws IOException {
-    String name = election.leader();
+    String name = election.leader().orElse(null);
     out.writeStringField("member", settings.member());
     out.writeStringField("leader", name == null ? "" : name);
     out.writeNumberField("term", election.highestTerm());
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -121,7 +121,7 @@
 
   private Heartbeat read(byte[] body) throws MalformedMessageException {
     Heartbeat report = WorkerCodec.readReport(body);
-    if (!election.heardToken(report.token())) {
+    if (!election.observeToken(report.token())) {
       throw new MalformedMessageException("no leader has given the token " + report.token());
     }
     return report;
@@ -146,7 +146,7 @@
   /** Whether it is clear who answers reports. */
   private boolean settled() {
     Leader here = around.leader().get();
-    return here != null ? here.takesReports() : election.leader() != null;
+    return here != null ? here.takesReports() : election.leader().isPresent();
   }
 
   private void settle() {
@@ -182,8 +182,8 @@
 
   /** A report at a controller that does not lead. */
   private void follow(Homeless arrived) {
-    String name = election.leader();
-    boolean heard = name != null && deputy.hears(name);
+    String name = election.leader().orElse(null);
+    boolean heard = name != null && deputy.hasHeardLately(name);
     if (!delegation || (heard && !served(arrived))) {
       redirect(arrived.answer());
     } else if (heard) {
@@ -210,16 +210,16 @@
   private void standIn(Homeless arrived) {
     if (arrived.report().tasks().isEmpty()
         || !deputy.mayAnswer(election.highestTerm())
-        || !deputy.answers(arrived.report())) {
+        || !deputy.recordAnswer(arrived.report())) {
       redirect(arrived.answer());
       return;
     }
     if (!standingIn) {
       standingIn = true;
-      LOG.info("answering workers in the stead of {}", election.leader());
+      LOG.info("answering workers in the stead of {}", election.leader().orElse(null));
     }
     stoodIn++;
-    long token = FencingToken.echo(arrived.report().token(), deputy.term());
+    long token = FencingToken.echo(arrived.report().token(), deputy.grantTerm());
     arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(token, List.of())));
   }
 
@@ -293,7 +293,7 @@
   }
 
   private void redirect(Consumer<HttpResponse> answer) {
-    String name = election.leader();
+    String name = election.leader().orElse(null);
     boolean other = name != null && !name.equals(around.member());
     answer.accept(HttpResponse.of(421, WorkerCodec.redirect(other ? name : null)));
   }
--- a/src/test/java/madderrudder/coordination/membership/DelegationModel.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationModel.java
@@ -6,33 +6,33 @@
 import java.util.stream.IntStream;
 
 /**
- * The rules of grants as a small model, every course of events of which is explored: two leaders in
- * a row, deputies that may restart, one worker with one task, a cancellation, and messages that are
- * held for as long as it pleases. Whole ticks stand for time; clocks are exact here, since the
- * code's margins take up their drift. docs/deputies.md.
+ * The rules of delegation as a small model, every course of events of which is explored: two
+ * leaders in a row, delegates that may restart, one worker with one task, a cancellation, and
+ * messages that are delayed for any time. Whole ticks stand for time; clocks are exact here, since
+ * the code's margins take up their drift. docs/delegation.md.
  */
 final class DelegationModel {
-  // How long may be answered without news, a hold, and how long a leader is quiet before its deputy
-  // answers; a
-  // cancelled task must be gone within a lease and the first of these.
+  // For how long heartbeats may be answered without news from the store; the leader's lease; and
+  // how long a delegate must not have heard its leader before it answers. A cancelled task must be
+  // gone within a worker's lease and the first of these.
   private static final int ANSWER = 3;
-  private static final int HOLD = 1;
-  private static final int QUIET = 1;
+  private static final int LEADER_LEASE = 1;
+  private static final int LEADER_SILENCE = 1;
   private static final int NEVER = -60;
 
   // Fields of a state. Of each leader:
-  private static final int FRESH = 4;
-  private static final int HELD = 6;
+  private static final int STORE_NEWS = 4;
+  private static final int LEASE_END = 6;
   private static final int ANSWERED = 8;
-  private static final int DOOM = 10;
+  private static final int CANCELLATION_BOUND = 10;
   private static final int ENDED = 12;
-  private static final int REPORTED = 14;
-  // Of each deputy (8 fields), and of each leader with each deputy (16):
-  private static final int DEPUTY = 20;
-  private static final int DEPUTY_FIELDS = 8;
+  private static final int HEARTBEAT_SEEN = 14;
+  // Of each delegate (8 fields), and of each leader with each delegate (16):
+  private static final int DELEGATE = 20;
+  private static final int DELEGATE_FIELDS = 8;
   private static final int PAIR_FIELDS = 16;
 
-  private final int deputies;
+  private final int delegates;
   private final int lease;
   private final Fault fault;
 
@@ -42,7 +42,7 @@
     LATE_GRANT,
     NO_COVERAGE,
     EACH_ALONE,
-    NO_DOOM
+    NO_CANCELLATION_BOUND
   }
 
   private record State(byte[] fields) {
@@ -57,8 +57,8 @@
     }
   }
 
-  DelegationModel(int deputies, int lease, Fault fault) {
-    this.deputies = deputies;
+  DelegationModel(int delegates, int lease, Fault fault) {
+    this.delegates = delegates;
     this.lease = lease;
     this.fault = fault;
   }
@@ -68,59 +68,60 @@
   private static final int SECOND_LEADS = 1;
   private static final int CANCELLED = 2;
   private static final int TASK = 3;
-  private static final int BASE = 16;
+  private static final int LEASE_BEGIN = 16;
   private static final int TOKEN = 17;
-  private static final int STOOD_BACK = 18;
+  private static final int ACKNOWLEDGED = 18;
 
-  // Of a deputy: highest term, term and end of its grant, when it last heard the granter, its last
+  // Of a delegate: highest term, term and end of its grant, when it last heard the granter, its
+  // last
   // answer, its life.
-  private static final int TOP = 0;
-  private static final int TERM = 1;
-  private static final int END = 2;
-  private static final int HEARD = 3;
-  private static final int LAST = 4;
-  private static final int LIFE = 5;
+  private static final int HIGHEST_TERM = 0;
+  private static final int GRANT_TERM = 1;
+  private static final int GRANT_END = 2;
+  private static final int GRANTER_HEARD = 3;
+  private static final int LAST_ANSWER = 4;
+  private static final int INCARNATION = 5;
   private static final int BORN = 6;
 
-  // Of a leader with a deputy: what the leader knows, the deputy's last stamp heard, and one
+  // Of a leader with a delegate: what the leader knows, the delegate's last stamp heard, and one
   // message each way.
-  private static final int KNOWN_LIFE = 0;
-  private static final int FIRST = 1;
+  private static final int KNOWN_INCARNATION = 0;
+  private static final int FIRST_HEARD = 1;
   private static final int STAMP = 2;
-  private static final int TOLD = 3;
-  private static final int GRANTED = 4;
-  private static final int FORMER = 5;
+  private static final int ANSWERS_KNOWN_UP_TO = 3;
+  private static final int GRANTED_UNTIL = 4;
+  private static final int PREDECESSORS_END = 5;
   private static final int ECHO = 6;
-  private static final int DOWN_SENT = 7;
-  private static final int DOWN_END = 8;
-  private static final int DOWN_LIFE = 9;
-  private static final int UP_SENT = 10;
-  private static final int UP_ECHO = 11;
-  private static final int UP_LAST = 12;
-  private static final int UP_TOP = 13;
-  private static final int UP_LIFE = 14;
-  private static final int UP_BORN = 15;
-
-  private int deputy(int d) {
-    return DEPUTY + d * DEPUTY_FIELDS;
+  private static final int GRANT_SENT = 7;
+  private static final int GRANT_MESSAGE_END = 8;
+  private static final int GRANT_INCARNATION = 9;
+  private static final int STATUS_SENT = 10;
+  private static final int STATUS_ECHO = 11;
+  private static final int STATUS_LAST_ANSWER = 12;
+  private static final int STATUS_HIGHEST_TERM = 13;
+  private static final int STATUS_INCARNATION = 14;
+  private static final int STATUS_BORN = 15;
+
+  private int delegate(int d) {
+    return DELEGATE + d * DELEGATE_FIELDS;
   }
 
   private int pair(int leader, int d) {
-    return DEPUTY + deputies * DEPUTY_FIELDS + (leader * deputies + d) * PAIR_FIELDS;
+    return DELEGATE + delegates * DELEGATE_FIELDS + (leader * delegates + d) * PAIR_FIELDS;
   }
 
   private State first() {
-    byte[] s = new byte[DEPUTY + deputies * DEPUTY_FIELDS + 2 * deputies * PAIR_FIELDS];
+    byte[] s = new byte[DELEGATE + delegates * DELEGATE_FIELDS + 2 * delegates * PAIR_FIELDS];
     s[SECOND_LEADS] = NEVER;
     s[CANCELLED] = NEVER;
     s[TASK] = 1;
     s[TOKEN] = 1;
-    s[HELD] = HOLD;
-    s[DOOM] = NEVER;
-    s[DOOM + 1] = NEVER;
-    s[REPORTED] = 1;
-    for (int d = 0; d < deputies; d++) {
-      s[deputy(d) + LAST] = NEVER;
+    s[LEASE_END] = LEADER_LEASE;
+    s[CANCELLATION_BOUND] = NEVER;
+    s[CANCELLATION_BOUND + 1] = NEVER;
+    s[HEARTBEAT_SEEN] = 1;
+    for (int d = 0; d < delegates; d++) {
+      s[delegate(d) + LAST_ANSWER] = NEVER;
       for (int leader = 0; leader < 2; leader++) {
         int p = pair(leader, d);
         Arrays.fill(s, p, p + PAIR_FIELDS, (byte) NEVER);
@@ -129,69 +130,96 @@
     return new State(s);
   }
 
+  // The steps. Those of a delegate follow the common ones, DELEGATE_STEPS for each; where a step is
+  // of a leader with a delegate, the second leader's follows the first one's.
+  private static final int TICK = 0;
+  private static final int NEWS_TO_FIRST = 1;
+  private static final int NEWS_TO_SECOND = 2;
+  private static final int SECOND_ELECTED = 3;
+  private static final int CANCEL = 4;
+  private static final int HEARTBEAT_TO_FIRST = 5;
+  private static final int HEARTBEAT_TO_SECOND = 6;
+  private static final int COMMON_STEPS = 7;
+  private static final int HEARTBEAT_TO_DELEGATE = 0;
+  private static final int RESTART = 1;
+  private static final int SEND_GRANT = 2;
+  private static final int RECEIVE_GRANT = 4;
+  private static final int SEND_STATUS = 6;
+  private static final int RECEIVE_STATUS = 8;
+  private static final int DELEGATE_STEPS = 10;
+
+  private static int firstStep(int d) {
+    return COMMON_STEPS + DELEGATE_STEPS * d;
+  }
+
   /** The state after a step, or null where the step is none. */
   private State after(State state, int step) {
     byte[] s = state.fields().clone();
     boolean taken =
         switch (step) {
-          case 0 -> tick(s);
-          case 1 -> sync(s, 0);
-          case 2 -> sync(s, 1);
-          case 3 -> secondLeads(s);
-          case 4 -> cancel(s);
-          case 5 -> reportsToLeader(s, 0);
-          case 6 -> reportsToLeader(s, 1);
-          default -> {
-            int d = (step - 7) / 10;
-            yield switch ((step - 7) % 10) {
-              case 0 -> reportsToDeputy(s, d);
-              case 1 -> restart(s, d);
-              case 2, 3 -> sendDown(s, (step - 7) % 10 - 2, d);
-              case 4, 5 -> takeDown(s, (step - 7) % 10 - 4, d);
-              case 6, 7 -> sendUp(s, (step - 7) % 10 - 6, d);
-              default -> takeUp(s, (step - 7) % 10 - 8, d);
-            };
-          }
+          case TICK -> tick(s);
+          case NEWS_TO_FIRST -> newsFromStore(s, 0);
+          case NEWS_TO_SECOND -> newsFromStore(s, 1);
+          case SECOND_ELECTED -> secondLeads(s);
+          case CANCEL -> cancel(s);
+          case HEARTBEAT_TO_FIRST -> heartbeatToLeader(s, 0);
+          case HEARTBEAT_TO_SECOND -> heartbeatToLeader(s, 1);
+          default ->
+              delegateStep(
+                  s,
+                  (step - COMMON_STEPS) / DELEGATE_STEPS,
+                  (step - COMMON_STEPS) % DELEGATE_STEPS);
         };
     return taken ? new State(s) : null;
   }
 
+  private boolean delegateStep(byte[] s, int d, int kind) {
+    return switch (kind) {
+      case HEARTBEAT_TO_DELEGATE -> heartbeatToDelegate(s, d);
+      case RESTART -> restart(s, d);
+      case SEND_GRANT, SEND_GRANT + 1 -> sendGrant(s, kind - SEND_GRANT, d);
+      case RECEIVE_GRANT, RECEIVE_GRANT + 1 -> receiveGrant(s, kind - RECEIVE_GRANT, d);
+      case SEND_STATUS, SEND_STATUS + 1 -> sendStatus(s, kind - SEND_STATUS, d);
+      default -> receiveStatus(s, kind - RECEIVE_STATUS, d);
+    };
+  }
+
   private boolean leads(byte[] s, int leader) {
     return s[ENDED + leader] == 0 && (leader == 0 || s[SECOND_LEADS] != NEVER);
   }
 
   private boolean tick(byte[] s) {
     s[NOW]++;
-    if (s[NOW] > s[BASE] + lease) {
+    if (s[NOW] > s[LEASE_BEGIN] + lease) {
       s[TASK] = 0;
     }
     return true;
   }
 
-  /** The leader hears from the store: it keeps its hold, and learns of the cancellation. */
-  private boolean sync(byte[] s, int leader) {
+  /** The leader hears from the store: its lease is renewed, and it learns of the cancellation. */
+  private boolean newsFromStore(byte[] s, int leader) {
     if (!leads(s, leader)
         || (leader == 0 && s[SECOND_LEADS] != NEVER)
-        || s[FRESH + leader] == s[NOW]) {
+        || s[STORE_NEWS + leader] == s[NOW]) {
       return false;
     }
-    if (s[CANCELLED] >= s[FRESH + leader] && s[DOOM + leader] == NEVER) {
-      s[DOOM + leader] = s[FRESH + leader];
+    if (s[CANCELLED] >= s[STORE_NEWS + leader] && s[CANCELLATION_BOUND + leader] == NEVER) {
+      s[CANCELLATION_BOUND + leader] = s[STORE_NEWS + leader];
     }
-    s[FRESH + leader] = s[NOW];
-    s[HELD + leader] = (byte) (s[NOW] + HOLD);
+    s[STORE_NEWS + leader] = s[NOW];
+    s[LEASE_END + leader] = (byte) (s[NOW] + LEADER_LEASE);
     return true;
   }
 
   private boolean secondLeads(byte[] s) {
-    if (s[SECOND_LEADS] != NEVER || s[NOW] < s[HELD]) {
+    if (s[SECOND_LEADS] != NEVER || s[NOW] < s[LEASE_END]) {
       return false;
     }
     s[SECOND_LEADS] = s[NOW];
-    s[FRESH + 1] = s[NOW];
-    s[HELD + 1] = (byte) (s[NOW] + HOLD);
+    s[STORE_NEWS + 1] = s[NOW];
+    s[LEASE_END + 1] = (byte) (s[NOW] + LEADER_LEASE);
     s[ANSWERED + 1] = (byte) (s[NOW] + ANSWER);
-    s[DOOM + 1] = (byte) (s[CANCELLED] == NEVER ? NEVER : NEVER + 1);
+    s[CANCELLATION_BOUND + 1] = (byte) (s[CANCELLED] == NEVER ? NEVER : NEVER + 1);
     return true;
   }
 
@@ -203,180 +231,188 @@
     return true;
   }
 
-  private boolean reportsToLeader(byte[] s, int leader) {
+  private boolean heartbeatToLeader(byte[] s, int leader) {
     boolean may =
         leads(s, leader)
             && s[TASK] == 1
             && s[TOKEN] <= leader + 1
-            && s[NOW] < Math.min(s[FRESH + leader], s[HELD + leader]) + ANSWER;
+            && s[NOW] < Math.min(s[STORE_NEWS + leader], s[LEASE_END + leader]) + ANSWER;
     if (!may) {
       return false;
     }
     s[ANSWERED + leader] = (byte) Math.max(s[ANSWERED + leader], s[NOW]);
-    s[REPORTED + leader] = 1;
+    s[HEARTBEAT_SEEN + leader] = 1;
     s[TOKEN] = (byte) (leader + 1);
-    s[BASE] = s[NOW];
-    if (s[DOOM + leader] != NEVER) {
+    s[LEASE_BEGIN] = s[NOW];
+    if (s[CANCELLATION_BOUND + leader] != NEVER) {
       s[TASK] = 0;
     }
     return true;
   }
 
-  private boolean reportsToDeputy(byte[] s, int d) {
-    int at = deputy(d);
+  private boolean heartbeatToDelegate(byte[] s, int d) {
+    int at = delegate(d);
     if (s[TASK] == 0
-        || s[at + TERM] == 0
-        || s[at + TERM] != s[at + TOP]
-        || s[TOKEN] > s[at + TERM]
-        || s[NOW] >= s[at + END]
-        || s[NOW] <= s[at + HEARD] + QUIET) {
+        || s[at + GRANT_TERM] == 0
+        || s[at + GRANT_TERM] != s[at + HIGHEST_TERM]
+        || s[TOKEN] > s[at + GRANT_TERM]
+        || s[NOW] >= s[at + GRANT_END]
+        || s[NOW] <= s[at + GRANTER_HEARD] + LEADER_SILENCE) {
       return false;
     }
-    s[TOKEN] = s[at + TERM];
-    s[BASE] = s[NOW];
-    s[at + LAST] = s[NOW];
+    s[TOKEN] = s[at + GRANT_TERM];
+    s[LEASE_BEGIN] = s[NOW];
+    s[at + LAST_ANSWER] = s[NOW];
     return true;
   }
 
   private boolean restart(byte[] s, int d) {
-    int at = deputy(d);
-    if (s[at + LIFE] > 0 || s[NOW] == 0) {
+    int at = delegate(d);
+    if (s[at + INCARNATION] > 0 || s[NOW] == 0) {
       return false;
     }
-    Arrays.fill(s, at, at + DEPUTY_FIELDS, (byte) 0);
-    s[at + LAST] = NEVER;
-    s[at + LIFE] = 1;
+    Arrays.fill(s, at, at + DELEGATE_FIELDS, (byte) 0);
+    s[at + LAST_ANSWER] = NEVER;
+    s[at + INCARNATION] = 1;
     s[at + BORN] = s[NOW];
     s[pair(0, d) + ECHO] = NEVER;
     s[pair(1, d) + ECHO] = NEVER;
     return true;
   }
 
-  private boolean sendDown(byte[] s, int leader, int d) {
+  private boolean sendGrant(byte[] s, int leader, int d) {
     int p = pair(leader, d);
-    if (!leads(s, leader) || s[p + DOWN_SENT] == s[NOW]) {
+    if (!leads(s, leader) || s[p + GRANT_SENT] == s[NOW]) {
       return false;
     }
-    int from = Math.min(s[FRESH + leader], s[HELD + leader]);
-    if (s[DOOM + leader] != NEVER && s[TASK] == 1 && fault != Fault.NO_DOOM) {
-      from = Math.min(from, s[DOOM + leader]);
+    int from = Math.min(s[STORE_NEWS + leader], s[LEASE_END + leader]);
+    if (s[CANCELLATION_BOUND + leader] != NEVER
+        && s[TASK] == 1
+        && fault != Fault.NO_CANCELLATION_BOUND) {
+      from = Math.min(from, s[CANCELLATION_BOUND + leader]);
     }
     int until = from + ANSWER;
-    s[p + DOWN_SENT] = s[NOW];
-    s[p + DOWN_END] = NEVER;
+    s[p + GRANT_SENT] = s[NOW];
+    s[p + GRANT_MESSAGE_END] = NEVER;
     if (s[p + STAMP] != NEVER && until > s[NOW]) {
-      s[p + DOWN_END] =
+      s[p + GRANT_MESSAGE_END] =
           (byte) (fault == Fault.LATE_GRANT ? until - s[NOW] : s[p + STAMP] + until - s[NOW]);
-      s[p + DOWN_LIFE] = s[p + KNOWN_LIFE];
-      s[p + GRANTED] = (byte) Math.max(s[p + GRANTED], until);
+      s[p + GRANT_INCARNATION] = s[p + KNOWN_INCARNATION];
+      s[p + GRANTED_UNTIL] = (byte) Math.max(s[p + GRANTED_UNTIL], until);
     }
     return true;
   }
 
-  private boolean takeDown(byte[] s, int leader, int d) {
+  private boolean receiveGrant(byte[] s, int leader, int d) {
     int p = pair(leader, d);
-    int at = deputy(d);
-    if (s[p + DOWN_SENT] == NEVER) {
+    int at = delegate(d);
+    if (s[p + GRANT_SENT] == NEVER) {
       return false;
     }
-    s[at + TOP] = (byte) Math.max(s[at + TOP], leader + 1);
-    s[p + ECHO] = (byte) Math.max(s[p + ECHO], s[p + DOWN_SENT]);
-    if (s[p + DOWN_END] != NEVER && s[p + DOWN_LIFE] == s[at + LIFE] && s[at + TOP] == leader + 1) {
-      int end = s[p + DOWN_END] + (fault == Fault.LATE_GRANT ? s[NOW] : 0);
-      s[at + END] = (byte) (s[at + TERM] == leader + 1 ? Math.max(s[at + END], end) : end);
-      s[at + TERM] = (byte) (leader + 1);
+    s[at + HIGHEST_TERM] = (byte) Math.max(s[at + HIGHEST_TERM], leader + 1);
+    s[p + ECHO] = (byte) Math.max(s[p + ECHO], s[p + GRANT_SENT]);
+    if (s[p + GRANT_MESSAGE_END] != NEVER
+        && s[p + GRANT_INCARNATION] == s[at + INCARNATION]
+        && s[at + HIGHEST_TERM] == leader + 1) {
+      int end = s[p + GRANT_MESSAGE_END] + (fault == Fault.LATE_GRANT ? s[NOW] : 0);
+      s[at + GRANT_END] =
+          (byte) (s[at + GRANT_TERM] == leader + 1 ? Math.max(s[at + GRANT_END], end) : end);
+      s[at + GRANT_TERM] = (byte) (leader + 1);
     }
-    if (s[at + TERM] == leader + 1) {
-      s[at + HEARD] = s[NOW];
+    if (s[at + GRANT_TERM] == leader + 1) {
+      s[at + GRANTER_HEARD] = s[NOW];
     }
-    s[p + DOWN_SENT] = NEVER;
+    s[p + GRANT_SENT] = NEVER;
     return true;
   }
 
-  private boolean sendUp(byte[] s, int leader, int d) {
+  private boolean sendStatus(byte[] s, int leader, int d) {
     int p = pair(leader, d);
-    int at = deputy(d);
+    int at = delegate(d);
     if ((leader == 1 && s[SECOND_LEADS] == NEVER)
-        || (s[p + UP_SENT] == s[NOW] && s[p + UP_LAST] == s[at + LAST])) {
+        || (s[p + STATUS_SENT] == s[NOW] && s[p + STATUS_LAST_ANSWER] == s[at + LAST_ANSWER])) {
       return false;
     }
-    s[p + UP_SENT] = s[NOW];
-    s[p + UP_ECHO] = s[p + ECHO];
-    s[p + UP_LAST] = s[at + LAST];
-    s[p + UP_TOP] = s[at + TOP];
-    s[p + UP_LIFE] = s[at + LIFE];
-    s[p + UP_BORN] = s[at + BORN];
+    s[p + STATUS_SENT] = s[NOW];
+    s[p + STATUS_ECHO] = s[p + ECHO];
+    s[p + STATUS_LAST_ANSWER] = s[at + LAST_ANSWER];
+    s[p + STATUS_HIGHEST_TERM] = s[at + HIGHEST_TERM];
+    s[p + STATUS_INCARNATION] = s[at + INCARNATION];
+    s[p + STATUS_BORN] = s[at + BORN];
     return true;
   }
 
-  private boolean takeUp(byte[] s, int leader, int d) {
+  private boolean receiveStatus(byte[] s, int leader, int d) {
     int p = pair(leader, d);
-    if (s[p + UP_SENT] == NEVER || !leads(s, leader)) {
+    if (s[p + STATUS_SENT] == NEVER || !leads(s, leader)) {
       return false;
     }
-    int sent = s[p + UP_SENT];
-    s[p + UP_SENT] = NEVER;
-    if (s[p + UP_TOP] > leader + 1) {
+    int sent = s[p + STATUS_SENT];
+    s[p + STATUS_SENT] = NEVER;
+    if (s[p + STATUS_HIGHEST_TERM] > leader + 1) {
       s[ENDED + leader] = 1;
-      s[STOOD_BACK] = (byte) (s[STOOD_BACK] | 1 << deputies);
+      s[ACKNOWLEDGED] = (byte) (s[ACKNOWLEDGED] | 1 << delegates);
       return true;
     }
-    if (s[p + UP_LAST] != NEVER) {
-      s[ANSWERED + leader] = (byte) Math.max(s[ANSWERED + leader], s[p + UP_LAST]);
+    if (s[p + STATUS_LAST_ANSWER] != NEVER) {
+      s[ANSWERED + leader] = (byte) Math.max(s[ANSWERED + leader], s[p + STATUS_LAST_ANSWER]);
     }
-    if (s[p + KNOWN_LIFE] == NEVER) {
-      s[p + KNOWN_LIFE] = s[p + UP_LIFE];
-      s[p + FIRST] = s[NOW];
-    } else if (s[p + KNOWN_LIFE] != s[p + UP_LIFE]) {
-      if (s[p + UP_ECHO] == NEVER || s[p + UP_ECHO] < s[p + FIRST]) {
+    if (s[p + KNOWN_INCARNATION] == NEVER) {
+      s[p + KNOWN_INCARNATION] = s[p + STATUS_INCARNATION];
+      s[p + FIRST_HEARD] = s[NOW];
+    } else if (s[p + KNOWN_INCARNATION] != s[p + STATUS_INCARNATION]) {
+      if (s[p + STATUS_ECHO] == NEVER || s[p + STATUS_ECHO] < s[p + FIRST_HEARD]) {
         return true;
       }
-      int last = Math.min(s[p + GRANTED], s[p + UP_BORN]);
-      if (last > s[p + TOLD]) {
-        s[p + FORMER] = (byte) Math.max(s[p + FORMER], last);
+      int last = Math.min(s[p + GRANTED_UNTIL], s[p + STATUS_BORN]);
+      if (last > s[p + ANSWERS_KNOWN_UP_TO]) {
+        s[p + PREDECESSORS_END] = (byte) Math.max(s[p + PREDECESSORS_END], last);
       }
-      s[p + KNOWN_LIFE] = s[p + UP_LIFE];
-      s[p + FIRST] = s[NOW];
-      s[p + TOLD] = NEVER;
-      s[p + GRANTED] = NEVER;
+      s[p + KNOWN_INCARNATION] = s[p + STATUS_INCARNATION];
+      s[p + FIRST_HEARD] = s[NOW];
+      s[p + ANSWERS_KNOWN_UP_TO] = NEVER;
+      s[p + GRANTED_UNTIL] = NEVER;
       s[p + STAMP] = NEVER;
     }
     s[p + STAMP] = (byte) Math.max(s[p + STAMP], sent);
-    if (s[p + UP_ECHO] != NEVER) {
+    if (s[p + STATUS_ECHO] != NEVER) {
       int begin = leader == 0 ? 0 : s[SECOND_LEADS];
-      s[p + TOLD] =
-          (byte) Math.max(s[p + TOLD], s[p + UP_ECHO] + (s[p + UP_ECHO] >= begin ? QUIET : 0));
-    }
-    if (leader == 1 && s[p + UP_TOP] == 2) {
-      s[STOOD_BACK] = (byte) (s[STOOD_BACK] | 1 << d);
-      if (s[STOOD_BACK] == (1 << (deputies + 1)) - 1 && s[REPORTED + 1] == 0) {
+      s[p + ANSWERS_KNOWN_UP_TO] =
+          (byte)
+              Math.max(
+                  s[p + ANSWERS_KNOWN_UP_TO],
+                  s[p + STATUS_ECHO] + (s[p + STATUS_ECHO] >= begin ? LEADER_SILENCE : 0));
+    }
+    if (leader == 1 && s[p + STATUS_HIGHEST_TERM] == 2) {
+      s[ACKNOWLEDGED] = (byte) (s[ACKNOWLEDGED] | 1 << d);
+      if (s[ACKNOWLEDGED] == (1 << (delegates + 1)) - 1 && s[HEARTBEAT_SEEN + 1] == 0) {
         s[ANSWERED + 1] = (byte) Math.min(s[ANSWERED + 1], s[NOW]);
       }
     }
     return true;
   }
 
-  /** As {@link DelegationTracker#dropped}. */
-  private boolean dropped(byte[] s, int leader) {
+  /** As {@link DelegationTracker#leaseExpired}. */
+  private boolean leaseExpired(byte[] s, int leader) {
     int end = s[ANSWERED + leader] + lease;
-    for (int d = 0; d < deputies; d++) {
-      end = Math.max(end, s[pair(leader, d) + FORMER] + lease);
+    for (int d = 0; d < delegates; d++) {
+      end = Math.max(end, s[pair(leader, d) + PREDECESSORS_END] + lease);
     }
     if (fault == Fault.EACH_ALONE) {
       int first = end;
-      return IntStream.range(0, deputies)
+      return IntStream.range(0, delegates)
           .allMatch(
               d ->
                   s[NOW] > first
-                      && (s[pair(leader, d) + TOLD] >= first
-                          || s[NOW] > s[pair(leader, d) + GRANTED] + lease));
+                      && (s[pair(leader, d) + ANSWERS_KNOWN_UP_TO] >= first
+                          || s[NOW] > s[pair(leader, d) + GRANTED_UNTIL] + lease));
     }
     for (boolean later = fault != Fault.NO_COVERAGE; later; ) {
       later = false;
-      for (int d = 0; d < deputies; d++) {
+      for (int d = 0; d < delegates; d++) {
         int p = pair(leader, d);
-        if (s[p + TOLD] < end && s[p + GRANTED] + lease > end) {
-          end = s[p + GRANTED] + lease;
+        if (s[p + ANSWERS_KNOWN_UP_TO] < end && s[p + GRANTED_UNTIL] + lease > end) {
+          end = s[p + GRANTED_UNTIL] + lease;
           later = true;
         }
       }
@@ -384,7 +420,7 @@
     return s[NOW] > end;
   }
 
-  private String broken(State state) {
+  private String brokenRule(State state) {
     byte[] s = state.fields();
     if (s[TASK] == 0) {
       return null;
@@ -393,8 +429,8 @@
       return "ran_cancelled";
     }
     for (int leader = 0; leader < 2; leader++) {
-      boolean holdsLease = leads(s, leader) && s[NOW] < s[HELD + leader];
-      if (holdsLease && dropped(s, leader)) {
+      boolean holdsLease = leads(s, leader) && s[NOW] < s[LEASE_END + leader];
+      if (holdsLease && leaseExpired(s, leader)) {
         return "ran_twice";
       }
     }
@@ -402,26 +438,26 @@
   }
 
   /** What may happen besides time and messages. */
-  record Story(boolean secondLeader, boolean restarts, boolean cancellation) {}
+  record Scenario(boolean secondLeader, boolean restarts, boolean cancellation) {}
 
   /**
    * Every course of events until the time is up; how many states there are, or what breaks. In each
-   * tick the store answers each leader or does not, each leader and each deputy hear one another or
-   * what they send is held until they do, the worker reports to anybody or nobody, and each part of
-   * the story happens or does not.
+   * tick the store answers each leader or does not, each leader and each delegate hear one another
+   * or what they send is held until they do, the worker reports to anybody or nobody, and each part
+   * of the scenario happens or does not.
    */
-  String explore(Story story, int ticks, int mostStates) {
+  String explore(Scenario scenario, int ticks, int mostStates) {
     Set<State> now = Set.of(first());
     int count = 1;
     for (int tick = 0; tick <= ticks; tick++) {
       Set<State> later = new HashSet<>();
       for (State state : now) {
-        for (State next : round(state, story)) {
-          String broken = broken(next);
-          if (broken != null) {
-            return broken;
+        for (State next : afterEvents(state, scenario)) {
+          String brokenRule = brokenRule(next);
+          if (brokenRule != null) {
+            return brokenRule;
           }
-          State one = after(next, 0);
+          State one = after(next, TICK);
           if (one.fields()[TASK] == 1) {
             later.add(one);
           }
@@ -437,71 +473,84 @@
   }
 
   /** The states after a tick's events. */
-  private Set<State> round(State state, Story story) {
+  private Set<State> afterEvents(State state, Scenario scenario) {
     Set<State> states = Set.of(state);
-    int leaders = story.secondLeader() ? 2 : 1;
-    if (story.cancellation()) {
-      states = maybe(states, 4);
-    }
-    states = maybe(states, 1);
-    if (story.secondLeader()) {
-      states = maybe(maybe(states, 3), 2);
-    }
-    for (int d = 0; d < deputies; d++) {
-      int of = 7 + 10 * d;
-      if (story.restarts()) {
-        states = maybe(states, of + 1);
+    int leaders = scenario.secondLeader() ? 2 : 1;
+    if (scenario.cancellation()) {
+      states = withAndWithout(states, CANCEL);
+    }
+    states = withAndWithout(states, NEWS_TO_FIRST);
+    if (scenario.secondLeader()) {
+      states = withAndWithout(withAndWithout(states, SECOND_ELECTED), NEWS_TO_SECOND);
+    }
+    for (int d = 0; d < delegates; d++) {
+      int of = firstStep(d);
+      if (scenario.restarts()) {
+        states = withAndWithout(states, of + RESTART);
       }
       for (int leader = 0; leader < leaders; leader++) {
         Set<State> next = new HashSet<>();
         for (State one : states) {
           // Apart: what was sent first is held. Together: it comes first, and then word goes both
           // ways.
-          next.add(taken(one, of + 6 + leader, of + 2 + leader));
+          next.add(afterSteps(one, of + SEND_STATUS + leader, of + SEND_GRANT + leader));
           next.add(
-              taken(
+              afterSteps(
                   one,
-                  of + 8 + leader,
-                  of + 4 + leader,
-                  of + 6 + leader,
-                  of + 8 + leader,
-                  of + 2 + leader,
-                  of + 4 + leader,
-                  of + 6 + leader,
-                  of + 8 + leader));
+                  of + RECEIVE_STATUS + leader,
+                  of + RECEIVE_GRANT + leader,
+                  of + SEND_STATUS + leader,
+                  of + RECEIVE_STATUS + leader,
+                  of + SEND_GRANT + leader,
+                  of + RECEIVE_GRANT + leader,
+                  of + SEND_STATUS + leader,
+                  of + RECEIVE_STATUS + leader));
         }
         states = next;
       }
     }
     Set<State> reported = new HashSet<>(states);
     for (State one : states) {
-      for (int step = 5; step < 7 + 10 * deputies; step += step < 7 ? 1 : 10) {
-        reported.add(taken(one, step));
+      reported.add(afterSteps(one, HEARTBEAT_TO_FIRST));
+      reported.add(afterSteps(one, HEARTBEAT_TO_SECOND));
+      for (int d = 0; d < delegates; d++) {
+        reported.add(afterSteps(one, firstStep(d) + HEARTBEAT_TO_DELEGATE));
       }
     }
     return reported;
   }
 
-  private Set<State> maybe(Set<State> states, int step) {
+  private Set<State> withAndWithout(Set<State> states, int step) {
     Set<State> next = new HashSet<>(states);
-    states.forEach(state -> next.add(taken(state, step)));
+    states.forEach(state -> next.add(afterSteps(state, step)));
     return next;
   }
 
   /**
    * The state after those of the steps that are possible; one that is on its way is not sent over.
    */
-  private State taken(State state, int... steps) {
+  private State afterSteps(State state, int... steps) {
     State now = state;
     for (int step : steps) {
-      int kind = step < 7 ? -1 : (step - 7) % 10;
-      int p = pair(kind % 2, step < 7 ? 0 : (step - 7) / 10);
-      boolean held =
-          ((kind == 2 || kind == 3) && now.fields()[p + DOWN_SENT] != NEVER)
-              || ((kind == 6 || kind == 7) && now.fields()[p + UP_SENT] != NEVER);
-      State next = held ? null : after(now, step);
+      State next = isOnItsWay(now, step) ? null : after(now, step);
       now = next == null ? now : next;
     }
     return now;
   }
+
+  /** Whether the step would send a message while an earlier one of its kind is on its way. */
+  private boolean isOnItsWay(State state, int step) {
+    if (step < COMMON_STEPS) {
+      return false;
+    }
+    int d = (step - COMMON_STEPS) / DELEGATE_STEPS;
+    byte[] s = state.fields();
+    return switch ((step - COMMON_STEPS) % DELEGATE_STEPS) {
+      case SEND_GRANT -> s[pair(0, d) + GRANT_SENT] != NEVER;
+      case SEND_GRANT + 1 -> s[pair(1, d) + GRANT_SENT] != NEVER;
+      case SEND_STATUS -> s[pair(0, d) + STATUS_SENT] != NEVER;
+      case SEND_STATUS + 1 -> s[pair(1, d) + STATUS_SENT] != NEVER;
+      default -> false;
+    };
+  }
 }
--- /dev/null
+++ b/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
@@ -0,0 +1,192 @@
+package madderrudder.coordination.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import madderrudder.coordination.policy.SafetyBounds;
+import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessage.DelegatedRenewals;
+import madderrudder.protocol.PeerMessage.MembershipStatus;
+import madderrudder.protocol.PeerMessage.StampEcho;
+import madderrudder.transport.Scheduler;
+import org.junit.jupiter.api.Test;
+
+/** When a delegate may answer heartbeats, and what it reports of its answers. */
+class HeartbeatDelegateTest {
+  private static final long SECOND = 1_000_000;
+  private static final long LEASE = 10 * SECOND;
+  private static final long INCARNATION = 7;
+  private static final long OTHER_INCARNATION = 8;
+  private static final SafetyBounds SAFETY = new SafetyBounds(LEASE, 20 * SECOND);
+
+  private long nowMicros = 100 * SECOND;
+  private final Scheduler clock =
+      new Scheduler() {
+        @Override
+        public long nowMicros() {
+          return nowMicros;
+        }
+
+        @Override
+        public long wallMicros() {
+          return nowMicros;
+        }
+
+        @Override
+        public Timer after(long delayMicros, Runnable action) {
+          throw new UnsupportedOperationException();
+        }
+
+        @Override
+        public void execute(Runnable action) {
+          action.run();
+        }
+      };
+  private final HeartbeatDelegate delegate =
+      new HeartbeatDelegate(clock, SAFETY, "n-1", INCARNATION);
+
+  /** A leader's status with a grant to the process that sent the stamp. */
+  private static MembershipStatus grant(
+      long term, long forMicros, long incarnation, long stampMicros) {
+    List<StampEcho> echoes = List.of(new StampEcho("n-1", incarnation, stampMicros));
+    return new MembershipStatus("n-0", 1, 55, 0, term, forMicros, 0, echoes);
+  }
+
+  private void leaderFallsSilent() {
+    nowMicros += SAFETY.leaderSilenceMicros() + 1;
+  }
+
+  private static Heartbeat heartbeat(String machine, long seq) {
+    return new Heartbeat(machine, "", "box", "east", false, 1, seq, 3, -1, List.of());
+  }
+
+  private void answerHeartbeatsOf(int machines) {
+    for (int i = 0; i < machines; i++) {
+      delegate.recordAnswer(heartbeat(String.format("m-%06d", i), 4));
+    }
+  }
+
+  private List<String> reportedRenewals() {
+    List<String> reported = new ArrayList<>();
+    for (PeerMessage message : delegate.statusMessages(3, 0, List.of())) {
+      if (message instanceof DelegatedRenewals renewals) {
+        renewals.answers().forEach(one -> reported.add(one.machine() + " " + one.agoMillis()));
+      }
+    }
+    return reported;
+  }
+
+  @Test
+  void answersOnlyOnceTheLeaderIsSilent() {
+    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    assertFalse(delegate.mayAnswer(3), "the leader was heard this moment");
+    leaderFallsSilent();
+    assertTrue(delegate.mayAnswer(3));
+  }
+
+  @Test
+  void answersNobodyOnceAHigherTermIsKnown() {
+    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    leaderFallsSilent();
+    assertTrue(delegate.mayAnswer(3));
+    assertFalse(delegate.mayAnswer(4));
+  }
+
+  @Test
+  void aGrantEndsEarlierByTheDriftOfTheClocks() {
+    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    nowMicros = 100 * SECOND + 4_990_000;
+    assertFalse(delegate.mayAnswer(3), "the clocks may differ");
+  }
+
+  /** Counted from the sending of the stamp it answers: delayed for minutes, it is worth nothing. */
+  @Test
+  void aGrantCountsFromBeforeItWasGiven() {
+    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    nowMicros = 200 * SECOND;
+    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 104 * SECOND), 3);
+    leaderFallsSilent();
+    assertFalse(delegate.mayAnswer(3));
+  }
+
+  @Test
+  void grantsToOtherProcessesAndOfEarlierTermsAreIgnored() {
+    delegate.recordStatus(grant(3, 5 * SECOND, OTHER_INCARNATION, 100 * SECOND), 3);
+    delegate.recordStatus(grant(2, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordStatus(grant(3, 0, INCARNATION, 100 * SECOND), 3);
+    leaderFallsSilent();
+    assertFalse(delegate.mayAnswer(2) || delegate.mayAnswer(3));
+  }
+
+  @Test
+  void aLaterTermsGrantMayEndSoonerThanTheEarlierOnes() {
+    leaderFallsSilent();
+    delegate.recordStatus(grant(3, 50 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
+    leaderFallsSilent();
+    assertFalse(delegate.mayAnswer(4));
+  }
+
+  @Test
+  void withoutAGrantNoRenewalIsKnownToBeSafe() {
+    assertTrue(delegate.renewalSafeUntilMicros() < 0);
+  }
+
+  /**
+   * What a leader that has not read the store goes by: the latest end of any grant, also of an
+   * earlier term, or one of its own.
+   */
+  @Test
+  void renewalsAreSafeUntilTheLatestGrantEnds() {
+    delegate.recordStatus(grant(3, 20 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
+    delegate.recordStatus(grant(5, 0, INCARNATION, 140 * SECOND), 5);
+    delegate.recordStatus(grant(5, 50 * SECOND, OTHER_INCARNATION, 140 * SECOND), 5);
+    assertEquals(
+        100 * SECOND + SafetyBounds.minusClockDrift(20 * SECOND),
+        delegate.renewalSafeUntilMicros());
+    delegate.renewalSafeUntil(125 * SECOND);
+    delegate.renewalSafeUntil(110 * SECOND);
+    assertEquals(125 * SECOND, delegate.renewalSafeUntilMicros());
+  }
+
+  @Test
+  void lateCopiesOfHeartbeatsAreNotAnswered() {
+    answerHeartbeatsOf(3);
+    nowMicros += SECOND;
+    assertFalse(delegate.recordAnswer(heartbeat("m-000001", 4)), "a copy was answered");
+    assertFalse(delegate.recordAnswer(heartbeat("m-000002", 3)), "an earlier one was answered");
+    assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
+  }
+
+  @Test
+  void everyMachineAnsweredWithinALeaseIsReported() {
+    answerHeartbeatsOf(9_000);
+    nowMicros += SECOND;
+    assertFalse(
+        delegate.recordAnswer(heartbeat("m-000001", 4))
+            || delegate.recordAnswer(heartbeat("m-000002", 3)),
+        "a copy was answered");
+    assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
+    List<String> reported = reportedRenewals();
+    assertEquals(9_000, reported.size());
+    assertTrue(reported.contains("m-000001 1000") && reported.contains("m-000000 0"));
+    nowMicros += LEASE + 2 * SECOND;
+    assertEquals(1, delegate.statusMessages(3, 0, List.of()).size() - 1);
+  }
+
+  @Test
+  void thousandsOfRenewalsAreSplitIntoMessagesWithinTheirBound() {
+    answerHeartbeatsOf(9_000);
+    List<PeerMessage> messages = delegate.statusMessages(3, 0, List.of());
+    for (PeerMessage message : messages) {
+      assertTrue(PeerMessage.encode(message).remaining() < PeerMessage.MAX_BYTES);
+    }
+    MembershipStatus last = (MembershipStatus) messages.get(messages.size() - 1);
+    assertEquals(messages.size() - 1, last.answeredParts());
+  }
+}
