--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -44,7 +44,7 @@
               Addresses.parse(settings.meshListen()),
               settings.peers(),
               PeerMessage.MAX_BYTES,
-              frame -> node.frame(frame));
+              frame -> node.receive(frame));
       node = new ControllerNode(loop, calls, mesh, new SplittableRandom(), settings, policy);
       HttpServer server =
           new HttpServer(
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -256,18 +256,11 @@
       return;
     }
     state = State.CAMPAIGNING;
-    long requestedMicros = scheduler.nowMicros();
-    new LeadershipCampaign(store, member, new OwnCandidate(requestedMicros)).start(leaseMicros);
+    new LeadershipCampaign(scheduler, store, member, new OwnCandidate()).start(leaseMicros);
   }
 
-  /** This controller as the candidate of a campaign that began at the moment given. */
+  /** This controller as the candidate of its campaigns. */
   private final class OwnCandidate implements LeadershipCampaign.Candidate {
-    private final long requestedMicros;
-
-    OwnCandidate(long requestedMicros) {
-      this.requestedMicros = requestedMicros;
-    }
-
     @Override
     public long highestTerm() {
       return highestTerm;
@@ -279,8 +272,8 @@
     }
 
     @Override
-    public void won(long newTerm, long newLease, long termVersion) {
-      lead(newTerm, newLease, requestedMicros, termVersion);
+    public void won(long newTerm, LeaderLease.Grant grant, long termVersion) {
+      lead(newTerm, grant, termVersion);
     }
 
     @Override
@@ -289,7 +282,7 @@
     }
   }
 
-  private void lead(long newTerm, long newLease, long requestedMicros, long termVersion) {
+  private void lead(long newTerm, LeaderLease.Grant grant, long termVersion) {
     state = State.LEADING;
     keyAbsent = false;
     predecessorVersion = 0;
@@ -297,12 +290,7 @@
     highestTerm = newTerm;
     lease =
         new LeaderLease(
-            scheduler,
-            store,
-            newLease,
-            requestedMicros,
-            leaseMicros,
-            () -> stepDown("the lease has expired"));
+            scheduler, store, grant, leaseMicros, () -> stepDown("the lease has expired"));
     LOG.info("leading in term {}", term);
     listener.elected(term, termVersion);
     lease.keepRenewed();
--- a/src/main/java/madderrudder/coordination/membership/LeaderLease.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderLease.java
@@ -22,26 +22,27 @@
   private boolean released;
 
   /**
-   * A lease that was just granted.
+   * A lease as the store granted it.
    *
    * @param id the lease's id in the store
    * @param requestedMicros when it was asked for; it began no earlier
+   */
+  record Grant(long id, long requestedMicros) {}
+
+  /**
+   * A lease that was just granted.
+   *
    * @param lengthMicros how long it lasts after each renewal
    * @param onExpired is run if the store says that the lease has expired
    */
   LeaderLease(
-      Scheduler scheduler,
-      StoreClient store,
-      long id,
-      long requestedMicros,
-      long lengthMicros,
-      Runnable onExpired) {
+      Scheduler scheduler, StoreClient store, Grant grant, long lengthMicros, Runnable onExpired) {
     this.scheduler = scheduler;
     this.store = store;
-    this.id = id;
+    id = grant.id();
     this.lengthMicros = lengthMicros;
     this.onExpired = onExpired;
-    endMicros = SafetyBounds.leaseEndMicros(requestedMicros, lengthMicros);
+    endMicros = SafetyBounds.leaseEndMicros(grant.requestedMicros(), lengthMicros);
   }
 
   /** The moment up to which the lease certainly lasts, drift of the clocks allowed for. */
--- a/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
+++ b/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
@@ -10,6 +10,7 @@
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Write;
+import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,10 +21,11 @@
 final class LeadershipCampaign {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipCampaign.class);
 
+  private final Scheduler scheduler;
   private final StoreClient store;
   private final String member;
   private final Candidate candidate;
-  private long lease;
+  private LeaderLease.Grant lease;
 
   /** Whose campaign it is. What it knows may change while the campaign is under way. */
   interface Candidate {
@@ -37,16 +39,17 @@
      * The claim was written.
      *
      * @param term the term won
-     * @param lease the id of the lease that the leader's key is attached to
+     * @param lease the lease that the leader's key is attached to
      * @param termVersion the version of the term's key
      */
-    void won(long term, long lease, long termVersion);
+    void won(long term, LeaderLease.Grant lease, long termVersion);
 
     /** Somebody else won, or the store did not answer. */
     void lost();
   }
 
-  LeadershipCampaign(StoreClient store, String member, Candidate candidate) {
+  LeadershipCampaign(Scheduler scheduler, StoreClient store, String member, Candidate candidate) {
+    this.scheduler = scheduler;
     this.store = store;
     this.member = member;
     this.candidate = candidate;
@@ -54,11 +57,12 @@
 
   /** Asks for a lease of this length, and claims the leader's key with it. */
   void start(long leaseMicros) {
+    long requestedMicros = scheduler.nowMicros();
     store.grantLease(
         leaseMicros,
         reply -> {
           if (reply.is(Outcome.OK)) {
-            lease = reply.value();
+            lease = new LeaderLease.Grant(reply.value(), requestedMicros);
             readTerm();
           } else {
             candidate.lost();
@@ -102,7 +106,7 @@
             new Condition(Keys.TERM, termVersion));
     List<Write> writes =
         List.of(
-            new Write(Keys.LEAD, new LeaderRecord(newTerm, member).encode(), lease),
+            new Write(Keys.LEAD, new LeaderRecord(newTerm, member).encode(), lease.id()),
             Write.put(Keys.TERM, CommitQueue.helm(newTerm, member, 0)));
     store.commitUrgent(
         StoreCodec.commit(conditions, writes),
@@ -122,6 +126,6 @@
    */
   private void giveUp() {
     candidate.lost();
-    store.revokeLease(lease);
+    store.revokeLease(lease.id());
   }
 }
--- a/src/main/java/madderrudder/estimates/Estimator.java
+++ b/src/main/java/madderrudder/estimates/Estimator.java
@@ -1,7 +1,6 @@
 package madderrudder.estimates;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -9,6 +8,7 @@
 import java.util.function.BiConsumer;
 import madderrudder.estimates.Estimate.Basis;
 import madderrudder.estimates.TaskProfile.JobKind;
+import madderrudder.util.BoundedMap;
 
 /**
  * Learns from tasks that have run how long others will. Each level that has evidence takes n / (n +
@@ -149,18 +149,9 @@
 
   public Estimator(int mostKinds, int mostJobs, Way way) {
     this.way = way;
-    kinds = bounded(mostKinds);
-    scores = bounded(mostKinds);
-    jobs = bounded(mostJobs);
-  }
-
-  private static <K, V> Map<K, V> bounded(int most) {
-    return new LinkedHashMap<>(64, 0.75f, true) {
-      @Override
-      protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > most;
-      }
-    };
+    kinds = BoundedMap.evictingLeastRecentlyUsed(mostKinds);
+    scores = BoundedMap.evictingLeastRecentlyUsed(mostKinds);
+    jobs = BoundedMap.evictingLeastRecentlyUsed(mostJobs);
   }
 
   /** A level's part in an estimate. */
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -7,9 +7,7 @@
 import java.nio.file.Path;
 import java.util.Collections;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
 import madderrudder.estimates.TaskProfile;
@@ -18,6 +16,7 @@
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
+import madderrudder.util.BoundedMap;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVRecord;
@@ -45,14 +44,7 @@
   private final Path file;
   private final boolean strict;
   private final Problems problems;
-  private final Set<String> seen =
-      Collections.newSetFromMap(
-          new LinkedHashMap<>() {
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-              return size() > REMEMBERED;
-            }
-          });
+  private final Set<String> seen = Collections.newSetFromMap(BoundedMap.evictingOldest(REMEMBERED));
   private long lines;
   private long malformed;
   private long repeated;
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -3,307 +3,294 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import java.util.function.Supplier;
-import madderrudder.coordination.leader.Leader;
 import madderrudder.coordination.membership.HeartbeatDelegate;
 import madderrudder.coordination.membership.LeaderElection;
 import madderrudder.coordination.policy.FencingToken;
 import madderrudder.protocol.Heartbeat;
-import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.PeerMessage;
 import madderrudder.protocol.PeerMessage.ForwardedHeartbeat;
 import madderrudder.protocol.PeerMessage.ForwardedResponse;
 import madderrudder.protocol.WorkerCodec;
 import madderrudder.transport.HttpResponse;
-import madderrudder.transport.PeerMessenger;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Workers' reports at any controller. The leader answers them. Elsewhere a worker is sent to the
- * leader; if it can't reach it, its report is passed on, or, where the leader can't be reached from
- * here either, answered without commands for as long as the leader has granted that.
+ * Workers' heartbeats at any controller. The leader answers them. Another controller redirects the
+ * worker to the leader; if the worker can't reach it, the heartbeat is forwarded, or, where the
+ * leader can't be reached from here either, answered without commands for as long as the leader has
+ * delegated that. Confined to the event loop thread.
  */
 final class HeartbeatEndpoint {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
 
   /** Within the four seconds that a worker waits, with time for what follows. */
-  private static final long HOMELESS_MICROS = 2_500_000;
+  private static final long MAX_PENDING_MICROS = 2_500_000;
 
-  private static final long SETTLE_MICROS = 50_000;
+  private static final long PENDING_CHECK_MICROS = 50_000;
 
-  /** Well within the four seconds that a worker waits. */
-  private static final long RELAY_MICROS = 1_500_000;
-
-  private final Surroundings around;
+  private final Dependencies dependencies;
   private final Scheduler scheduler;
   private final LeaderElection election;
-  private final HeartbeatDelegate deputy;
-  private final boolean delegation;
+  private final LocalLeader localLeader;
+  private final HeartbeatDelegate delegate;
+  private final HeartbeatForwarder forwarder;
+  private final boolean delegationEnabled;
   private final long leaderlessMicros;
 
-  /** Each holds a connection, and half of them may: users and peers need some too. */
-  private final int mostHomeless;
+  /** Each pending heartbeat takes a connection, and users and peers need some too. */
+  private final int maxPending;
 
-  private final Set<Homeless> homeless = new LinkedHashSet<>();
-  private final Map<Long, Consumer<String>> relayed = new HashMap<>();
-  private long relays;
-  private long lastLedMicros;
-  private boolean malformedLogged;
-  private boolean standingIn;
-  private long stoodIn;
+  private final Set<PendingHeartbeat> pending = new LinkedHashSet<>();
+  private final MalformedMessageLog malformed = new MalformedMessageLog(LOG, "heartbeat");
+  private long lastAnswererKnownMicros;
+  private boolean answeringAsDelegate;
+  private long answeredAsDelegate;
 
-  /** A report that came while it was not clear who answers it. */
-  private record Homeless(Heartbeat report, byte[] body, Consumer<HttpResponse> answer) {}
+  /** A heartbeat that was not answered yet, with its body as the worker sent it. */
+  private record PendingHeartbeat(
+      Heartbeat heartbeat, byte[] body, Consumer<HttpResponse> answer) {}
 
-  /** What a controller has at hand for this. */
-  record Surroundings(
+  /**
+   * The parts of the controller that take part in answering heartbeats.
+   *
+   * @param member this controller's name
+   * @param storeAnswers whether the store has answered lately
+   */
+  record Dependencies(
       Scheduler scheduler,
       LeaderElection election,
-      HeartbeatDelegate deputy,
-      WorkerRedirects detours,
-      PeerMessenger peers,
+      LocalLeader localLeader,
+      HeartbeatDelegate delegate,
+      WorkerRedirects redirects,
+      HeartbeatForwarder forwarder,
       String member,
-      Supplier<Leader> leader,
       BooleanSupplier storeAnswers) {}
 
-  /** Nobody leading for {@code leaderlessMicros} is more than a change of leader. */
+  /**
+   * Creates an endpoint; {@link #start} must be called before the first heartbeat.
+   *
+   * @param delegationEnabled whether heartbeats are answered or forwarded at all while another
+   *     controller leads
+   * @param leaderlessMicros when nobody has led for so long, it is more than a change of leader
+   * @param maxSockets the sockets that this controller may use; half of them may wait here
+   */
   HeartbeatEndpoint(
-      Surroundings around, boolean delegation, long leaderlessMicros, int maxSockets) {
-    this.around = around;
-    scheduler = around.scheduler();
-    election = around.election();
-    deputy = around.deputy();
-    this.delegation = delegation;
+      Dependencies dependencies, boolean delegationEnabled, long leaderlessMicros, int maxSockets) {
+    this.dependencies = dependencies;
+    scheduler = dependencies.scheduler();
+    election = dependencies.election();
+    localLeader = dependencies.localLeader();
+    delegate = dependencies.delegate();
+    forwarder = dependencies.forwarder();
+    this.delegationEnabled = delegationEnabled;
     this.leaderlessMicros = leaderlessMicros;
-    mostHomeless = maxSockets / 2;
-    lastLedMicros = scheduler.nowMicros();
+    maxPending = maxSockets / 2;
+    lastAnswererKnownMicros = scheduler.nowMicros();
   }
 
-  /**
-   * How many reports were answered in a leader's stead, and how many were passed on to one, since
-   * the start.
-   */
-  void write(JsonGenerator out) throws IOException {
-    out.writeNumberField("reports_stood_in", stoodIn);
-    out.writeNumberField("reports_passed_on", relays);
+  /** Writes how many heartbeats were answered as a delegate, and forwarded, since the start. */
+  void writeCounters(JsonGenerator out) throws IOException {
+    out.writeNumberField("reports_stood_in", answeredAsDelegate);
+    out.writeNumberField("reports_passed_on", forwarder.forwarded());
   }
 
+  /** Begins to look periodically for pending heartbeats that can be answered. */
   void start() {
-    scheduler.every(SETTLE_MICROS, this::settle);
+    scheduler.every(PENDING_CHECK_MICROS, this::dispatchPending);
   }
 
-  void report(byte[] body, Consumer<HttpResponse> answer) {
-    Heartbeat report;
+  /** Takes a heartbeat; a malformed one is answered with 400. */
+  void handle(byte[] body, Consumer<HttpResponse> answer) {
+    Heartbeat heartbeat;
     try {
-      report = read(body);
+      heartbeat = parse(body);
     } catch (MalformedMessageException e) {
-      logMalformed(e);
-      answer.accept(HttpResponse.of(400, Json.error(e.getMessage())));
+      malformed.log(e);
+      answer.accept(Responses.error(400, e.getMessage()));
       return;
     }
-    Homeless arrived = new Homeless(report, body, answer);
-    if (!settled() && homeless.size() < mostHomeless) {
-      keep(arrived);
+    PendingHeartbeat arrived = new PendingHeartbeat(heartbeat, body, answer);
+    if (!answererKnown() && pending.size() < maxPending) {
+      keepPending(arrived);
     } else {
-      decide(arrived);
+      dispatch(arrived);
     }
   }
 
-  private Heartbeat read(byte[] body) throws MalformedMessageException {
-    Heartbeat report = WorkerCodec.readReport(body);
-    if (!election.observeToken(report.token())) {
-      throw new MalformedMessageException("no leader has given the token " + report.token());
+  private Heartbeat parse(byte[] body) throws MalformedMessageException {
+    Heartbeat heartbeat = WorkerCodec.readReport(body);
+    if (!election.observeToken(heartbeat.token())) {
+      throw new MalformedMessageException("no leader has given the token " + heartbeat.token());
     }
-    return report;
+    return heartbeat;
   }
 
   /**
-   * While nobody leads, or the leader here has not read what there is, a worker sent away comes
-   * back a second later at the earliest, and its lease runs. Its report is kept for a moment
-   * instead, and answered once it is clear by whom.
+   * While nobody leads, or the leader here has not read the stored state, a worker that is
+   * redirected comes back a second later at the earliest, while its lease runs. Its heartbeat is
+   * kept for a moment instead, and answered once it is clear by whom.
    */
-  private void keep(Homeless kept) {
-    homeless.add(kept);
+  private void keepPending(PendingHeartbeat arrived) {
+    pending.add(arrived);
     scheduler.after(
-        HOMELESS_MICROS,
+        MAX_PENDING_MICROS,
         () -> {
-          if (homeless.remove(kept)) {
-            decide(kept);
+          if (pending.remove(arrived)) {
+            dispatch(arrived);
           }
         });
   }
 
-  /** Whether it is clear who answers reports. */
-  private boolean settled() {
-    Leader here = around.leader().get();
-    return here != null ? here.takesReports() : election.leader().isPresent();
+  /** Whether it is clear who answers heartbeats. */
+  private boolean answererKnown() {
+    return localLeader.isPresent()
+        ? localLeader.answersHeartbeats()
+        : election.leader().isPresent();
   }
 
-  private void settle() {
-    boolean led = settled();
-    if (led) {
-      lastLedMicros = scheduler.nowMicros();
+  private void dispatchPending() {
+    if (!answererKnown()) {
+      return;
     }
-    if (!homeless.isEmpty() && led) {
-      List<Homeless> settled = List.copyOf(homeless);
-      homeless.clear();
-      settled.forEach(this::decide);
+    lastAnswererKnownMicros = scheduler.nowMicros();
+    if (!pending.isEmpty()) {
+      List<PendingHeartbeat> kept = List.copyOf(pending);
+      pending.clear();
+      kept.forEach(this::dispatch);
     }
   }
 
-  private void decide(Homeless arrived) {
-    Leader here = around.leader().get();
-    if (here == null) {
-      follow(arrived);
-      return;
+  private void dispatch(PendingHeartbeat arrived) {
+    if (localLeader.isPresent()) {
+      localLeader.handle(arrived.heartbeat(), answer -> answerOrRedirect(arrived, answer));
+    } else {
+      dispatchAsFollower(arrived);
+    }
+  }
+
+  private void dispatchAsFollower(PendingHeartbeat arrived) {
+    Optional<String> leader = election.leader();
+    if (!delegationEnabled) {
+      redirect(arrived);
+    } else if (leader.isPresent() && delegate.hasHeardLately(leader.get())) {
+      forwardOrRedirect(leader.get(), arrived);
+    } else if (mayAnswerWithoutLeader(leader, arrived)) {
+      answerAsDelegate(arrived);
+    } else {
+      redirect(arrived);
     }
-    here.report(
-        arrived.report(),
-        reply -> {
-          if (reply.orders() == null) {
-            redirect(arrived.answer());
-          } else {
-            arrived
-                .answer()
-                .accept(HttpResponse.of(200, WorkerCodec.answer(reply.token(), reply.orders())));
-          }
-        });
   }
 
-  /** A report at a controller that does not lead. */
-  private void follow(Homeless arrived) {
-    String name = election.leader().orElse(null);
-    boolean heard = name != null && deputy.hasHeardLately(name);
-    if (!delegation || (heard && !served(arrived))) {
-      redirect(arrived.answer());
-    } else if (heard) {
-      relay(name, arrived);
-    } else if (name == null
-        ? scheduler.nowMicros() - lastLedMicros > leaderlessMicros
-        : !around.storeAnswers().getAsBoolean() || served(arrived)) {
-      standIn(arrived);
+  private void forwardOrRedirect(String leader, PendingHeartbeat arrived) {
+    if (isServedHere(arrived)) {
+      forward(leader, arrived);
     } else {
-      redirect(arrived.answer());
+      redirect(arrived);
     }
   }
 
-  private boolean served(Homeless arrived) {
-    return around
-        .detours()
-        .serves(arrived.report().machine(), arrived.report().zone(), scheduler.nowMicros());
+  /**
+   * With the leader silent and the store too, a worker is served at once: a first redirect in vain
+   * could cost it its lease.
+   */
+  private boolean mayAnswerWithoutLeader(Optional<String> leader, PendingHeartbeat arrived) {
+    if (leader.isEmpty()) {
+      return scheduler.nowMicros() - lastAnswererKnownMicros > leaderlessMicros;
+    }
+    return !dependencies.storeAnswers().getAsBoolean() || isServedHere(arrived);
+  }
+
+  private boolean isServedHere(PendingHeartbeat arrived) {
+    Heartbeat heartbeat = arrived.heartbeat();
+    return dependencies
+        .redirects()
+        .isServedHere(heartbeat.machine(), heartbeat.zone(), scheduler.nowMicros());
   }
 
   /**
-   * Answers in the leader's stead, with no command, a worker that has something to lose; one
-   * without tasks had better look for the leader.
+   * Answers on the leader's behalf, without a command, a worker that has tasks to lose; one without
+   * tasks is better off looking for the leader.
    */
-  private void standIn(Homeless arrived) {
-    if (arrived.report().tasks().isEmpty()
-        || !deputy.mayAnswer(election.highestTerm())
-        || !deputy.recordAnswer(arrived.report())) {
-      redirect(arrived.answer());
+  private void answerAsDelegate(PendingHeartbeat arrived) {
+    if (arrived.heartbeat().tasks().isEmpty()
+        || !delegate.mayAnswer(election.highestTerm())
+        || !delegate.recordAnswer(arrived.heartbeat())) {
+      redirect(arrived);
       return;
     }
-    if (!standingIn) {
-      standingIn = true;
-      LOG.info("answering workers in the stead of {}", election.leader().orElse(null));
+    if (!answeringAsDelegate) {
+      answeringAsDelegate = true;
+      LOG.info("answering heartbeats on behalf of {}", election.leader().orElse("no known leader"));
     }
-    stoodIn++;
-    long token = FencingToken.echo(arrived.report().token(), deputy.grantTerm());
-    arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(token, List.of())));
+    answeredAsDelegate++;
+    long token = FencingToken.echo(arrived.heartbeat().token(), delegate.grantTerm());
+    answer(arrived, WorkerCodec.answer(token, List.of()));
   }
 
-  private void relay(String name, Homeless arrived) {
-    standingIn = false;
-    if (!PeerMessage.carries(arrived.body().length)) {
-      standIn(arrived);
+  private void forward(String leader, PendingHeartbeat arrived) {
+    answeringAsDelegate = false;
+    if (!HeartbeatForwarder.canForward(arrived.body())) {
+      answerAsDelegate(arrived);
       return;
     }
-    long number = ++relays;
-    relayed.put(
-        number,
-        text -> {
-          if (text.isEmpty()) {
-            redirect(arrived.answer());
-          } else {
-            arrived.answer().accept(HttpResponse.of(200, text.getBytes(StandardCharsets.UTF_8)));
+    forwarder.forward(
+        leader,
+        arrived.body(),
+        new HeartbeatForwarder.Callback() {
+          @Override
+          public void answered(Optional<byte[]> answer) {
+            answerOrRedirect(arrived, answer);
           }
-        });
-    String body = new String(arrived.body(), StandardCharsets.UTF_8);
-    around
-        .peers()
-        .send(name, PeerMessage.encode(new ForwardedHeartbeat(around.member(), number, body)));
-    scheduler.after(
-        RELAY_MICROS,
-        () -> {
-          if (relayed.remove(number) != null) {
-            standIn(arrived);
+
+          @Override
+          public void timedOut() {
+            answerAsDelegate(arrived);
           }
         });
   }
 
-  /** A report that another controller passes on, to this one as the leader. */
-  void take(ForwardedHeartbeat passed) {
+  /** Takes a heartbeat that another controller forwards to this one as the leader. */
+  void receive(ForwardedHeartbeat forwarded) {
+    Heartbeat heartbeat;
     try {
-      Heartbeat report = read(passed.report().getBytes(StandardCharsets.UTF_8));
-      Leader here = around.leader().get();
-      if (here == null) {
-        return;
-      }
-      here.report(
-          report,
-          reply -> {
-            // Nothing in the answer: the worker is to have none, neither of this controller nor in
-            // its stead.
-            byte[] body =
-                reply.orders() == null
-                    ? new byte[0]
-                    : WorkerCodec.answer(reply.token(), reply.orders());
-            if (PeerMessage.carries(body.length)) {
-              around
-                  .peers()
-                  .send(
-                      passed.member(),
-                      PeerMessage.encode(
-                          new ForwardedResponse(
-                              passed.number(), new String(body, StandardCharsets.UTF_8))));
-            }
-          });
+      heartbeat = parse(forwarded.report().getBytes(StandardCharsets.UTF_8));
     } catch (MalformedMessageException e) {
-      logMalformed(e);
+      malformed.log(e);
+      return;
     }
-  }
-
-  /** The leader's answer to a report that was passed on. */
-  void take(ForwardedResponse reply) {
-    Consumer<String> open = relayed.remove(reply.number());
-    if (open != null) {
-      open.accept(reply.answer());
+    if (localLeader.isPresent()) {
+      localLeader.handle(heartbeat, answer -> forwarder.respond(forwarded, answer));
     }
   }
 
-  private void redirect(Consumer<HttpResponse> answer) {
-    String name = election.leader().orElse(null);
-    boolean other = name != null && !name.equals(around.member());
-    answer.accept(HttpResponse.of(421, WorkerCodec.redirect(other ? name : null)));
+  /** Takes the leader's answer to a heartbeat that was forwarded. */
+  void receive(ForwardedResponse response) {
+    forwarder.receive(response);
   }
 
-  private void logMalformed(MalformedMessageException cause) {
-    if (malformedLogged) {
-      LOG.debug("malformed report: {}", cause.getMessage());
+  private void answerOrRedirect(PendingHeartbeat arrived, Optional<byte[]> answer) {
+    if (answer.isPresent()) {
+      answer(arrived, answer.get());
     } else {
-      malformedLogged = true;
-      LOG.info("malformed report: {} (further ones at level debug)", cause.getMessage());
+      redirect(arrived);
     }
   }
+
+  private static void answer(PendingHeartbeat arrived, byte[] body) {
+    arrived.answer().accept(HttpResponse.of(200, body));
+  }
+
+  private void redirect(PendingHeartbeat arrived) {
+    String other =
+        election.leader().filter(leader -> !leader.equals(dependencies.member())).orElse(null);
+    arrived.answer().accept(HttpResponse.of(421, WorkerCodec.redirect(other)));
+  }
 }
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -1,18 +1,18 @@
 package madderrudder.service;
 
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
 import madderrudder.coordination.cloud.MachineTypeCatalog;
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.coordination.policy.TeamQuota;
+import madderrudder.metrics.Metrics;
+import madderrudder.metrics.Metrics.Timing;
 import madderrudder.persistence.JobRecords;
 import madderrudder.persistence.Keys;
-import madderrudder.persistence.LiveJobChecker;
 import madderrudder.persistence.StoreClient;
-import madderrudder.persistence.StoreReply;
 import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobCodec;
@@ -22,296 +22,247 @@
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.PeerMessage.JobProgress;
 import madderrudder.protocol.StoreCodec.Condition;
-import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Write;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * Serves users on any node. Whether a job is live, done or cancelled is always read from the store,
- * so no node can give an older answer than another; only endings, which never change, are
- * remembered.
+ * The users' job API, served alike by every controller: submit, status and cancel. A submission is
+ * idempotent, by a compare-and-swap on the job's absence. Confined to the event loop thread.
  */
 final class JobEndpoint {
-  private static final int MOST_REMEMBERED = 5_000;
-  private static final int MOST_SEEN_LIVE = 2_000;
+  private static final Logger LOG = LoggerFactory.getLogger(JobEndpoint.class);
 
   /** The store takes this many conditions for each write that it allows in a transaction. */
   private static final int CONDITIONS_PER_WRITE = 4;
 
-  private static final int RETRY_AFTER_S = 1;
-  private static final int MOST_TRIES = 4;
+  private static final int MAX_CANCEL_TRIES = 4;
+  private static final String STORE_SILENT = "the store does not answer";
+  private static final String NO_SUCH_JOB = "no such job";
 
   private final Scheduler scheduler;
   private final StoreClient store;
   private final MachineTypeCatalog catalog;
   private final Map<String, TeamQuota> teams;
-  private final int mostValueBytes;
-  private final Function<String, JobProgress> progress;
-  private final LiveJobChecker checks;
-  private final RetryAfterPolicy returns = new RetryAfterPolicy();
-  private final Map<String, JobRecords.Finished> remembered = bounded(MOST_REMEMBERED);
+  private final int maxRecordBytes;
+  private final Function<String, Optional<JobProgress>> progress;
+  private final Metrics metrics;
+  private final JobReader reader;
+  private final RetryAfterPolicy retryAfter = new RetryAfterPolicy();
 
   /**
-   * Live jobs that were read here. Their keys are written once, so that only their end is to be
-   * asked for.
+   * Creates the endpoint.
+   *
+   * @param progress a job's progress by its id; empty where it is not known
+   * @param metrics where the times of submissions are recorded
    */
-  private final Map<String, Known> seenLive = bounded(MOST_SEEN_LIVE);
-
-  /** What the store says of a job: live, finished, or neither. */
-  private record Known(JobRecords.Live live, long version, JobRecords.Finished finished) {}
-
   JobEndpoint(
       Scheduler scheduler,
       StoreClient store,
       MachineTypeCatalog catalog,
-      Map<String, TeamQuota> teams,
-      Deployment.StateLimits limits,
-      Function<String, JobProgress> progress) {
+      Deployment deployment,
+      Function<String, Optional<JobProgress>> progress,
+      Metrics metrics) {
     this.scheduler = scheduler;
     this.store = store;
     this.catalog = catalog;
-    this.teams = teams;
-    mostValueBytes = limits.valueBytes();
-    checks = new LiveJobChecker(store, CONDITIONS_PER_WRITE * limits.transactionWrites());
     this.progress = progress;
-  }
-
-  private static <T> Map<String, T> bounded(int most) {
-    return new LinkedHashMap<>() {
-      @Override
-      protected boolean removeEldestEntry(Map.Entry<String, T> eldest) {
-        return size() > most;
-      }
-    };
-  }
-
-  static HttpResponse unavailable(String why) {
-    return new HttpResponse(503, Json.error(why), RETRY_AFTER_S, false);
+    this.metrics = metrics;
+    teams = deployment.teams();
+    Deployment.StateLimits limits = deployment.state();
+    maxRecordBytes = limits.valueBytes();
+    reader = new JobReader(store, CONDITIONS_PER_WRITE * limits.transactionWrites());
   }
 
   /**
-   * A user's write that the store did not take: it was not reached, or takes no more at this time.
+   * Accepts a job: 201 if it is new, 200 if it was accepted before, 400 if it is malformed, 422 if
+   * it can never run, and 503 if that can't be said or stored now.
    */
-  private HttpResponse notWritten() {
-    return new HttpResponse(
-        503,
-        Json.error("the store does not answer"),
-        returns.afterSeconds(scheduler.nowMicros(), store.userWritesPerSecond()),
-        false);
+  void submit(byte[] body, Consumer<HttpResponse> answer) {
+    long beginMicros = scheduler.nowMicros();
+    validate(
+        body,
+        response -> {
+          long tookMicros = scheduler.nowMicros() - beginMicros;
+          metrics.record(Timing.SUBMISSION, tookMicros);
+          LOG.debug(
+              "a submission was answered {} after {} ms", response.status(), tookMicros / 1000);
+          answer.accept(response);
+        });
   }
 
-  void submit(byte[] body, Consumer<HttpResponse> answer) {
+  private void validate(byte[] body, Consumer<HttpResponse> answer) {
     Fields fields;
     String id;
     try {
       fields = Json.readObject(body);
       id = JobCodec.readId(fields);
     } catch (MalformedMessageException e) {
-      answer.accept(HttpResponse.of(400, Json.error(e.getMessage())));
+      answer.accept(Responses.error(400, e.getMessage()));
       return;
     }
-    JobSpec spec;
+    JobSpec job;
     try {
-      spec = JobCodec.read(fields);
+      job = JobCodec.read(fields);
     } catch (MalformedMessageException e) {
-      refuse(id, HttpResponse.of(400, Json.error(e.getMessage())), answer);
+      refuseUnlessKnown(id, Responses.error(400, e.getMessage()), answer);
       return;
     }
+    admit(id, job, answer);
+  }
+
+  private void admit(String id, JobSpec job, Consumer<HttpResponse> answer) {
     if (!catalog.known()) {
-      refuse(id, unavailable("the machine types are not known yet"), answer);
+      refuseUnlessKnown(id, Responses.unavailable("the machine types are not known yet"), answer);
       return;
     }
-    String impossible = JobAdmission.impossible(spec, teams, catalog.types().values());
-    if (impossible != null) {
-      refuse(id, HttpResponse.of(422, Json.error(impossible)), answer);
+    Optional<RejectionReason> rejection =
+        JobAdmission.rejection(job, teams, catalog.types().values());
+    if (rejection.isPresent()) {
+      refuseUnlessKnown(id, Responses.error(422, rejection.get().text()), answer);
       return;
     }
-    byte[] record = JobRecords.live(spec, scheduler.wallMicros());
-    if (record.length > mostValueBytes) {
-      refuse(id, HttpResponse.of(400, Json.error("the job is too large to be kept")), answer);
+    byte[] record = JobRecords.live(job, scheduler.wallMicros());
+    if (record.length > maxRecordBytes) {
+      refuseUnlessKnown(id, Responses.error(400, "the job is too large to be kept"), answer);
       return;
     }
-    accept(id, record, answer);
+    store(id, record, answer);
   }
 
   /** A known job is answered as known, whatever the repeated submission looks like. */
-  private void refuse(String id, HttpResponse refusal, Consumer<HttpResponse> answer) {
-    find(
+  private void refuseUnlessKnown(String id, HttpResponse refusal, Consumer<HttpResponse> answer) {
+    reader.find(
         id,
-        known ->
-            answer.accept(
-                known == null
-                    ? unavailable("the store does not answer")
-                    : known.live() == null && known.finished() == null
-                        ? refusal
-                        : submitted(200, id, known)));
+        job -> {
+          if (job instanceof JobLookup.Unknown) {
+            answer.accept(Responses.unavailable(STORE_SILENT));
+          } else if (job instanceof JobLookup.Absent) {
+            answer.accept(refusal);
+          } else {
+            answer.accept(currentState(id, job));
+          }
+        });
   }
 
-  private void accept(String id, byte[] record, Consumer<HttpResponse> answer) {
-    List<Condition> absent =
-        List.of(new Condition(Keys.live(id), 0), new Condition(Keys.finished(id), 0));
+  /** Compare-and-swap: writes the job on the condition that it is neither live nor finished. */
+  private void store(String id, byte[] record, Consumer<HttpResponse> answer) {
     store.commit(
-        absent,
+        List.of(new Condition(Keys.live(id), 0), new Condition(Keys.finished(id), 0)),
         List.of(Write.put(Keys.live(id), record)),
         reply -> {
           if (reply.is(Outcome.OK)) {
             answer.accept(HttpResponse.of(201, JobCodec.state(id, JobState.PENDING)));
           } else if (reply.is(Outcome.CONFLICT)) {
-            refuse(id, unavailable("the job's state is changing"), answer);
+            refuseUnlessKnown(id, Responses.unavailable("the job's state is changing"), answer);
           } else {
             answer.accept(notWritten());
           }
         });
   }
 
-  private HttpResponse submitted(int status, String id, Known known) {
-    JobState state = known.finished() != null ? known.finished().state() : liveState(id);
-    return HttpResponse.of(status, JobCodec.state(id, state));
-  }
-
-  private JobState liveState(String id) {
-    JobProgress now = progress.apply(id);
-    return now != null && now.running() > 0 ? JobState.RUNNING : JobState.PENDING;
-  }
-
-  void poll(String id, Consumer<HttpResponse> answer) {
+  /** Answers how far the job has come: 404 if there is none, 503 if the store does not answer. */
+  void status(String id, Consumer<HttpResponse> answer) {
     if (!JobCodec.validId(id)) {
-      answer.accept(HttpResponse.of(404, Json.error("no such job")));
+      answer.accept(Responses.error(404, NO_SUCH_JOB));
       return;
     }
-    find(id, known -> answer.accept(polled(id, known)));
+    reader.find(id, job -> answer.accept(statusOf(id, job)));
   }
 
-  private HttpResponse polled(String id, Known known) {
-    if (known == null) {
-      return unavailable("the store does not answer");
+  private HttpResponse statusOf(String id, JobLookup job) {
+    if (job instanceof JobLookup.Finished finished) {
+      JobRecords.Finished end = finished.end();
+      return HttpResponse.of(200, JobCodec.status(id, end.state(), end.done(), 0));
     }
-    if (known.finished() != null) {
-      return HttpResponse.of(
-          200, JobCodec.status(id, known.finished().state(), known.finished().done(), 0));
+    if (job instanceof JobLookup.Live live) {
+      Optional<JobProgress> current = progress.apply(id);
+      int tasks = live.job().spec().tasks();
+      int done = Math.min(current.map(JobProgress::done).orElse(0), tasks);
+      int running = current.map(JobProgress::running).orElse(0);
+      return HttpResponse.of(200, JobCodec.status(id, liveState(id), done, running));
     }
-    if (known.live() == null) {
-      return HttpResponse.of(404, Json.error("no such job"));
-    }
-    JobProgress now = progress.apply(id);
-    int done = now == null ? 0 : Math.min(now.done(), known.live().spec().tasks());
-    return HttpResponse.of(
-        200, JobCodec.status(id, liveState(id), done, now == null ? 0 : now.running()));
+    return notFound(job);
   }
 
-  void withdraw(String id, Consumer<HttpResponse> answer) {
+  /**
+   * Cancels the job: 200 with its state, which is another one if it had ended before; 404 if there
+   * is none, 503 if the store does not answer or take the write.
+   */
+  void cancel(String id, Consumer<HttpResponse> answer) {
     if (!JobCodec.validId(id)) {
-      answer.accept(HttpResponse.of(404, Json.error("no such job")));
+      answer.accept(Responses.error(404, NO_SUCH_JOB));
       return;
     }
-    withdraw(id, MOST_TRIES, answer);
+    cancel(id, MAX_CANCEL_TRIES, answer);
   }
 
-  private void withdraw(String id, int tries, Consumer<HttpResponse> answer) {
-    find(
+  private void cancel(String id, int triesLeft, Consumer<HttpResponse> answer) {
+    reader.find(
         id,
-        known -> {
-          if (known == null || tries == 0) {
-            answer.accept(unavailable("the store does not answer"));
-          } else if (known.finished() != null) {
-            answer.accept(submitted(200, id, known));
-          } else if (known.live() == null) {
-            answer.accept(HttpResponse.of(404, Json.error("no such job")));
+        job -> {
+          if (triesLeft == 0) {
+            answer.accept(Responses.unavailable(STORE_SILENT));
+          } else if (job instanceof JobLookup.Finished) {
+            answer.accept(currentState(id, job));
+          } else if (job instanceof JobLookup.Live live) {
+            writeCancellation(id, live, triesLeft, answer);
           } else {
-            cancel(id, known, tries, answer);
+            answer.accept(notFound(job));
           }
         });
   }
 
-  private void cancel(String id, Known known, int tries, Consumer<HttpResponse> answer) {
-    JobProgress now = progress.apply(id);
-    JobRecords.Finished end =
-        new JobRecords.Finished(JobState.CANCELLED, now == null ? 0 : now.done());
+  /** Compare-and-swap: moves the job from live to finished if it has not changed since. */
+  private void writeCancellation(
+      String id, JobLookup.Live live, int triesLeft, Consumer<HttpResponse> answer) {
+    int done = progress.apply(id).map(JobProgress::done).orElse(0);
+    JobRecords.Finished end = new JobRecords.Finished(JobState.CANCELLED, done);
     List<Write> writes =
         List.of(
             Write.drop(Keys.live(id)),
             Write.put(Keys.finished(id), JobRecords.finished(end.state(), end.done())));
     store.commit(
-        List.of(new Condition(Keys.live(id), known.version())),
+        List.of(new Condition(Keys.live(id), live.version())),
         writes,
         reply -> {
           if (reply.is(Outcome.OK)) {
-            remembered.put(id, end);
+            reader.rememberFinished(id, end);
             answer.accept(HttpResponse.of(200, JobCodec.state(id, JobState.CANCELLED)));
           } else if (reply.is(Outcome.CONFLICT)) {
-            withdraw(id, tries - 1, answer);
+            cancel(id, triesLeft - 1, answer);
           } else {
             answer.accept(notWritten());
           }
         });
   }
 
-  /**
-   * Looks the job up, live first and then finished, since it only ever moves that way; null if
-   * unknowable.
-   */
-  private void find(String id, Consumer<Known> found) {
-    JobRecords.Finished end = remembered.get(id);
-    if (end != null) {
-      found.accept(new Known(null, 0, end));
-      return;
-    }
-    Known seen = seenLive.get(id);
-    if (seen != null) {
-      checks.ask(
-          id,
-          seen.version(),
-          answer -> {
-            switch (answer) {
-              case LIVE -> found.accept(seen);
-              case MOVED -> findMoved(id, found);
-              default -> found.accept(null);
-            }
-          });
-      return;
-    }
-    store.get(
-        Keys.live(id),
-        live -> {
-          if (live.is(Outcome.OK)) {
-            found.accept(readLive(id, live.value()));
-          } else if (live.is(Outcome.GONE)) {
-            findMoved(id, found);
-          } else {
-            found.accept(null);
-          }
-        });
+  /** The state of a job that is live or finished. */
+  private HttpResponse currentState(String id, JobLookup job) {
+    JobState state =
+        job instanceof JobLookup.Finished finished ? finished.end().state() : liveState(id);
+    return HttpResponse.of(200, JobCodec.state(id, state));
   }
 
-  private void findMoved(String id, Consumer<Known> found) {
-    seenLive.remove(id);
-    store.get(Keys.finished(id), finished -> found.accept(readFinished(id, finished)));
+  private JobState liveState(String id) {
+    boolean running = progress.apply(id).map(JobProgress::running).orElse(0) > 0;
+    return running ? JobState.RUNNING : JobState.PENDING;
   }
 
-  private Known readLive(String id, Item item) {
-    try {
-      Known known = new Known(JobRecords.readLive(item.value()), item.version(), null);
-      seenLive.put(id, known);
-      return known;
-    } catch (MalformedMessageException e) {
-      return null;
-    }
+  /** The answer for a job that is absent or not known. */
+  private static HttpResponse notFound(JobLookup job) {
+    return job instanceof JobLookup.Absent
+        ? Responses.error(404, NO_SUCH_JOB)
+        : Responses.unavailable(STORE_SILENT);
   }
 
-  private Known readFinished(String id, StoreReply<Item> reply) {
-    if (reply.is(Outcome.GONE)) {
-      return new Known(null, 0, null);
-    }
-    if (!reply.is(Outcome.OK)) {
-      return null;
-    }
-    try {
-      JobRecords.Finished end = JobRecords.readFinished(reply.value().value());
-      remembered.put(id, end);
-      return new Known(null, 0, end);
-    } catch (MalformedMessageException e) {
-      return null;
-    }
+  /**
+   * A user's write that the store did not take: it was not reached, or takes no more at this time.
+   */
+  private HttpResponse notWritten() {
+    int retryAfterS = retryAfter.afterSeconds(scheduler.nowMicros(), store.userWritesPerSecond());
+    return new HttpResponse(503, Json.error(STORE_SILENT), retryAfterS, false);
   }
 }
--- a/src/main/java/madderrudder/service/WriteRateAllocator.java
+++ b/src/main/java/madderrudder/service/WriteRateAllocator.java
@@ -4,67 +4,75 @@
 import java.util.Map;
 
 /**
- * Shares the store's writes that are meant for users out among the controllers, by what their users
- * want: a balancer that finds one controller healthy first sends everybody there, and they stay.
- * Each controller works its own share out from what it has heard lately; one that is not heard
- * keeps an equal part, so that together they never take more.
+ * Shares the store's write rate that is meant for users out among the controllers, by the demand of
+ * their users: a load balancer that finds one controller healthy first sends everybody there, and
+ * they stay. Each controller works out its own share from what it has heard lately; one that is not
+ * heard keeps an equal share, so that together they never exceed the rate.
+ *
+ * <p>Confined to the event loop thread; rates are writes a second, times microseconds of the steady
+ * clock.
  */
 final class WriteRateAllocator {
   private static final long FRESH_MICROS = 2_000_000;
   private static final double RECENT_WEIGHT = 0.5;
 
-  /**
-   * What each controller counts as wanting at least, in writes a second: the next user may come to
-   * any of them.
-   */
-  private static final double LEAST_WANTED = 1;
+  /** Each controller counts as wanting this at least: the next user may come to any of them. */
+  private static final double MIN_DEMAND = 1;
 
   private final double usersPerSecond;
   private final int members;
-  private final Map<String, Heard> peers = new HashMap<>();
-  private double wanted;
-  private double lentPerSecond;
-  private long lentMicros;
+  private final Map<String, PeerDemand> peers = new HashMap<>();
+  private double demandPerSecond;
+  private double sparePerSecond;
+  private long spareMicros;
 
-  private record Heard(double wanted, long atMicros) {}
+  private record PeerDemand(double perSecond, long heardMicros) {}
 
+  /**
+   * Creates an allocator that knows of no demand.
+   *
+   * @param usersPerSecond the rate to be shared out
+   * @param members the number of controllers
+   */
   WriteRateAllocator(double usersPerSecond, int members) {
     this.usersPerSecond = usersPerSecond;
     this.members = members;
   }
 
-  /** What users have wanted here since the last time, in writes a second. */
-  void wanted(double perSecond) {
-    wanted += RECENT_WEIGHT * (perSecond - wanted);
+  /** Notes what users have wanted here since the last time. */
+  void recordDemand(double perSecond) {
+    demandPerSecond += RECENT_WEIGHT * (perSecond - demandPerSecond);
   }
 
-  double wanted() {
-    return wanted;
+  /** The recent demand of the users here. */
+  double demandPerSecond() {
+    return demandPerSecond;
   }
 
-  /** What users of another controller want. */
-  void heard(String member, double perSecond, long nowMicros) {
-    peers.put(member, new Heard(perSecond, nowMicros));
+  /** Notes the demand of the users of another controller. */
+  void recordPeerDemand(String member, double perSecond, long nowMicros) {
+    peers.put(member, new PeerDemand(perSecond, nowMicros));
   }
 
-  /** The leader leaves so much over of its own writes. */
-  void lent(double perSecond, long nowMicros) {
-    lentPerSecond = perSecond;
-    lentMicros = nowMicros;
+  /** Notes how much of its own rate the leader leaves over. */
+  void recordSpare(double perSecond, long nowMicros) {
+    sparePerSecond = perSecond;
+    spareMicros = nowMicros;
   }
 
-  /** What users may have here. */
-  double perSecond(long nowMicros) {
-    double all = usersPerSecond + (nowMicros - lentMicros < FRESH_MICROS ? lentPerSecond : 0);
-    double own = wanted + LEAST_WANTED;
+  /** The rate that users may have here at this moment. */
+  double sharePerSecond(long nowMicros) {
+    boolean spareFresh = nowMicros - spareMicros < FRESH_MICROS;
+    double total = usersPerSecond + (spareFresh ? sparePerSecond : 0);
+    double own = demandPerSecond + MIN_DEMAND;
     double sum = own;
     int heard = 1;
-    for (Heard peer : peers.values()) {
-      if (nowMicros - peer.atMicros() < FRESH_MICROS) {
-        sum += peer.wanted() + LEAST_WANTED;
+    for (PeerDemand peer : peers.values()) {
+      if (nowMicros - peer.heardMicros() < FRESH_MICROS) {
+        sum += peer.perSecond() + MIN_DEMAND;
         heard++;
       }
     }
-    return all * Math.min(heard, members) / members * own / sum;
+    return total * Math.min(heard, members) / members * own / sum;
   }
 }
--- a/src/test/java/madderrudder/LayersTest.java
+++ b/src/test/java/madderrudder/LayersTest.java
@@ -27,9 +27,10 @@
       delimiter = '|',
       nullValues = "-",
       value = {
+        "util|-",
         "transport|-",
         "protocol|-",
-        "estimates|protocol",
+        "estimates|util protocol",
         "persistence|transport protocol",
         "metrics|protocol estimates",
         "coordination.policy|protocol",
@@ -48,7 +49,7 @@
             + "coordination.reconciliation coordination.scheduling coordination.membership coordination.cloud "
             + "coordination.registry coordination.scaleout coordination.heartbeat",
         "config|transport protocol coordination.policy",
-        "service|transport protocol persistence metrics config coordination.policy coordination.membership "
+        "service|util transport protocol persistence metrics config coordination.policy coordination.membership "
             + "coordination.cloud coordination.registry coordination.leader",
         "cli|transport protocol estimates persistence metrics config coordination.policy coordination.membership service"
       })
--- a/src/test/java/madderrudder/service/JobAdmissionTest.java
+++ b/src/test/java/madderrudder/service/JobAdmissionTest.java
@@ -47,7 +47,7 @@
         "alto, SERVICE, 1, 5, -, east, true, true, -",
         "alto, ARRAY, 2, 4, -, east, true, true, -"
       })
-  void jobsThatCanNeverRunAreRefused(
+  void onlyJobsThatCanNeverRunAreRejected(
       String team,
       JobKind kind,
       int tasks,
@@ -77,6 +77,7 @@
             0,
             0,
             0);
-    assertEquals(why, JobAdmission.impossible(job, TEAMS, TYPES));
+    assertEquals(
+        why, JobAdmission.rejection(job, TEAMS, TYPES).map(RejectionReason::text).orElse(null));
   }
 }
--- a/src/test/java/madderrudder/service/WorkerRedirectsTest.java
+++ b/src/test/java/madderrudder/service/WorkerRedirectsTest.java
@@ -9,48 +9,66 @@
 class WorkerRedirectsTest {
   private static final long SECOND = 1_000_000;
 
-  private final WorkerRedirects detours = new WorkerRedirects(new SplittableRandom(1), 100);
+  private final WorkerRedirects redirects = new WorkerRedirects(new SplittableRandom(1), 100);
+
+  private boolean isServedHere(String machine, String zone, long seconds) {
+    return redirects.isServedHere(machine, zone, seconds * SECOND);
+  }
+
+  private void threeWorkersReturnFrom(String zone) {
+    for (String machine : new String[] {"m-1", "m-2", "m-3"}) {
+      assertFalse(isServedHere(machine, zone, 0));
+      assertTrue(isServedHere(machine, zone, 5));
+    }
+  }
 
   @Test
-  void aWorkerThatIsSoonBackIsServedForAWhileAndThenSentAgain() {
-    assertFalse(detours.serves("m-1", "east", 0));
-    assertTrue(detours.serves("m-1", "east", 6 * SECOND));
-    assertTrue(detours.serves("m-1", "east", 25 * SECOND));
-    assertFalse(detours.serves("m-1", "east", 60 * SECOND));
-    assertTrue(detours.serves("m-1", "east", 66 * SECOND));
+  void aWorkerThatReturnsSoonIsServedForAWhileAndThenRedirectedAgain() {
+    assertFalse(isServedHere("m-1", "east", 0));
+    assertTrue(isServedHere("m-1", "east", 6));
+    assertTrue(isServedHere("m-1", "east", 25));
+    assertFalse(isServedHere("m-1", "east", 60));
+    assertTrue(isServedHere("m-1", "east", 66));
   }
 
   @Test
-  void aWorkerThatComesBackMuchLaterWasThere() {
-    assertFalse(detours.serves("m-1", "east", 0));
-    assertFalse(detours.serves("m-1", "east", 20 * SECOND));
+  void aWorkerThatReturnsMuchLaterHadReachedTheLeader() {
+    assertFalse(isServedHere("m-1", "east", 0));
+    assertFalse(isServedHere("m-1", "east", 20));
   }
 
-  /**
-   * Sent in vain first, each worker of a zone that is apart would lose ten seconds of its lease.
-   */
+  /** Redirected in vain first, each worker of the zone would lose ten seconds of its lease. */
   @Test
-  void othersOfAZoneThatIsApartAreServedAtOnce() {
-    for (String machine : new String[] {"m-1", "m-2", "m-3"}) {
-      assertFalse(detours.serves(machine, "east", 0));
-      assertTrue(detours.serves(machine, "east", 5 * SECOND));
-    }
-    assertTrue(detours.serves("m-4", "east", 6 * SECOND));
-    assertFalse(detours.serves("m-5", "west", 6 * SECOND));
-    assertFalse(detours.serves("m-6", "east", 60 * SECOND), "nobody was back for long");
+  void othersOfAZoneThatIsCutOffAreServedAtOnce() {
+    threeWorkersReturnFrom("east");
+    assertTrue(isServedHere("m-4", "east", 6));
+  }
+
+  @Test
+  void otherZonesThanTheOneCutOffAreRedirected() {
+    threeWorkersReturnFrom("east");
+    assertTrue(isServedHere("m-4", "east", 6));
+    assertFalse(isServedHere("m-5", "west", 6));
+  }
+
+  @Test
+  void aZoneIsNoLongerTakenForCutOffOnceNobodyReturnedForLong() {
+    threeWorkersReturnFrom("east");
+    assertTrue(isServedHere("m-4", "east", 6));
+    assertFalse(isServedHere("m-6", "east", 60), "nobody returned for long");
   }
 
-  /** All sent again at the same moment, they would lose time together. */
+  /** All redirected again at the same moment, they would lose time together. */
   @Test
-  void workersAreSentAgainAtDifferentTimes() {
-    int sent = 0;
+  void workersAreRedirectedAgainAtDifferentTimes() {
+    int redirected = 0;
     for (int i = 0; i < 50; i++) {
-      detours.serves("m-" + i, "east", 0);
-      detours.serves("m-" + i, "east", 5 * SECOND);
+      isServedHere("m-" + i, "east", 0);
+      isServedHere("m-" + i, "east", 5);
     }
     for (int i = 0; i < 50; i++) {
-      sent += detours.serves("m-" + i, "east", 30 * SECOND) ? 0 : 1;
+      redirected += isServedHere("m-" + i, "east", 30) ? 0 : 1;
     }
-    assertTrue(sent > 5 && sent < 45, sent + " of 50");
+    assertTrue(redirected > 5 && redirected < 45, redirected + " of 50");
   }
 }
--- a/src/test/java/madderrudder/sim/World.java
+++ b/src/test/java/madderrudder/sim/World.java
@@ -228,7 +228,7 @@
     if (target != null) {
       // The length in front is the transport's business.
       ByteBuffer body = ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice();
-      target.clock().whenAwake(() -> target.node().frame(body));
+      target.clock().whenAwake(() -> target.node().receive(body));
     }
   }
 
