--- a/src/main/java/madderrudder/cli/Main.java
+++ b/src/main/java/madderrudder/cli/Main.java
@@ -6,9 +6,10 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
+import madderrudder.config.InvalidSettingsException;
+import madderrudder.config.MalformedSExpressionException;
 import madderrudder.config.OperatorSettings;
 import madderrudder.config.PlatformSettings;
-import madderrudder.config.SExpression;
 import madderrudder.coordination.policy.OperatorPolicy;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -104,7 +105,7 @@
     try {
       settings = readSettings(line.getOptionValue("config"));
       policy = readPolicy(line.getOptionValue("operator"));
-    } catch (PlatformSettings.Invalid e) {
+    } catch (InvalidSettingsException e) {
       e.problems().forEach(problem -> err.println("madderrudder: " + problem));
       return 1;
     }
@@ -117,27 +118,27 @@
     return new ServeCommand(settings, policy).run();
   }
 
-  private static PlatformSettings readSettings(String file) throws PlatformSettings.Invalid {
+  private static PlatformSettings readSettings(String file) throws InvalidSettingsException {
     try {
       return PlatformSettings.parse(Files.readAllBytes(Path.of(file)));
     } catch (IOException e) {
-      throw new PlatformSettings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-    } catch (PlatformSettings.Invalid e) {
-      throw new PlatformSettings.Invalid(
+      throw new InvalidSettingsException(List.of("can't read " + file + ": " + e.getMessage()));
+    } catch (InvalidSettingsException e) {
+      throw new InvalidSettingsException(
           e.problems().stream().map(problem -> file + ": " + problem).toList());
     }
   }
 
-  private static OperatorPolicy readPolicy(String file) throws PlatformSettings.Invalid {
+  private static OperatorPolicy readPolicy(String file) throws InvalidSettingsException {
     if (file == null) {
       return OperatorPolicy.defaults();
     }
     try {
       return OperatorSettings.parse(Files.readString(Path.of(file)));
     } catch (IOException e) {
-      throw new PlatformSettings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-    } catch (SExpression.Malformed e) {
-      throw new PlatformSettings.Invalid(List.of(file + ": " + e.getMessage()));
+      throw new InvalidSettingsException(List.of("can't read " + file + ": " + e.getMessage()));
+    } catch (MalformedSExpressionException e) {
+      throw new InvalidSettingsException(List.of(file + ": " + e.getMessage()));
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/FencingToken.java
+++ b/src/main/java/madderrudder/coordination/policy/FencingToken.java
@@ -1,9 +1,9 @@
 package madderrudder.coordination.policy;
 
 /**
- * The tokens that tell workers who may give commands: the term, and below it a count that the
- * leader of the term raises for a machine as it needs. A worker obeys nothing that carries a lower
- * token than the highest it has seen, so that raising it ends whatever was sent to it before,
+ * The fencing tokens that tell workers who may give commands: the term, and below it a count that
+ * the leader of the term raises for a machine as it needs. A worker obeys nothing that carries a
+ * lower token than the highest it has seen, so that raising it ends whatever was sent to it before,
  * copies that are still on their way too; and a worker that reports it has acted on an answer (the
  * users' protocol, "Tokens").
  */
@@ -29,7 +29,8 @@
   }
 
   /**
-   * The token to answer a worker with that has seen the one given: its own, if that is of the term.
+   * The token with which to answer a worker that has seen the one given: the seen one if it is of
+   * the term, and the lowest of the term otherwise.
    */
   public static long echo(long seen, long term) {
     return term(seen) == term ? seen : first(term);
--- a/src/main/java/madderrudder/coordination/policy/TeamQuota.java
+++ b/src/main/java/madderrudder/coordination/policy/TeamQuota.java
@@ -2,14 +2,20 @@
 
 import madderrudder.protocol.Resources;
 
-/** A team: what it is guaranteed, and what its tasks may take at most. Memory is not shared out. */
+/**
+ * A team's quota. Memory is not shared out.
+ *
+ * @param name the team's name
+ * @param guaranteed what the team is guaranteed
+ * @param limit what the team's tasks may take at most
+ */
 public record TeamQuota(String name, Resources guaranteed, Resources limit) {
   private static final long UNBOUNDED = Long.MAX_VALUE / 2;
 
   /**
-   * As the platform's settings say it, where 0 stands for none: no limit, and no guarantee. What is
-   * shared out by accelerators alone leaves processors free; taken for a limit of 0, that once kept
-   * every job of a deployment out.
+   * A quota as the platform's settings say it, where 0 stands for no limit and no guarantee. A team
+   * whose quota is in accelerators alone has its processors unlimited; taken for a limit of 0, that
+   * once rejected every job of a deployment.
    */
   public static TeamQuota of(String name, Resources guaranteed, Resources limit) {
     boolean guarantees = guaranteed.milliCpus() > 0 || guaranteed.milliGpus() > 0;
@@ -24,11 +30,12 @@
         bound.memoryMb());
   }
 
-  /** Whether the team stays within its limit when it takes that much. */
+  /** Whether the team stays within its limit when its tasks take that much in all. */
   public boolean allows(Resources total) {
     return within(total, limit);
   }
 
+  /** Whether the team stays within its guarantee when its tasks take that much in all. */
   public boolean guarantees(Resources total) {
     return within(total, guaranteed);
   }
--- a/src/test/java/madderrudder/config/SettingsPropertiesTest.java
+++ b/src/test/java/madderrudder/config/SettingsPropertiesTest.java
@@ -10,7 +10,6 @@
 import java.util.stream.Collectors;
 import madderrudder.config.SExpression.Atom;
 import madderrudder.config.SExpression.Items;
-import madderrudder.config.SExpression.Malformed;
 import madderrudder.protocol.Documents;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
@@ -78,7 +77,8 @@
   }
 
   @Property(seed = "41")
-  void anExpressionReadsBackTheSame(@ForAll("trees") Tree tree) throws Malformed {
+  void anExpressionReadsBackTheSame(@ForAll("trees") Tree tree)
+      throws MalformedSExpressionException {
     assertEquals(tree, withoutPlaces(SExpression.parse(tree.toString())));
   }
 
@@ -117,12 +117,14 @@
     boolean taken = true;
     try {
       OperatorSettings.parse(text);
-    } catch (Malformed e) {
+    } catch (MalformedSExpressionException e) {
       taken = false;
       Matcher place = PLACE.matcher(e.getMessage());
       assertTrue(place.lookingAt(), e.getMessage());
       List<String> lines = List.of(text.split("\n", -1));
       int line = Integer.parseInt(place.group(1));
+      assertEquals(line, e.line());
+      assertEquals(Integer.parseInt(place.group(2)), e.column());
       assertTrue(line >= 1 && line <= lines.size(), e.getMessage());
       assertTrue(
           Integer.parseInt(place.group(2)) <= lines.get(line - 1).length() + 1, e.getMessage());
@@ -141,7 +143,7 @@
     boolean taken = true;
     try {
       PlatformSettings.parse(text);
-    } catch (PlatformSettings.Invalid e) {
+    } catch (InvalidSettingsException e) {
       taken = false;
       assertFalse(e.problems().isEmpty());
       assertTrue(e.problems().stream().noneMatch(String::isBlank), e.getMessage());
--- a/src/test/java/madderrudder/config/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -27,44 +27,48 @@
               "cloud":{"rps":2.0,"list_lag_s":4.0},"limits":{"max_sockets":900},"clock_off_ms":250.0}}
             """;
 
-  private static PlatformSettings parse(String text) throws PlatformSettings.Invalid {
+  private static PlatformSettings parse(String text) throws InvalidSettingsException {
     return PlatformSettings.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void readsWhatThePlatformHandsOver() throws PlatformSettings.Invalid {
+  void platformSettingsAreRead() throws InvalidSettingsException {
     PlatformSettings settings = parse(GOOD);
     assertEquals(14_000_000, settings.deployment().workers().leaseMicros());
     assertEquals(2, settings.deployment().members());
     assertEquals(900, settings.maxSockets());
   }
 
-  /** Teams shared out by accelerators alone have a limit of 0 processors, which stands for none. */
+  private static TeamQuota team(String text) throws InvalidSettingsException {
+    return parse(text).deployment().teams().get("alto");
+  }
+
+  /** Quotas in accelerators alone have a limit of 0 processors, which stands for none. */
   @Test
-  void aLimitOfNoneLeavesTheResourceFree() throws PlatformSettings.Invalid {
+  void aQuotaOfZeroLeavesTheResourceUnlimited() throws InvalidSettingsException {
     TeamQuota team =
-        parse(
-                GOOD.replace(
-                    "\"cpus\":32.0,\"cpus_max\":72.0,\"gpus\":0.0,\"gpus_max\":0.0",
-                    "\"cpus\":0.0,\"cpus_max\":0.0,\"gpus\":9.0,\"gpus_max\":20.0"))
-            .deployment()
-            .teams()
-            .get("alto");
+        team(
+            GOOD.replace(
+                "\"cpus\":32.0,\"cpus_max\":72.0,\"gpus\":0.0,\"gpus_max\":0.0",
+                "\"cpus\":0.0,\"cpus_max\":0.0,\"gpus\":9.0,\"gpus_max\":20.0"));
     assertTrue(team.allows(Resources.of(5_000, 20, 0)));
     assertFalse(team.allows(Resources.of(1, 21, 0)));
     assertTrue(team.guarantees(Resources.of(5_000, 9, 0)));
     assertFalse(team.guarantees(Resources.of(1, 10, 0)));
-    TeamQuota free =
-        parse(GOOD.replace("\"cpus\":32.0", "\"cpus\":0.0")).deployment().teams().get("alto");
-    assertFalse(free.guarantees(Resources.of(1, 0, 0)));
-    assertFalse(free.allows(Resources.of(73, 0, 0)));
   }
 
   @Test
-  void namesEveryProblemAtOnce() {
-    PlatformSettings.Invalid invalid =
+  void aTeamWithoutAGuaranteeIsGuaranteedNothing() throws InvalidSettingsException {
+    TeamQuota team = team(GOOD.replace("\"cpus\":32.0", "\"cpus\":0.0"));
+    assertFalse(team.guarantees(Resources.of(1, 0, 0)));
+    assertFalse(team.allows(Resources.of(73, 0, 0)));
+  }
+
+  @Test
+  void everyProblemIsNamedAtOnce() {
+    InvalidSettingsException invalid =
         assertThrows(
-            PlatformSettings.Invalid.class,
+            InvalidSettingsException.class,
             () ->
                 parse(
                     GOOD.replace("\"lease_s\":14.0", "\"lease_s\":0")
@@ -78,17 +82,32 @@
     assertEquals(4, invalid.problems().size(), all);
   }
 
+  @ParameterizedTest
+  @CsvSource({
+    "127.0.0.1:8443, cloud:8443, external.cloud: \"cloud:8443\"",
+    "127.0.0.1:8082, nowhere, members[0].peer_addr: \"nowhere\"",
+    "report_s\":2.0, report_s\":0, 'deployment.workers.report_s: must be above 0, not 0.0'",
+    "txn_ops\":48, txn_ops\":7, 'deployment.state.txn_ops: must be at least 8, not 7'",
+    "value_kb\":16.0, value_kb\":2.5, 'deployment.state.value_kb: must be at least 4, not 2.5'"
+  })
+  void aProblemNamesTheSettingAndItsValue(String good, String wrong, String problem) {
+    InvalidSettingsException invalid =
+        assertThrows(InvalidSettingsException.class, () -> parse(GOOD.replace(good, wrong)));
+    assertEquals(1, invalid.problems().size(), invalid.getMessage());
+    assertTrue(invalid.problems().get(0).startsWith(problem), invalid.getMessage());
+  }
+
   @Test
-  void refusesTimesWithoutASafeBound() {
-    PlatformSettings.Invalid invalid =
+  void timesWithoutASafeBoundAreRefused() {
+    InvalidSettingsException invalid =
         assertThrows(
-            PlatformSettings.Invalid.class,
+            InvalidSettingsException.class,
             () -> parse(GOOD.replace("\"cancel_s\":44.0", "\"cancel_s\":18.0")));
     assertTrue(invalid.getMessage().contains("cancel_s"));
   }
 
   @Test
-  void readsTheOperatorsFile() throws SExpression.Malformed {
+  void operatorSettingsAreRead() throws MalformedSExpressionException {
     OperatorPolicy policy =
         OperatorSettings.parse(
             "; ours\n(madderrudder (threshold-s 2.5) (budget \"7\") (spot never))");
@@ -108,14 +127,16 @@
         "(other)|expected (madderrudder",
         "(madderrudder) 1|column 16",
         "(madderrudder (budget 1) (budget 2))|set twice",
-        "(madderrudder (idle-s -1))|expected a number",
+        "(madderrudder (idle-s -1))|expected a number from 1.0 to 86400.0, not \"-1\"",
+        "(madderrudder (deputies yes))|expected on or off, not \"yes\"",
+        "(madderrudder (spot often))|expected never, uncounted or always, not \"often\"",
         "(madderrudder (spot \"x))|string without end",
         "''|expected an expression",
         ")|unexpected )"
       })
-  void pointsAtMistakesInTheOperatorsFile(String text, String complaint) {
-    SExpression.Malformed malformed =
-        assertThrows(SExpression.Malformed.class, () -> OperatorSettings.parse(text));
+  void mistakesInTheOperatorSettingsArePointedAt(String text, String complaint) {
+    MalformedSExpressionException malformed =
+        assertThrows(MalformedSExpressionException.class, () -> OperatorSettings.parse(text));
     assertTrue(malformed.getMessage().contains(complaint), malformed.getMessage());
   }
 }
