--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -7,12 +7,12 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.RunTimes;
+import madderrudder.estimates.ClassSummary;
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.EstimatePages;
-import madderrudder.estimates.EstimatePages.Refused;
 import madderrudder.estimates.EstimateQuery;
 import madderrudder.estimates.Estimator;
-import madderrudder.estimates.Estimator.ClassSummary;
+import madderrudder.estimates.MalformedPageException;
 import madderrudder.estimates.TaskRun;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
@@ -78,7 +78,7 @@
     for (Item item : items) {
       try {
         pages.read(item.value().text("d"));
-      } catch (MalformedMessageException | Refused e) {
+      } catch (MalformedMessageException | MalformedPageException e) {
         LOG.info(
             "{} of run times is left out, they are learned afresh: {}", item.key(), e.getMessage());
       }
@@ -192,7 +192,7 @@
       out.writeNumberField("low", known.low());
       out.writeNumberField("median", known.median());
       out.writeNumberField("high", known.high());
-      out.writeNumberField("share", known.share());
+      out.writeNumberField("share", known.coverage());
       out.writeEndObject();
     }
     out.writeEndObject();
--- a/src/main/java/madderrudder/estimates/Estimator.java
+++ b/src/main/java/madderrudder/estimates/Estimator.java
@@ -1,604 +1,241 @@
 package madderrudder.estimates;
 
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
-import java.util.function.BiConsumer;
 import madderrudder.estimates.Estimate.Basis;
-import madderrudder.estimates.TaskProfile.JobKind;
 
 /**
- * Learns from tasks that have run how long others will. Each level that has evidence takes n / (n +
- * {@link #DOUBT}) of the weight that more alike levels have left over, so that a new kind of job
- * begins with what it resembles and comes to stand on its own; what all of them leave over is the
- * owner's guess. The bounds are what such estimates have held lately ({@link Scores}). See {@code
- * docs/estimates.md} for the ways that were weighed and what they reached.
+ * Learns from tasks that have run how long others will run. The median comes from a hierarchical
+ * model ({@link Predictor}), the prediction interval from how far similar predictions have missed
+ * lately ({@link IntervalCalibration}). {@code docs/estimates.md} has the methods that were
+ * compared and their results.
  *
- * <p>Has no clock and no store, and is not safe for use by several threads. Memory is bounded by
- * the numbers of kinds and jobs it is given; the least recently used is forgotten.
+ * <p>Has no clock and no store, and is not safe for use by several threads; the controller confines
+ * it to the event loop thread. Memory is bounded by the numbers of profiles and jobs that it is
+ * given; the least recently used are forgotten.
  */
 public final class Estimator {
-  /** So many runs of a level weigh as much as all that is less alike. */
-  private static final double DOUBT = 4;
+  /** A run that was stopped before nearly all others end gives no information. */
+  private static final double MIN_INFORMATIVE_PROBABILITY = 0.05;
 
-  /**
-   * Tasks of one job are mostly more alike than anything else; in some classes no more than others
-   * are.
-   */
-  private static final double DOUBT_OF_SIBLINGS = 1;
-
-  private static final double DOUBT_OF_STRANGE_SIBLINGS = 16;
-
-  /** Ratios are kept as whole numbers; this is a ratio of one. */
-  private static final long ONE = 1_024;
-
-  /** No ratio is kept, and no bound given, further off than this. */
-  private static final long MOST = 64;
-
-  private static final long MILLI = 1_000;
-
-  /**
-   * The bounds that observations are judged by, whatever users ask; between them and the median
-   * lies a unit.
-   */
-  private static final double JUDGED_SHARE = 0.8;
-
-  private static final double LEAST_UNIT = 0.02;
-
-  /** The time itself has to foretell better than the ratio by this much, after so many jobs. */
-  private static final double BETTER = 0.9;
-
-  private static final int JUDGED_ENOUGH = 8;
-  private static final double MOST_LOSS = 3;
-
-  /** So many scores of a class's own are preferred to those of all. */
-  private static final int SCORES_ENOUGH = 100;
-
-  private static final int LEAST_SCORES = 20;
-
-  /** A run that was stopped before nearly all others end says nothing. */
-  private static final double LEAST_SAID = 0.05;
+  /** Multiples of it, modulo 1, are spread evenly between 0 and 1 however many there are. */
+  private static final double GOLDEN_RATIO = 0.6180339887498949;
 
-  private static final double GOLDEN = 0.6180339887498949;
+  private final EvidenceStore evidence;
+  private final Predictor predictor;
+  private final ModelSelection modelSelection;
+  private final IntervalCalibration calibration;
+  private final MachineSpeeds machineSpeeds = new MachineSpeeds();
+  private final EstimatorCounts counts = new EstimatorCounts();
 
-  /** A machine is set aside whose tasks on average end this many units late. */
-  private static final double SLOW_UNITS = 1.5;
-
-  private static final int SLOW_RUNS = 4;
-  private static final double MACHINE_FORGETTING = 0.1;
-  private static final int TYPE_RUNS = 256;
-  private static final double TYPE_FORGETTING = 0.002;
-  private static final double TYPE_SPEED = 0.05;
-  private static final double MOST_TYPE_SPEED = Math.log(4);
-
-  /** The levels whose kinds outlast a job. */
-  static final List<Level> KINDS = List.of(Level.WORK, Level.TEAM, Level.CLASS, Level.ALL);
-
-  private final Way way;
-  private final Map<JobKind, Evidence> kinds;
-  private final Map<Grade, Scores> scores;
-  private final Map<String, Siblings> jobs;
-  private final Paces machines = new Paces(MACHINE_FORGETTING);
-  private final Paces types = new Paces(TYPE_FORGETTING);
-  private final Counts counts = new Counts();
-
-  /**
-   * The ways to learn that were weighed; {@code docs/estimates.md} has what each of them reached.
-   */
-  public enum Way {
-    /** All levels, by their evidence, of what has run lately. */
-    BLEND,
-    /** The most alike level with enough runs alone, of what has run lately. */
-    NEAREST,
-    /** All levels, by their evidence, of all that has ever run. */
-    FOREVER;
-
-    int window(Level level) {
-      return this == FOREVER ? Integer.MAX_VALUE : level.window;
-    }
-  }
-
-  /** Tasks of one job. */
-  private static final class Siblings {
-    private final Sketch times = new Sketch(Level.JOB.window);
-    private int seen;
-    private long lastAttempt = -1;
+  /** An estimator that learns with {@link LearningMethod#HIERARCHICAL}. */
+  public Estimator(int maxProfiles, int maxJobs) {
+    this(maxProfiles, maxJobs, LearningMethod.HIERARCHICAL);
   }
 
   /**
-   * Estimates that are about as good: of a class, or of all where its name is empty, by so many
-   * runs of the level.
+   * An estimator that has seen nothing.
+   *
+   * @param maxProfiles how many profiles are remembered, and how many calibration keys
+   * @param maxJobs how many single jobs are remembered
+   * @param method how levels are combined
    */
-  record Grade(String jobClass, Level level, int evidence) {}
-
-  /** What has happened since this began; counts of runs. */
-  public static final class Counts {
-    private long learned;
-    private long stopped;
-    private long refused;
-    private long setAside;
-    private long shifts;
-    private long judged;
-    private long within;
-
-    /** Calls with each name and count. */
-    public void each(BiConsumer<String, Long> use) {
-      use.accept("learned", learned);
-      use.accept("stopped", stopped);
-      use.accept("refused", refused);
-      use.accept("set_aside", setAside);
-      use.accept("shifts", shifts);
-      use.accept("judged", judged);
-      use.accept("within_bounds", within);
-    }
+  public Estimator(int maxProfiles, int maxJobs, LearningMethod method) {
+    evidence = new EvidenceStore(maxProfiles, maxJobs, method);
+    predictor = new Predictor(evidence, method);
+    modelSelection = new ModelSelection(evidence, predictor, method);
+    calibration = new IntervalCalibration(maxProfiles);
   }
 
   /**
-   * A class's ratio of true times to guesses: its median and the bounds that hold the share of its
-   * runs.
-   */
-  public record ClassSummary(
-      String jobClass, int runs, double low, double median, double high, double share) {}
-
-  public Estimator(int mostKinds, int mostJobs) {
-    this(mostKinds, mostJobs, Way.BLEND);
-  }
-
-  public Estimator(int mostKinds, int mostJobs, Way way) {
-    this.way = way;
-    kinds = bounded(mostKinds);
-    scores = bounded(mostKinds);
-    jobs = bounded(mostJobs);
-  }
-
-  private static <K, V> Map<K, V> bounded(int most) {
-    return new LinkedHashMap<>(64, 0.75f, true) {
-      @Override
-      protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > most;
-      }
-    };
-  }
-
-  /** A level's part in an estimate. */
-  private record Part(Level level, Sketch sketch, double scale, double weight) {}
-
-  /**
-   * What is foretold of a task: the mixture and, as logarithms, how far its bounds lie from its
-   * median.
-   */
-  private record Foretold(
-      Mixture mixture, double median, double unitBelow, double unitAbove, Level level, int runs) {
-    /** How far the time lies from the median, in units; below 0 if it is less. */
-    double score(double micros) {
-      double off = Math.log(micros / median);
-      return off / (off < 0 ? unitBelow : unitAbove);
-    }
-  }
-
-  /**
-   * Takes a run in; false if it is absurd, or one more task of a gang's attempt that has been seen.
+   * Learns from a run.
+   *
+   * @return false if it is not plausible, or is one more task of a gang's attempt that has been
+   *     seen: nothing has changed then
    */
   public boolean observe(TaskRun run) {
-    if (!run.sane()) {
+    if (!run.isPlausible()) {
       counts.refused++;
       return false;
     }
     TaskProfile profile = run.profile();
-    Siblings siblings = jobs.computeIfAbsent(profile.job(), job -> new Siblings());
-    // The tasks of a gang's attempt run as long as each other: they are one run.
-    if (siblings.lastAttempt == run.attempt()) {
+    SiblingTasks siblings = evidence.siblings(profile.job());
+    if (!siblings.beginAttempt(run.attempt())) {
       return false;
     }
-    siblings.lastAttempt = run.attempt();
-    Foretold foretold = foretold(profile, run.guessMicros(), basis(profile, run.guessMicros()));
-    double tookMicros = run.tookMicros() / speed(run.type());
-    if (!run.complete()) {
-      tookMicros = whole(tookMicros, foretold);
-    } else if (foretold != null) {
-      if (slow(run, foretold, tookMicros)) {
-        counts.setAside++;
+    Optional<Prediction> prediction = predict(profile, run.ownerEstimateMicros());
+    double durationMicros = run.durationMicros() / machineSpeeds.typeFactor(run.machineType());
+    if (run.complete()) {
+      if (prediction.isPresent()
+          && !learnFromError(run, siblings, prediction.get(), durationMicros)) {
         return true;
       }
-      int side = judge(profile, foretold, tookMicros);
-      if (siblings.seen == 0) {
-        compare(run, side, tookMicros);
-      } else if (Integer.bitCount(siblings.seen) == 1) {
-        compareSiblings(run, tookMicros);
-      }
-    }
-    if (tookMicros > 0) {
-      learn(run, siblings, tookMicros);
+      learn(run, siblings, durationMicros);
+    } else {
+      counts.stopped++;
+      prediction
+          .flatMap(known -> imputedMicros(durationMicros, known))
+          .ifPresent(imputed -> learn(run, siblings, imputed));
     }
     return true;
   }
 
-  /**
-   * Whether the machine is so much slower than others that nothing is learned from what runs on it.
-   */
-  private boolean slow(TaskRun run, Foretold foretold, double tookMicros) {
-    double off = Math.log(run.tookMicros() / foretold.median());
-    types.add(run.type(), Math.max(-MOST_TYPE_SPEED, Math.min(MOST_TYPE_SPEED, off)));
-    // What lies above the median may be the faulty machine's own runs; the other side is not.
-    double unit = Math.min(foretold.unitBelow(), foretold.unitAbove());
-    machines.add(
-        run.machine(),
-        Math.max(-MOST_LOSS, Math.min(MOST_LOSS, Math.log(tookMicros / foretold.median()) / unit)));
-    return machines.beyondOthers(run.machine(), SLOW_RUNS) > SLOW_UNITS;
+  private Optional<Prediction> predict(TaskProfile profile, long ownerEstimateMicros) {
+    Basis basis = predictor.basis(profile, ownerEstimateMicros);
+    return predictor.predict(profile, ownerEstimateMicros, basis);
   }
 
-  /** How many times as long as elsewhere tasks take on machines of the type. */
-  private double speed(String type) {
-    double beyond = types.beyondOthers(type, TYPE_RUNS);
-    return Math.abs(beyond) < TYPE_SPEED ? 1 : Math.exp(beyond);
+  private void learn(TaskRun run, SiblingTasks siblings, double durationMicros) {
+    evidence.learn(run, siblings, durationMicros);
+    counts.learned++;
   }
 
   /**
-   * A run that was stopped stands for one of those that take longer than it did, each time for
-   * another of them, as in the estimator of Kaplan and Meier; 0 if it says nothing.
+   * Compares a complete run with its prediction; false if its machine is so slow that the run has
+   * to be set aside.
    */
-  private double whole(double ranMicros, Foretold foretold) {
-    counts.stopped++;
-    if (foretold == null || foretold.mixture().below(ranMicros) < LEAST_SAID) {
-      return 0;
+  private boolean learnFromError(
+      TaskRun run, SiblingTasks siblings, Prediction prediction, double durationMicros) {
+    if (machineSpeeds.isSlow(run, prediction, durationMicros)) {
+      counts.setAside++;
+      return false;
     }
-    double part = counts.stopped * GOLDEN;
-    return foretold.mixture().quantileBeyond(ranMicros, part - Math.floor(part));
-  }
-
-  /**
-   * Keeps how far off the estimate was, for the bounds of later ones; 1 if the run ended beyond the
-   * upper bound, -1 if below the lower one, and 0 between.
-   */
-  private int judge(TaskProfile profile, Foretold foretold, double tookMicros) {
-    int side =
-        tookMicros > high(profile, foretold, JUDGED_SHARE)
-            ? 1
-            : tookMicros < low(profile, foretold, JUDGED_SHARE) ? -1 : 0;
+    IntervalSide side = calibration.record(run.profile(), prediction, durationMicros);
     counts.judged++;
-    counts.within += side == 0 ? 1 : 0;
-    double score = foretold.score(tookMicros);
-    for (Grade grade : grades(profile, foretold)) {
-      scores.computeIfAbsent(grade, g -> new Scores()).add(score);
-    }
-    return side;
-  }
-
-  /**
-   * Of a job's first task: whether the ratio or the time would have been better, and whether all
-   * has changed.
-   */
-  private void compare(TaskRun run, int side, double tookMicros) {
-    double ratioLoss = loss(run, Basis.RATIO, tookMicros);
-    double timeLoss = loss(run, Basis.TIME, tookMicros);
-    for (Level level : KINDS) {
-      Evidence evidence = kinds.get(run.profile().kind(level));
-      if (evidence != null) {
-        evidence.judge(ratioLoss, timeLoss);
-        if (way != Way.FOREVER) {
-          boolean shifted = evidence.shifted(side, ratio(run, tookMicros), time(tookMicros));
-          counts.shifts += shifted ? 1 : 0;
-        }
-      }
+    if (side == IntervalSide.INSIDE) {
+      counts.withinInterval++;
     }
-  }
-
-  /**
-   * Of a job's further tasks: whether those that have ended foretold better than other jobs did.
-   */
-  private void compareSiblings(TaskRun run, double tookMicros) {
-    Evidence evidence = kinds.get(run.profile().kind(Level.CLASS));
-    if (evidence != null) {
-      Basis basis = basis(run.profile(), run.guessMicros());
-      evidence.judgeSiblings(
-          loss(
-                  foretold(parts(run.profile(), run.guessMicros(), basis, DOUBT_OF_SIBLINGS)),
-                  tookMicros)
-              - loss(
-                  foretold(
-                      parts(run.profile(), run.guessMicros(), basis, DOUBT_OF_STRANGE_SIBLINGS)),
-                  tookMicros));
+    if (siblings.isEmpty()) {
+      counts.shifts += modelSelection.compareBases(run, side, durationMicros);
+    } else if (siblings.countIsPowerOfTwo()) {
+      modelSelection.compareSiblings(run, durationMicros);
     }
-  }
-
-  private double loss(TaskRun run, Basis basis, double tookMicros) {
-    return loss(foretold(run.profile(), run.guessMicros(), basis), tookMicros);
-  }
-
-  private static double loss(Foretold foretold, double tookMicros) {
-    return foretold == null
-        ? MOST_LOSS
-        : Math.min(MOST_LOSS, Math.abs(Math.log(foretold.median() / tookMicros)));
-  }
-
-  private static long ratio(TaskRun run, double tookMicros) {
-    return run.guessMicros() == 0
-        ? 0
-        : Math.max(
-            ONE / MOST, Math.min(ONE * MOST, Math.round(ONE * tookMicros / run.guessMicros())));
-  }
-
-  private static long time(double tookMicros) {
-    return Math.max(1, Math.round(tookMicros / MILLI));
+    return true;
   }
 
   /**
-   * A job of many tasks says little more of other jobs than one of few: it counts with its first
-   * task, and each time that it has ended twice as many.
+   * A run that was stopped stands for one of those that take longer than it did, each time for
+   * another of them, as in the estimator of Kaplan and Meier; empty if it gives no information.
    */
-  private void learn(TaskRun run, Siblings siblings, double tookMicros) {
-    siblings.times.add(time(tookMicros));
-    siblings.seen++;
-    if (Integer.bitCount(siblings.seen) == 1) {
-      for (Level level : KINDS) {
-        kinds
-            .computeIfAbsent(run.profile().kind(level), kind -> new Evidence(way.window(level)))
-            .add(ratio(run, tookMicros), time(tookMicros));
-      }
-    }
-    counts.learned++;
-  }
-
-  private Basis basis(TaskProfile profile, long guessMicros) {
-    if (guessMicros == 0) {
-      return Basis.TIME;
-    }
-    for (Level level : List.of(Level.WORK, Level.CLASS)) {
-      Evidence evidence = kinds.get(profile.kind(level));
-      if (evidence != null && evidence.judged() >= JUDGED_ENOUGH) {
-        return evidence.timeLoss < BETTER * evidence.ratioLoss ? Basis.TIME : Basis.RATIO;
-      }
+  private Optional<Double> imputedMicros(double stoppedAfterMicros, Prediction prediction) {
+    PredictiveDistribution distribution = prediction.distribution();
+    if (distribution.cumulativeProbability(stoppedAfterMicros) < MIN_INFORMATIVE_PROBABILITY) {
+      return Optional.empty();
     }
-    return Basis.RATIO;
-  }
-
-  /** What a level with so many runs takes of the weight that there is. */
-  private double weight(int runs, double doubt) {
-    return way == Way.NEAREST ? (runs >= JUDGED_ENOUGH ? 1 : 0) : runs / (runs + doubt);
-  }
-
-  private List<Part> parts(TaskProfile profile, long guessMicros, Basis basis) {
-    Evidence evidence = kinds.get(profile.kind(Level.CLASS));
-    return parts(
-        profile,
-        guessMicros,
-        basis,
-        evidence == null || evidence.siblingsWorse <= 0
-            ? DOUBT_OF_SIBLINGS
-            : DOUBT_OF_STRANGE_SIBLINGS);
-  }
-
-  private List<Part> parts(
-      TaskProfile profile, long guessMicros, Basis basis, double doubtOfSiblings) {
-    List<Part> parts = new ArrayList<>(6);
-    double rest = 1;
-    Siblings siblings = jobs.get(profile.job());
-    if (siblings != null && siblings.seen > 0) {
-      double weight = weight(siblings.times.count(), doubtOfSiblings);
-      parts.add(new Part(Level.JOB, siblings.times, MILLI, weight));
-      rest -= weight;
-    }
-    for (Level level : KINDS) {
-      Evidence evidence = kinds.get(profile.kind(level));
-      // The times of other classes say nothing of this one's, but how wrong their owners' guesses
-      // are does.
-      boolean byTime = basis == Basis.TIME && level != Level.ALL;
-      if (evidence != null && (byTime || guessMicros > 0)) {
-        Sketch sketch = byTime ? evidence.times : evidence.ratios;
-        double weight = rest * weight(sketch.count(), DOUBT);
-        parts.add(new Part(level, sketch, byTime ? MILLI : (double) guessMicros / ONE, weight));
-        rest -= weight;
-      }
-    }
-    if (guessMicros > 0) {
-      parts.add(new Part(Level.NONE, null, guessMicros, rest));
-    }
-    parts.removeIf(part -> part.weight() <= 0);
-    return parts;
-  }
-
-  private static Mixture mixture(List<Part> parts) {
-    Mixture mixture = new Mixture();
-    for (Part part : parts) {
-      if (part.sketch() == null) {
-        mixture.addPrior(part.scale(), part.weight());
-      } else {
-        mixture.add(part.sketch(), part.scale(), part.weight());
-      }
-    }
-    return mixture;
-  }
-
-  /** Null if nothing is known. */
-  private Foretold foretold(TaskProfile profile, long guessMicros, Basis basis) {
-    return foretold(parts(profile, guessMicros, basis));
-  }
-
-  private static Foretold foretold(List<Part> parts) {
-    if (parts.isEmpty()) {
-      return null;
-    }
-    Mixture mixture = mixture(parts);
-    double median = mixture.quantile(0.5);
-    double below = Math.log(median / mixture.quantile((1 - JUDGED_SHARE) / 2));
-    double above = Math.log(mixture.quantile((1 + JUDGED_SHARE) / 2) / median);
-    Part most = parts.get(0);
-    for (Part part : parts) {
-      most = part.weight() > most.weight() ? part : most;
-    }
-    return new Foretold(
-        mixture,
-        median,
-        Math.max(LEAST_UNIT, below),
-        Math.max(LEAST_UNIT, above),
-        most.level(),
-        most.sketch() == null ? 0 : most.sketch().count());
-  }
-
-  private static List<Grade> grades(TaskProfile profile, Foretold foretold) {
-    int evidence = Integer.SIZE - Integer.numberOfLeadingZeros(foretold.runs());
-    return List.of(
-        new Grade(profile.jobClass(), foretold.level(), evidence),
-        new Grade("", foretold.level(), evidence));
+    double multiple = counts.stopped * GOLDEN_RATIO;
+    double probability = multiple - Math.floor(multiple);
+    return Optional.of(distribution.conditionalQuantile(stoppedAfterMicros, probability));
   }
 
   /**
-   * What estimates like this one have held: the class's own if there are enough. Null if nothing is
-   * known.
+   * The estimate for a task; {@link Estimate#isUnknown()} if nothing alike has run and there is no
+   * owner's estimate. For a task that has run for some time already, it is that of tasks that take
+   * longer.
    */
-  private Scores scores(TaskProfile profile, Foretold foretold) {
-    List<Grade> grades = grades(profile, foretold);
-    Scores own = scores.get(grades.get(0));
-    if (own != null && own.count() >= SCORES_ENOUGH) {
-      return own;
-    }
-    Scores all = scores.get(grades.get(1));
-    return all != null && all.count() >= LEAST_SCORES ? all : null;
-  }
-
-  private double high(TaskProfile profile, Foretold foretold, double share) {
-    Scores known = scores(profile, foretold);
-    double beyond = (1 - share) / 2;
-    double bound =
-        known == null
-            ? foretold.mixture().quantile(1 - beyond)
-            : foretold.median() * Math.exp(known.unitsAbove(beyond) * foretold.unitAbove());
-    return Math.min(bound, MOST * foretold.median());
-  }
-
-  private double low(TaskProfile profile, Foretold foretold, double share) {
-    Scores known = scores(profile, foretold);
-    double beyond = (1 - share) / 2;
-    double bound =
-        known == null
-            ? foretold.mixture().quantile(beyond)
-            : foretold.median() * Math.exp(-known.unitsBelow(beyond) * foretold.unitBelow());
-    return Math.max(bound, foretold.median() / MOST);
-  }
-
-  public Estimate estimate(EstimateQuery question) {
-    TaskProfile profile = question.profile();
-    Basis basis = basis(profile, question.guessMicros());
-    Foretold foretold = foretold(profile, question.guessMicros(), basis);
-    if (foretold == null) {
-      return Estimate.UNKNOWN;
-    }
-    double speed = speed(question.type());
-    double ran = question.ranMicros() / speed;
-    double median = foretold.mixture().quantileBeyond(ran, 0.5);
-    double low = low(profile, foretold, question.share());
-    double high = high(profile, foretold, question.share());
-    if (ran > 0) {
-      // The bounds of what has run for some time are those of what takes longer.
-      low = Math.max(ran, Math.min(low, median));
-      high = Math.max(high, foretold.mixture().quantileBeyond(ran, (1 + question.share()) / 2));
+  public Estimate estimate(EstimateQuery query) {
+    Basis basis = predictor.basis(query.profile(), query.ownerEstimateMicros());
+    return predictor
+        .predict(query.profile(), query.ownerEstimateMicros(), basis)
+        .map(prediction -> estimate(query, basis, prediction))
+        .orElse(Estimate.UNKNOWN);
+  }
+
+  private Estimate estimate(EstimateQuery query, Basis basis, Prediction prediction) {
+    double typeFactor = machineSpeeds.typeFactor(query.machineType());
+    double elapsed = query.elapsedMicros() / typeFactor;
+    PredictiveDistribution distribution = prediction.distribution();
+    double median = distribution.conditionalQuantile(elapsed, 0.5);
+    double low = calibration.lowerMicros(query.profile(), prediction, query.coverage());
+    double high = calibration.upperMicros(query.profile(), prediction, query.coverage());
+    if (elapsed > 0) {
+      // The interval of what has run for some time is that of what takes longer.
+      double upperQuantile = (1 + query.coverage()) / 2;
+      low = Math.max(elapsed, Math.min(low, median));
+      high = Math.max(high, distribution.conditionalQuantile(elapsed, upperQuantile));
     }
     return new Estimate(
-        micros(median * speed),
-        micros(low * speed),
-        micros(high * speed),
-        question.share(),
-        foretold.runs(),
-        foretold.level(),
+        wholeMicros(median * typeFactor),
+        wholeMicros(low * typeFactor),
+        wholeMicros(high * typeFactor),
+        query.coverage(),
+        prediction.runs(),
+        prediction.level(),
         basis);
   }
 
-  private static long micros(double micros) {
+  private static long wholeMicros(double micros) {
     return Math.max(1, Math.round(micros));
   }
 
   /**
-   * Why the estimate is what it is: each level's runs, its share of the weight, and its median in
-   * seconds.
+   * Why the estimate is what it is, in one line of text for operators: the basis, of each level the
+   * runs, the weight and the median in seconds, what the interval goes by, and the factor of the
+   * machine type.
    */
-  public String explain(EstimateQuery question) {
-    TaskProfile profile = question.profile();
-    Basis basis = basis(profile, question.guessMicros());
-    StringBuilder text = new StringBuilder("by " + basis.name().toLowerCase(Locale.ROOT));
-    for (Part part : parts(profile, question.guessMicros(), basis)) {
-      text.append(
-          String.format(
-              Locale.ROOT,
-              "; %s: %d runs, weight %.2f, median %.3f s",
-              part.level().name().toLowerCase(Locale.ROOT),
-              part.sketch() == null ? 0 : part.sketch().count(),
-              part.weight(),
-              mixture(List.of(part)).quantile(0.5) / 1e6));
-    }
-    Foretold foretold = foretold(profile, question.guessMicros(), basis);
-    Scores known = foretold == null ? null : scores(profile, foretold);
-    text.append(
-        known == null
-            ? "; bounds as it is spread"
-            : "; bounds as " + known.count() + " such estimates held");
-    double speed = speed(question.type());
-    if (speed != 1) {
-      text.append(
-          String.format(
-              Locale.ROOT,
-              "; machines of type %s take %.2f times as long",
-              question.type(),
-              speed));
-    }
-    return text.toString();
+  public String explain(EstimateQuery query) {
+    return new Explanation(predictor, calibration, machineSpeeds).of(query);
   }
 
-  /** Takes in what another has learned, of other runs, up to this one's bounds. */
+  /**
+   * Takes in what another estimator has learned of other runs, within this one's bounds. What it
+   * knows of single jobs, and its counts, are left out.
+   */
   public void merge(Estimator other) {
-    other.kinds.forEach(
-        (kind, evidence) ->
-            kinds.computeIfAbsent(kind, k -> new Evidence(way.window(k.level()))).merge(evidence));
-    machines.merge(other.machines);
-    types.merge(other.types);
-    other.scores.forEach(
-        (grade, known) -> scores.computeIfAbsent(grade, g -> new Scores()).merge(known));
+    evidence.merge(other.evidence);
+    machineSpeeds.merge(other.machineSpeeds);
+    calibration.merge(other.calibration);
   }
 
-  public Counts counts() {
+  /** What has been done so far; the counts go on changing. */
+  public EstimatorCounts counts() {
     return counts;
   }
 
-  /** How many kinds are known. */
+  /** How many profiles are known, over all levels. */
   public int size() {
-    return kinds.size();
+    return evidence.byProfile().size();
   }
 
-  /** The classes with the most runs, at most so many, by name. */
-  public List<ClassSummary> classes(int most) {
+  /**
+   * The classes with the most runs.
+   *
+   * @param maxClasses the most classes that are returned
+   * @return the classes in the order of their names; those without any owner's estimate are left
+   *     out
+   */
+  public List<ClassSummary> classes(int maxClasses) {
     Map<String, ClassSummary> byName = new TreeMap<>();
-    kinds.entrySet().stream()
-        .filter(
-            entry -> entry.getKey().level() == Level.CLASS && entry.getValue().ratios.count() > 0)
+    evidence.byProfile().entrySet().stream()
+        .filter(entry -> entry.getKey().level() == Level.CLASS)
+        .filter(entry -> entry.getValue().ratios.count() > 0)
         .sorted((a, b) -> Integer.compare(b.getValue().ratios.count(), a.getValue().ratios.count()))
-        .limit(most)
-        .forEach(
-            entry ->
-                byName.put(entry.getKey().jobClass(), summary(entry.getKey(), entry.getValue())));
+        .limit(maxClasses)
+        .map(entry -> summary(entry.getKey().jobClass(), entry.getValue().ratios))
+        .forEach(summary -> byName.put(summary.jobClass(), summary));
     return List.copyOf(byName.values());
   }
 
-  private static ClassSummary summary(JobKind kind, Evidence evidence) {
-    Mixture mixture = new Mixture();
-    mixture.add(evidence.ratios, 1.0 / ONE, 1);
+  private static ClassSummary summary(String jobClass, WindowedHistogram ratios) {
+    PredictiveDistribution distribution = new PredictiveDistribution();
+    distribution.add(ratios, 1.0 / HistogramScale.RATIO_ONE, 1);
     return new ClassSummary(
-        kind.jobClass(),
-        evidence.ratios.count(),
-        mixture.quantile((1 - JUDGED_SHARE) / 2),
-        mixture.quantile(0.5),
-        mixture.quantile((1 + JUDGED_SHARE) / 2),
-        JUDGED_SHARE);
+        jobClass,
+        ratios.count(),
+        distribution.quantile(Prediction.LOWER_QUANTILE),
+        distribution.quantile(0.5),
+        distribution.quantile(Prediction.UPPER_QUANTILE),
+        Prediction.REFERENCE_COVERAGE);
   }
 
-  /** The kinds, the least recently used first. */
-  Map<JobKind, Evidence> kinds() {
-    return kinds;
+  /** The evidence by profile, the least recently used first. */
+  Map<ProfileKey, Evidence> evidenceByProfile() {
+    return evidence.byProfile();
   }
 
-  /** What estimates have held, the least recently used first. */
-  Map<Grade, Scores> scores() {
-    return scores;
+  /** The calibration scores, the least recently used first. */
+  Map<CalibrationKey, CalibrationScores> scoresByKey() {
+    return calibration.scoresByKey();
   }
 }
--- a/src/main/java/madderrudder/estimates/Evidence.java
+++ b/src/main/java/madderrudder/estimates/Evidence.java
@@ -3,127 +3,159 @@
 import java.nio.ByteBuffer;
 
 /**
- * What is known of runs of one kind: their ratios to the owner's guess, their times, and how well
- * either foretold what came next. Guesses may turn within a day, all at once: when several jobs in
- * a row end beyond the same bound, which is one chance in 100,000 where nothing has changed, all
- * before them is forgotten.
+ * What is known of runs of one profile: the distributions of their ratios to the owner's estimate
+ * and of their run times, and how well either predicted what came next.
+ *
+ * <p>Also detects change points. Owners' estimates may change within a day, all at once: when
+ * several jobs in a row end beyond the same bound of their prediction interval, which is one chance
+ * in 100,000 where nothing has changed, all runs before them are forgotten.
  */
 final class Evidence {
-  static final int STREAK = 5;
-  private static final float FORGETTING = 0.05f;
+  /** So many jobs in a row beyond the same bound are a change point. */
+  static final int CHANGE_POINT_STREAK = 5;
 
-  final Sketch ratios;
-  final Sketch times;
+  private static final float SMOOTHING_FACTOR = 0.05f;
 
-  /** Means of |ln(foretold / true)|, recent ones counting more. */
-  float ratioLoss;
-
-  float timeLoss;
-
-  /**
-   * Mean of how much less tasks of the same job foretold than all others did; below 0 if they
-   * foretold better.
-   */
-  float siblingsWorse;
+  final WindowedHistogram ratios;
+  final WindowedHistogram durations;
 
+  private float ratioLoss;
+  private float durationLoss;
+  private float siblingExcessLoss;
   private int judged;
+
+  /** Its size is the length of the streak, its sign the side. */
   private int streak;
+
   private long[] streakRatios;
-  private long[] streakTimes;
+  private long[] streakDurations;
 
-  Evidence(int window) {
-    this(new Sketch(window), new Sketch(window));
+  /** {@code windowRuns} is the number of runs in one generation of the histograms. */
+  Evidence(int windowRuns) {
+    this(new WindowedHistogram(windowRuns), new WindowedHistogram(windowRuns));
   }
 
-  private Evidence(Sketch ratios, Sketch times) {
+  private Evidence(WindowedHistogram ratios, WindowedHistogram durations) {
     this.ratios = ratios;
-    this.times = times;
+    this.durations = durations;
   }
 
-  /** A value of 0 stands for no guess, which has no ratio. */
-  void add(long ratio, long time) {
+  /** Adds a run, scaled as {@link HistogramScale} says; a ratio of 0 stands for none. */
+  void add(long ratio, long duration) {
     if (ratio > 0) {
       ratios.add(ratio);
     }
-    times.add(time);
-  }
-
-  void judgeSiblings(double worse) {
-    siblingsWorse += FORGETTING * ((float) worse - siblingsWorse);
+    durations.add(duration);
   }
 
+  /** How many jobs' first tasks the losses go by. */
   int judged() {
     return judged;
   }
 
-  void judge(double lossOfRatio, double lossOfTime) {
+  /**
+   * The moving average of |ln(predicted / true)| where the ratio to the owner's estimate was the
+   * basis.
+   */
+  float ratioLoss() {
+    return ratioLoss;
+  }
+
+  /** The same where the run time itself was the basis. */
+  float durationLoss() {
+    return durationLoss;
+  }
+
+  /**
+   * By how much the loss is larger where tasks of the same job weigh much than where they weigh
+   * little, as a moving average; below 0 if they predict better than other jobs.
+   */
+  float siblingExcessLoss() {
+    return siblingExcessLoss;
+  }
+
+  void recordSiblingExcessLoss(double excess) {
+    siblingExcessLoss += SMOOTHING_FACTOR * ((float) excess - siblingExcessLoss);
+  }
+
+  void recordLosses(double latestRatioLoss, double latestDurationLoss) {
     judged++;
-    float weight = Math.max(FORGETTING, 1f / judged);
-    ratioLoss += weight * ((float) lossOfRatio - ratioLoss);
-    timeLoss += weight * ((float) lossOfTime - timeLoss);
+    float weight = Math.max(SMOOTHING_FACTOR, 1f / judged);
+    ratioLoss += weight * ((float) latestRatioLoss - ratioLoss);
+    durationLoss += weight * ((float) latestDurationLoss - durationLoss);
   }
 
   /**
-   * {@code side} is 1 beyond the upper bound, -1 below the lower one and 0 between; true if all
-   * earlier is forgotten.
+   * Notes where a job's first task ended and whether this is a change point; if so, all but the
+   * runs of the streak is forgotten.
    */
-  boolean shifted(int side, long ratio, long time) {
-    if (side == 0) {
+  boolean detectChangePoint(IntervalSide side, long ratio, long duration) {
+    if (side == IntervalSide.INSIDE) {
       streak = 0;
       return false;
     }
-    if (Integer.signum(streak) != side) {
-      streak = 0;
-    }
-    if (streakRatios == null) {
-      streakRatios = new long[STREAK];
-      streakTimes = new long[STREAK];
-    }
-    streakRatios[Math.abs(streak)] = ratio;
-    streakTimes[Math.abs(streak)] = time;
-    streak += side;
-    if (Math.abs(streak) < STREAK) {
+    extendStreak(side.sign, ratio, duration);
+    if (Math.abs(streak) < CHANGE_POINT_STREAK) {
       return false;
     }
     streak = 0;
-    times.restart(streakTimes);
+    durations.restart(streakDurations);
     if (ratio > 0) {
       ratios.restart(streakRatios);
     }
     return true;
   }
 
+  private void extendStreak(int sign, long ratio, long duration) {
+    if (Integer.signum(streak) != sign) {
+      streak = 0;
+    }
+    if (streakRatios == null) {
+      streakRatios = new long[CHANGE_POINT_STREAK];
+      streakDurations = new long[CHANGE_POINT_STREAK];
+    }
+    streakRatios[Math.abs(streak)] = ratio;
+    streakDurations[Math.abs(streak)] = duration;
+    streak += sign;
+  }
+
+  /** Takes in what another has seen; the losses are averaged by the numbers of jobs. */
   void merge(Evidence other) {
     ratios.merge(other.ratios);
-    times.merge(other.times);
+    durations.merge(other.durations);
     int both = judged + other.judged;
     if (both > 0) {
       ratioLoss = (ratioLoss * judged + other.ratioLoss * other.judged) / both;
-      timeLoss = (timeLoss * judged + other.timeLoss * other.judged) / both;
-      siblingsWorse = (siblingsWorse * judged + other.siblingsWorse * other.judged) / both;
+      durationLoss = (durationLoss * judged + other.durationLoss * other.judged) / both;
+      siblingExcessLoss =
+          (siblingExcessLoss * judged + other.siblingExcessLoss * other.judged) / both;
     }
     judged = both;
   }
 
-  int mostBytes() {
-    return ratios.mostBytes() + times.mostBytes() + 4 * Integer.BYTES;
+  /** The most bytes that {@link #write} needs. */
+  int maxBytes() {
+    return ratios.maxBytes() + durations.maxBytes() + 4 * Integer.BYTES;
   }
 
   void write(ByteBuffer out) {
-    out.putFloat(ratioLoss).putFloat(timeLoss).putFloat(siblingsWorse).putInt(judged);
+    out.putFloat(ratioLoss).putFloat(durationLoss).putFloat(siblingExcessLoss).putInt(judged);
     ratios.write(out);
-    times.write(out);
+    durations.write(out);
   }
 
-  static Evidence read(ByteBuffer in, int window) {
+  /** Reads what {@link #write} wrote; throws a RuntimeException if the bytes are something else. */
+  static Evidence read(ByteBuffer in, int windowRuns) {
     float ratioLoss = in.getFloat();
-    float timeLoss = in.getFloat();
-    float siblingsWorse = in.getFloat();
+    float durationLoss = in.getFloat();
+    float siblingExcessLoss = in.getFloat();
     int judged = in.getInt();
-    Evidence evidence = new Evidence(Sketch.read(in, window), Sketch.read(in, window));
+    Evidence evidence =
+        new Evidence(
+            WindowedHistogram.read(in, windowRuns), WindowedHistogram.read(in, windowRuns));
     evidence.ratioLoss = ratioLoss;
-    evidence.timeLoss = timeLoss;
-    evidence.siblingsWorse = siblingsWorse;
+    evidence.durationLoss = durationLoss;
+    evidence.siblingExcessLoss = siblingExcessLoss;
     evidence.judged = judged;
     return evidence;
   }
--- a/src/main/java/madderrudder/estimates/TaskProfile.java
+++ b/src/main/java/madderrudder/estimates/TaskProfile.java
@@ -2,30 +2,39 @@
 
 import madderrudder.protocol.Resources;
 
-/** What runs have in common, or not. */
-public record TaskProfile(String job, String jobClass, String team, String image, Resources takes) {
+/**
+ * The properties of a task by which runs are compared.
+ *
+ * @param job the name of the job
+ * @param jobClass the class of the job
+ * @param team the team that owns the job
+ * @param image the image that the task runs in
+ * @param resources what the task requests of its machine
+ */
+public record TaskProfile(
+    String job, String jobClass, String team, String image, Resources resources) {
 
-  /** The runs that are alike on a level; which job they belong to is kept apart from these. */
-  record JobKind(Level level, String jobClass, String team, String image, int size) {}
+  private static final int BITS_PER_RESOURCE = 6;
 
-  JobKind kind(Level level) {
+  /** The key under which evidence of this task is kept at a level above {@link Level#JOB}. */
+  ProfileKey keyAt(Level level) {
     return switch (level) {
-      case WORK -> new JobKind(level, jobClass, team, image, size());
-      case TEAM -> new JobKind(level, jobClass, team, "", 0);
-      case CLASS -> new JobKind(level, jobClass, "", "", 0);
-      case ALL -> new JobKind(level, "", "", "", 0);
-      default -> throw new IllegalArgumentException("no kind on level " + level);
+      case WORK -> new ProfileKey(level, jobClass, team, image, sizeBucket());
+      case TEAM -> new ProfileKey(level, jobClass, team, "", 0);
+      case CLASS -> new ProfileKey(level, jobClass, "", "", 0);
+      case ALL -> new ProfileKey(level, "", "", "", 0);
+      default -> throw new IllegalArgumentException("no profile key at level " + level);
     };
   }
 
   /** Tasks are of one size if each resource is the same but for a factor of less than two. */
-  private int size() {
-    return (doublings(takes.milliCpus()) << 12)
-        | (doublings(takes.milliGpus()) << 6)
-        | doublings(takes.memoryMb());
+  private int sizeBucket() {
+    return (bitLength(resources.milliCpus()) << (2 * BITS_PER_RESOURCE))
+        | (bitLength(resources.milliGpus()) << BITS_PER_RESOURCE)
+        | bitLength(resources.memoryMb());
   }
 
-  private static int doublings(long amount) {
-    return 64 - Long.numberOfLeadingZeros(Math.max(0, amount));
+  private static int bitLength(long amount) {
+    return Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, amount));
   }
 }
--- a/src/main/java/madderrudder/estimates/TaskRun.java
+++ b/src/main/java/madderrudder/estimates/TaskRun.java
@@ -1,30 +1,41 @@
 package madderrudder.estimates;
 
 /**
- * A task has run. Without the fetch of its image it took {@code tookMicros}; {@code complete} is
- * false for one that was stopped, or had begun earlier and resumed: all that is known of the whole
- * is that it takes at least so long. {@code guessMicros} is 0 where the owner gave none. {@code
- * type} and {@code machine} may be empty.
+ * One task that has run.
+ *
+ * @param profile what the task is
+ * @param task its number within the job
+ * @param attempt the number of the attempt; tasks of a gang that ran together share it
+ * @param machineType the type of its machine, or empty if that is not known
+ * @param machine the name of its machine, or empty if that is not known
+ * @param ownerEstimateMicros the owner's estimate in microseconds, or 0 if there was none
+ * @param durationMicros how long it ran in microseconds, without the fetch of its image
+ * @param complete false for a run that was stopped, or that resumed what an earlier attempt had
+ *     saved: of the whole run time it is only known that it is at least {@code durationMicros} (a
+ *     censored observation)
  */
 public record TaskRun(
     TaskProfile profile,
     int task,
     long attempt,
-    String type,
+    String machineType,
     String machine,
-    long guessMicros,
-    long tookMicros,
+    long ownerEstimateMicros,
+    long durationMicros,
     boolean complete) {
-  private static final long LEAST_MICROS = 1_000;
+  private static final long MIN_MICROS = 1_000;
 
   /** A month. What claims to have run for longer comes from a clock that jumped. */
-  private static final long MOST_MICROS = 31L * 86_400 * 1_000_000;
+  private static final long MAX_MICROS = 31L * 86_400 * 1_000_000;
 
-  /** Whether anything can be learned from it; clocks that jump, and files, say what can't be. */
-  public boolean sane() {
-    return tookMicros >= LEAST_MICROS
-        && tookMicros <= MOST_MICROS
-        && guessMicros >= 0
-        && guessMicros <= MOST_MICROS;
+  /**
+   * Whether its times can be true: it ran between a millisecond and 31 days, and the owner's
+   * estimate is no longer than that. Clocks that jump and edited files give other times.
+   */
+  public boolean isPlausible() {
+    return durationMicros >= MIN_MICROS
+        && durationMicros <= MAX_MICROS
+        && ownerEstimateMicros >= 0
+        && ownerEstimateMicros <= MAX_MICROS;
   }
 }
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -48,13 +48,13 @@
     out.writeStringField("class", profile.jobClass());
     out.writeStringField("team", profile.team());
     out.writeStringField("image", profile.image());
-    out.writeNumberField("cpus", profile.takes().milliCpus() / 1e3);
-    out.writeNumberField("gpus", profile.takes().milliGpus() / 1e3);
-    out.writeNumberField("memory_gb", profile.takes().memoryMb() / 1e3);
-    out.writeStringField("type", run.type());
+    out.writeNumberField("cpus", profile.resources().milliCpus() / 1e3);
+    out.writeNumberField("gpus", profile.resources().milliGpus() / 1e3);
+    out.writeNumberField("memory_gb", profile.resources().memoryMb() / 1e3);
+    out.writeStringField("type", run.machineType());
     out.writeStringField("machine", run.machine());
-    out.writeNumberField("guess_s", run.guessMicros() / 1e6);
-    out.writeNumberField("took_s", run.tookMicros() / 1e6);
+    out.writeNumberField("guess_s", run.ownerEstimateMicros() / 1e6);
+    out.writeNumberField("took_s", run.durationMicros() / 1e6);
     out.writeStringField("end", run.complete() ? DONE : PART);
   }
 
--- a/src/main/java/madderrudder/replay/Foretelling.java
+++ b/src/main/java/madderrudder/replay/Foretelling.java
@@ -5,7 +5,7 @@
 import madderrudder.estimates.Estimate.Basis;
 import madderrudder.estimates.EstimateQuery;
 import madderrudder.estimates.Estimator;
-import madderrudder.estimates.Estimator.Way;
+import madderrudder.estimates.LearningMethod;
 import madderrudder.estimates.Level;
 import madderrudder.estimates.TaskRun;
 
@@ -36,7 +36,7 @@
 
       @Override
       public Estimate before(TaskRun run, double share) {
-        return plain(run.guessMicros());
+        return plain(run.ownerEstimateMicros());
       }
 
       @Override
@@ -57,7 +57,7 @@
 
       @Override
       public Estimate before(TaskRun run, double share) {
-        return plain(ratios.expectedMicros(run.profile().jobClass(), run.guessMicros()));
+        return plain(ratios.expectedMicros(run.profile().jobClass(), run.ownerEstimateMicros()));
       }
 
       @Override
@@ -82,7 +82,8 @@
       @Override
       public Estimate before(TaskRun run, double share) {
         return estimator.estimate(
-            new EstimateQuery(run.profile(), run.guessMicros(), run.type(), 0, share));
+            new EstimateQuery(
+                run.profile(), run.ownerEstimateMicros(), run.machineType(), 0, share));
       }
 
       @Override
@@ -92,9 +93,13 @@
     };
   }
 
-  static Foretelling learned(Way way, int mostKinds) {
-    return learned(
-        way == Way.BLEND ? "learned" : way.name().toLowerCase(java.util.Locale.ROOT),
-        new Estimator(mostKinds, mostKinds, way));
+  static Foretelling learned(LearningMethod way, int mostKinds) {
+    String name =
+        switch (way) {
+          case HIERARCHICAL -> "learned";
+          case NEAREST_LEVEL -> "nearest";
+          case HIERARCHICAL_UNBOUNDED -> "forever";
+        };
+    return learned(name, new Estimator(mostKinds, mostKinds, way));
   }
 }
--- a/src/main/java/madderrudder/replay/Replay.java
+++ b/src/main/java/madderrudder/replay/Replay.java
@@ -55,7 +55,7 @@
     TaskRun run = ended.run();
     outOfOrder += ended.atWallMicros() < lastAtMicros ? 1 : 0;
     lastAtMicros = ended.atWallMicros();
-    if (!run.sane()) {
+    if (!run.isPlausible()) {
       absurd++;
       return;
     }
@@ -88,11 +88,12 @@
         for (int j = 0; j < SHARES.size(); j++) {
           Estimate other = way.before(run, SHARES.get(j));
           boolean inside =
-              run.tookMicros() >= other.lowMicros() && run.tookMicros() <= other.highMicros();
+              run.durationMicros() >= other.lowMicros()
+                  && run.durationMicros() <= other.highMicros();
           counts[j] += inside ? 1 : 0;
         }
       }
-      scores.get(way.name()).add(jobClass, chunk, estimate, run.tookMicros());
+      scores.get(way.name()).add(jobClass, chunk, estimate, run.durationMicros());
     }
     if (bestMicros > 0) {
       scores
@@ -101,7 +102,7 @@
               jobClass,
               chunk,
               new Estimate(bestMicros, bestMicros, bestMicros, 0, 0, Level.NONE, Basis.RATIO),
-              run.tookMicros());
+              run.durationMicros());
     }
   }
 
--- a/src/main/java/madderrudder/replay/Replays.java
+++ b/src/main/java/madderrudder/replay/Replays.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.List;
 import madderrudder.estimates.Estimator;
-import madderrudder.estimates.Estimator.Way;
+import madderrudder.estimates.LearningMethod;
 import madderrudder.metrics.RunHistory.Ended;
 
 /** Plays histories from files. */
@@ -26,10 +26,10 @@
       HistoryReader reader, boolean byTime, boolean allWays, Progress progress) throws IOException {
     List<Foretelling> ways = new ArrayList<>(List.of(Foretelling.guess(), Foretelling.ratio()));
     if (allWays) {
-      ways.add(Foretelling.learned(Way.NEAREST, MOST_KINDS));
-      ways.add(Foretelling.learned(Way.FOREVER, MOST_KINDS));
+      ways.add(Foretelling.learned(LearningMethod.NEAREST_LEVEL, MOST_KINDS));
+      ways.add(Foretelling.learned(LearningMethod.HIERARCHICAL_UNBOUNDED, MOST_KINDS));
     }
-    ways.add(Foretelling.learned(Way.BLEND, MOST_KINDS));
+    ways.add(Foretelling.learned(LearningMethod.HIERARCHICAL, MOST_KINDS));
     Replay replay = new Replay(ways);
     List<Line> kept = new ArrayList<>();
     reader.read(
--- a/src/main/java/madderrudder/replay/Score.java
+++ b/src/main/java/madderrudder/replay/Score.java
@@ -56,13 +56,14 @@
         : runs < 4 ? "1 to 3" : runs < 8 ? "4 to 7" : runs < 32 ? "8 to 31" : "32 and more";
   }
 
-  void add(String jobClass, int chunk, Estimate estimate, long tookMicros) {
-    boolean inside = tookMicros >= estimate.lowMicros() && tookMicros <= estimate.highMicros();
-    boolean near = Math.abs((double) estimate.medianMicros() / tookMicros - 1) <= QUARTER;
+  void add(String jobClass, int chunk, Estimate estimate, long durationMicros) {
+    boolean inside =
+        durationMicros >= estimate.lowMicros() && durationMicros <= estimate.highMicros();
+    boolean near = Math.abs((double) estimate.medianMicros() / durationMicros - 1) <= QUARTER;
     double error =
-        estimate.unknown()
+        estimate.isUnknown()
             ? MOST_ERROR / MILLI
-            : Math.abs(Math.log((double) estimate.medianMicros() / tookMicros));
+            : Math.abs(Math.log((double) estimate.medianMicros() / durationMicros));
     for (Tally tally :
         new Tally[] {
           all,
--- a/src/main/java/madderrudder/tools/EstimateCommand.java
+++ b/src/main/java/madderrudder/tools/EstimateCommand.java
@@ -143,7 +143,7 @@
             share);
     Estimate estimate = estimator.estimate(question);
     PrintWriter out = spec.commandLine().getOut();
-    if (estimate.unknown()) {
+    if (estimate.isUnknown()) {
       out.println("unknown: nothing like it has run, and there is no guess");
       return;
     }
@@ -155,7 +155,7 @@
             100 * share,
             estimate.lowMicros() / MICROS,
             estimate.highMicros() / MICROS,
-            estimate.sure() ? "sure" : "unsure",
+            estimate.isConfident() ? "sure" : "unsure",
             estimate.runs(),
             estimate.level().words()));
     out.println(estimator.explain(question));
--- a/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
@@ -115,7 +115,7 @@
       @ForAll("times") List<Double> timesS,
       @ForAll @IntRange(min = 0, max = 1) int guess,
       @ForAll Random random)
-      throws EstimatePages.Refused {
+      throws MalformedPageException {
     Estimator estimator = learned(timesS, 60 * guess);
     List<String> texts = pages(estimator);
     Collections.shuffle(texts, random);
@@ -141,7 +141,7 @@
     Estimator estimator = new Estimator(100, 100);
     EstimatePages pages = new EstimatePages(estimator, PAGES, PAGE_BYTES);
     assertThrows(
-        EstimatePages.Refused.class, () -> pages.read(Base64.getEncoder().encodeToString(torn)));
+        MalformedPageException.class, () -> pages.read(Base64.getEncoder().encodeToString(torn)));
     assertEquals(0, estimator.size());
   }
 }
--- a/src/test/java/madderrudder/estimates/EstimatorTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorTest.java
@@ -35,7 +35,7 @@
     Estimate first = ask(estimator, "new", 100);
     assertNear(100, first.medianMicros(), 1.05);
     assertEquals(Level.NONE, first.level());
-    assertFalse(first.sure());
+    assertFalse(first.isConfident());
     assertTrue(first.highMicros() > 2 * first.lowMicros(), "as if it knew");
     // Owners of other classes guess twice as long as it takes: so may those of this one.
     for (int i = 0; i < 100; i++) {
@@ -44,14 +44,14 @@
     Estimate second = ask(estimator, "new", 100);
     assertNear(50, second.medianMicros(), 1.15);
     assertEquals(Level.ALL, second.level());
-    assertFalse(second.sure());
+    assertFalse(second.isConfident());
   }
 
   @Test
   void withoutGuessOrHistoryNothingIsSaid() {
-    assertTrue(ask(estimator, "new", 0).unknown());
+    assertTrue(ask(estimator, "new", 0).isUnknown());
     estimator.observe(Runs.of("other", 0, 30));
-    assertTrue(ask(estimator, "new", 0).unknown(), "times of other classes say nothing");
+    assertTrue(ask(estimator, "new", 0).isUnknown(), "times of other classes say nothing");
     estimator.observe(Runs.of("new", 0, 20));
     assertNear(20, ask(estimator, "new", 0).medianMicros(), 1.05);
   }
@@ -132,8 +132,8 @@
                 job,
                 "",
                 one.machine(),
-                one.guessMicros(),
-                one.tookMicros(),
+                one.ownerEstimateMicros(),
+                one.durationMicros(),
                 true));
       }
     }
@@ -170,7 +170,7 @@
       estimator.observe(Runs.of("class", 120 * size, 60 * size * logNormal(random, 0.1)));
       runs++;
     }
-    assertTrue(runs <= 2 * Evidence.STREAK, "it took " + runs + " runs to follow");
+    assertTrue(runs <= 2 * Evidence.CHANGE_POINT_STREAK, "it took " + runs + " runs to follow");
   }
 
   @Test
@@ -184,8 +184,8 @@
               run.attempt(),
               i % 2 == 0 ? "fast" : "slow",
               "m-" + i % 40,
-              run.guessMicros(),
-              run.tookMicros(),
+              run.ownerEstimateMicros(),
+              run.durationMicros(),
               true));
     }
     EstimateQuery any = new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 0, 0.8);
@@ -213,13 +213,13 @@
               run.attempt(),
               "type-" + i % 2,
               "m-" + i % 40,
-              run.guessMicros(),
-              run.tookMicros(),
+              run.ownerEstimateMicros(),
+              run.durationMicros(),
               true));
       if (i >= 1_000 && i % 50 == 0) {
         String why =
             estimator.explain(
-                new EstimateQuery(run.profile(), run.guessMicros(), "type-0", 0, 0.8));
+                new EstimateQuery(run.profile(), run.ownerEstimateMicros(), "type-0", 0, 0.8));
         assertFalse(
             why.contains("take") && !why.matches(".* take (0\\.9|1\\.0)\\d times as long"), why);
       }
@@ -278,11 +278,12 @@
       double noise = i % 3 == 0 ? 0.6 : 0.1;
       TaskRun run = Runs.of("class-" + i % 3, 60, 60 * logNormal(random, noise));
       Estimate estimate =
-          estimator.estimate(new EstimateQuery(run.profile(), run.guessMicros(), "", 0, share));
+          estimator.estimate(
+              new EstimateQuery(run.profile(), run.ownerEstimateMicros(), "", 0, share));
       held +=
           i >= 500
-                  && run.tookMicros() >= estimate.lowMicros()
-                  && run.tookMicros() <= estimate.highMicros()
+                  && run.durationMicros() >= estimate.lowMicros()
+                  && run.durationMicros() <= estimate.highMicros()
               ? 1
               : 0;
       estimator.observe(run);
