--- a/src/main/java/madderrudder/replay/HistoryClient.java
+++ b/src/main/java/madderrudder/replay/HistoryClient.java
@@ -13,19 +13,26 @@
 import madderrudder.protocol.MalformedMessageException;
 
 /**
- * Collects from controllers what has run. Only the leader knows; each is asked until one answers.
+ * Collects the history of runs from the controllers. Only the leader has it; the controllers are
+ * asked in their order until one answers. Not safe for use by several threads.
  */
 public final class HistoryClient {
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
+  private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
-  private final HttpClient client = HttpClient.newBuilder().connectTimeout(PATIENCE).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
   private final List<URI> controllers;
+
+  /** The term of the leader that answered last, or -1. */
   private long term = -1;
+
   private long next;
   private long missed;
 
   /**
-   * {@code after} is the number of the last run of the present leader that is known already, or 0.
+   * A client that has collected nothing.
+   *
+   * @param controllers the users' addresses of the controllers
+   * @param after the number of the last run of the present leader that is known already, or 0
    */
   public HistoryClient(List<URI> controllers, long after) {
     this.controllers = controllers;
@@ -33,26 +40,26 @@
   }
 
   /**
-   * Passes on what has ended since the last call. A new leader's numbers begin anew, so all it has
-   * is taken then.
+   * Passes on the next runs that have ended since the last call. A new leader's numbers begin anew,
+   * so all that it has is taken then.
    *
-   * @return how many runs came; 0 when there is nothing new
-   * @throws IOException if no controller answers as the leader, or what comes is malformed
+   * @return how many runs were passed on; 0 when there is nothing new
+   * @throws IOException if no controller answers as the leader, if its answer is malformed, or if
+   *     the consumer fails
+   * @throws InterruptedException if the thread is interrupted while it waits for an answer
    */
-  public int collect(HistoryReader.Use use) throws IOException, InterruptedException {
+  public int collect(HistoryReader.RunConsumer consumer) throws IOException, InterruptedException {
     try {
-      Fields answer = ask(next);
-      long now = answer.count("term");
-      if (term >= 0 && now != term) {
+      Fields answer = request(next);
+      if (term >= 0 && answer.count("term") != term) {
         next = 0;
-        answer = ask(0);
-        now = answer.count("term");
+        answer = request(0);
       }
-      term = now;
+      term = answer.count("term");
       missed += answer.count("missed");
       List<Fields> runs = answer.objects("runs");
       for (Fields run : runs) {
-        use.run(RunHistoryCodec.read(run), 0);
+        consumer.accept(RunHistoryCodec.read(run), 0);
       }
       next = answer.count("next");
       return runs.size();
@@ -61,36 +68,33 @@
     }
   }
 
-  private Fields ask(long after)
+  private Fields request(long after)
       throws IOException, InterruptedException, MalformedMessageException {
-    StringBuilder why = new StringBuilder("no controller answers as the leader:");
+    StringBuilder failures = new StringBuilder("no controller answers as the leader:");
     for (URI controller : controllers) {
       HttpRequest request =
-          HttpRequest.newBuilder(controller.resolve("/history/" + after)).timeout(PATIENCE).build();
+          HttpRequest.newBuilder(controller.resolve("/history/" + after)).timeout(TIMEOUT).build();
       try {
         HttpResponse<byte[]> response =
             client.send(request, HttpResponse.BodyHandlers.ofByteArray());
         if (response.statusCode() == 200) {
           return Json.readObject(response.body());
         }
-        why.append(' ')
-            .append(controller)
-            .append(" says ")
-            .append(response.statusCode())
-            .append(';');
+        failures.append(' ').append(controller).append(" says ").append(response.statusCode());
       } catch (IOException e) {
-        why.append(' ').append(controller).append(": ").append(e).append(';');
+        failures.append(' ').append(controller).append(": ").append(e);
       }
+      failures.append(';');
     }
-    throw new IOException(why.substring(0, why.length() - 1));
+    throw new IOException(failures.substring(0, failures.length() - 1));
   }
 
-  /** How many runs the leader had forgotten before they were asked for. */
+  /** How many runs the leaders had forgotten before they were collected. */
   public long missed() {
     return missed;
   }
 
-  /** What to ask for next time. */
+  /** The number of the last run that was collected, for the constructor of the next client. */
   public long next() {
     return next;
   }
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -12,56 +12,77 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** Writes a history as lines of JSON or as a table. */
+/** Writes a history of runs. */
 public final class HistoryWriter {
-  /** How the lines look. */
+  /** The format of a history. */
   public enum Format {
+    /** A JSON object a line. */
     JSONL,
+    /** A table with a line of headings. */
     CSV
   }
 
   private final Appendable out;
+
+  /** Null for {@link Format#JSONL}. */
   private final CSVPrinter table;
+
   private long lines;
 
-  /** {@code best}: the lines tell what an oracle would say, as those of the generator do. */
-  public HistoryWriter(Appendable out, Format format, boolean best) throws IOException {
+  /**
+   * A writer; for a table the headings are written at once.
+   *
+   * @param withOracle whether runs come with what an oracle would predict, as those of the
+   *     generator do; needed for the headings of a table
+   * @throws IOException if {@code out} fails
+   */
+  public HistoryWriter(Appendable out, Format format, boolean withOracle) throws IOException {
     this.out = out;
+    table = format == Format.CSV ? openTable(out, withOracle) : null;
+  }
+
+  private static CSVPrinter openTable(Appendable out, boolean withOracle) throws IOException {
     List<String> headings = new ArrayList<>(RunHistoryCodec.FIELDS);
-    if (best) {
-      headings.add(HistoryReader.BEST);
+    if (withOracle) {
+      headings.add(HistoryReader.ORACLE_FIELD);
     }
-    table =
-        format == Format.JSONL
-            ? null
-            : CSVFormat.DEFAULT
-                .builder()
-                .setHeader(headings.toArray(String[]::new))
-                .get()
-                .print(out);
+    return CSVFormat.DEFAULT.builder().setHeader(headings.toArray(String[]::new)).get().print(out);
   }
 
-  public void write(Ended ended, long bestMicros) throws IOException {
+  /**
+   * Writes a run as a line.
+   *
+   * @param oracleMicros what an oracle would predict, or 0 if that is not known
+   * @throws IOException if {@code out} fails
+   */
+  public void write(Ended ended, long oracleMicros) throws IOException {
     lines++;
-    byte[] text =
-        Json.object(
-            json -> {
-              RunHistoryCodec.write(json, ended);
-              if (bestMicros > 0) {
-                json.writeNumberField(HistoryReader.BEST, bestMicros / 1e6);
-              }
-            });
+    byte[] json = json(ended, oracleMicros);
     if (table == null) {
-      out.append(new String(text, StandardCharsets.UTF_8)).append('\n');
-      return;
+      out.append(new String(json, StandardCharsets.UTF_8)).append('\n');
+    } else {
+      writeRow(json, oracleMicros > 0);
     }
+  }
+
+  private static byte[] json(Ended ended, long oracleMicros) {
+    return Json.object(
+        json -> {
+          RunHistoryCodec.write(json, ended);
+          if (oracleMicros > 0) {
+            json.writeNumberField(HistoryReader.ORACLE_FIELD, oracleMicros / 1e6);
+          }
+        });
+  }
+
+  private void writeRow(byte[] json, boolean withOracle) throws IOException {
     try {
-      Fields fields = Json.readObject(text);
+      Fields fields = Json.readObject(json);
       for (String name : RunHistoryCodec.FIELDS) {
         table.print(fields.plain(name));
       }
-      if (bestMicros > 0) {
-        table.print(fields.plain(HistoryReader.BEST));
+      if (withOracle) {
+        table.print(fields.plain(HistoryReader.ORACLE_FIELD));
       }
       table.println();
     } catch (MalformedMessageException e) {
@@ -69,6 +90,7 @@
     }
   }
 
+  /** How many runs have been written. */
   public long lines() {
     return lines;
   }
--- a/src/main/java/madderrudder/replay/HtmlReport.java
+++ b/src/main/java/madderrudder/replay/HtmlReport.java
@@ -12,7 +12,7 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** What a replay found, as one page that needs nothing else: the tables, and plots drawn in it. */
+/** The result of a replay as one HTML page without external files: plots as SVG, and the tables. */
 public final class HtmlReport {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 360;
@@ -28,28 +28,36 @@
   private final Replay replay;
 
   static {
-    // Plots are drawn into text; there need be no screen.
+    // Plots are drawn into text; no screen is needed.
     System.setProperty("java.awt.headless", "true");
   }
 
+  /** A report of what the replay has seen by the time that the report is written. */
   public HtmlReport(Replay replay) {
     this.replay = replay;
   }
 
-  /** Writes the page; the source is what was replayed. */
+  /**
+   * Writes the page.
+   *
+   * @param source says what was replayed, as plain text
+   * @throws IOException if {@code out} fails
+   */
   public void write(String source, Appendable out) throws IOException {
     out.append(HEAD).append("<p>").append(escaped(source)).append("</p>\n");
-    section(out, "Within a quarter of the true time, by class", byClass());
-    section(out, "Within a quarter of the true time, in the course of the history", byTime());
-    section(out, "What bounds promise, and what they hold", calibration());
+    writeSection(out, "Within a quarter of the true time, by class", chartByClass());
+    writeSection(
+        out, "Within a quarter of the true time, in the course of the history", chartByTime());
+    writeSection(out, "What bounds promise, and what they hold", chartOfCoverages());
     StringBuilder tables = new StringBuilder();
-    new Report(replay).write(tables);
+    new TextReport(replay).write(tables);
     out.append("<h2>Tables</h2>\n<pre>")
         .append(escaped(tables.toString()))
         .append("</pre>\n</body></html>\n");
   }
 
-  private static void section(Appendable out, String heading, JFreeChart chart) throws IOException {
+  private static void writeSection(Appendable out, String heading, JFreeChart chart)
+      throws IOException {
     chart.setBackgroundPaint(Color.WHITE);
     SVGGraphics2D drawing = new SVGGraphics2D(WIDTH, HEIGHT);
     chart.draw(drawing, new Rectangle(WIDTH, HEIGHT));
@@ -60,43 +68,43 @@
         .append('\n');
   }
 
-  private JFreeChart byClass() {
+  private JFreeChart chartByClass() {
     DefaultCategoryDataset data = new DefaultCategoryDataset();
     replay
         .scores()
         .forEach(
-            (way, score) ->
+            (predictor, score) ->
                 score.byClass.forEach(
-                    (name, tally) -> data.addValue(tally.withinShare(), way, name)));
+                    (name, tally) -> data.addValue(tally.nearShare(), predictor, name)));
     return ChartFactory.createBarChart(
         null, "class", "share", data, PlotOrientation.VERTICAL, true, false, false);
   }
 
-  private JFreeChart byTime() {
+  private JFreeChart chartByTime() {
     XYSeriesCollection data = new XYSeriesCollection();
-    for (Map.Entry<String, Score> way : replay.scores().entrySet()) {
-      XYSeries series = new XYSeries(way.getKey());
-      way.getValue()
+    for (Map.Entry<String, PredictionScore> entry : replay.scores().entrySet()) {
+      XYSeries series = new XYSeries(entry.getKey());
+      entry
+          .getValue()
           .byTime
-          .forEach(
-              (chunk, tally) -> series.add((double) chunk * Replay.CHUNK, tally.withinShare()));
+          .forEach((chunk, tally) -> series.add((double) chunk * Replay.CHUNK, tally.nearShare()));
       data.addSeries(series);
     }
     return ChartFactory.createXYLineChart(
         null, "runs", "share", data, PlotOrientation.VERTICAL, true, false, false);
   }
 
-  private JFreeChart calibration() {
+  private JFreeChart chartOfCoverages() {
     XYSeries ideal = new XYSeries("as promised");
-    XYSeries held = new XYSeries("held");
-    double[] shares = replay.heldShares();
-    for (int i = 0; i < shares.length; i++) {
-      ideal.add(Replay.SHARES.get(i), Replay.SHARES.get(i));
-      held.add(Replay.SHARES.get(i), (Number) shares[i]);
+    XYSeries actual = new XYSeries("held");
+    double[] observed = replay.observedCoverages();
+    for (int i = 0; i < observed.length; i++) {
+      ideal.add(Replay.COVERAGES.get(i), Replay.COVERAGES.get(i));
+      actual.add(Replay.COVERAGES.get(i), (Number) observed[i]);
     }
     XYSeriesCollection data = new XYSeriesCollection();
     data.addSeries(ideal);
-    data.addSeries(held);
+    data.addSeries(actual);
     return ChartFactory.createXYLineChart(
         null, "promised", "held", data, PlotOrientation.VERTICAL, true, false, false);
   }
--- a/src/main/java/madderrudder/replay/Replay.java
+++ b/src/main/java/madderrudder/replay/Replay.java
@@ -1,158 +1,176 @@
 package madderrudder.replay;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import madderrudder.estimates.Estimate;
-import madderrudder.estimates.Estimate.Basis;
-import madderrudder.estimates.Level;
 import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.RunHistory.Ended;
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays a history in its order: each way of foretelling is asked before a run, then told of it.
- * Runs that were stopped are told, but nothing is asked of them, since nobody knows how long they
- * would have taken.
+ * Replays a history in its order: each predictor predicts a run, and then observes it. Runs that
+ * were stopped are observed but not predicted, since nobody knows how long they would have taken.
  */
 public final class Replay {
-  /** The share of runs that the bounds promise to hold in the tables. */
-  public static final double SHARE = 0.8;
+  /** The coverage that prediction intervals promise in the tables. */
+  public static final double COVERAGE = 0.8;
 
-  static final List<Double> SHARES = List.of(0.5, 0.6, 0.7, 0.8, 0.9, 0.95);
+  /** The coverages whose prediction intervals are checked for the last predictor. */
+  static final List<Double> COVERAGES = List.of(0.5, 0.6, 0.7, 0.8, 0.9, 0.95);
+
+  /** The number of runs in one step of the scores over time. */
   static final int CHUNK = 1_000;
-  static final String BEST = "best";
 
-  private final List<Foretelling> ways;
-  private final Map<String, Score> scores = new LinkedHashMap<>();
+  /** The name under which the scores of the generator's oracle are kept. */
+  static final String ORACLE = "best";
 
-  /**
-   * Of each class, how many runs lie within the bounds of the last way, for each of the shares that
-   * they promise.
-   */
-  private final Map<String, long[]> held = new TreeMap<>();
+  private static final long MAX_NANOS = 10_000_000_000L;
+  private static final int SIGNIFICANT_DIGITS = 3;
+
+  private final List<RunTimePredictor> predictors;
+
+  /** The last of the predictors, which is timed. */
+  private final RunTimePredictor main;
 
-  private final Histogram askingNanos = new Histogram(10_000_000_000L, 3);
-  private final Histogram tellingNanos = new Histogram(10_000_000_000L, 3);
-  private long asked;
-  private long part;
-  private long absurd;
-  private long outOfOrder;
-  private long lastAtMicros = Long.MIN_VALUE;
+  private final Map<String, PredictionScore> scores = new LinkedHashMap<>();
+  private final Map<String, long[]> containedByClass = new TreeMap<>();
+  private final Histogram predictionNanos = new Histogram(MAX_NANOS, SIGNIFICANT_DIGITS);
+  private final Histogram observationNanos = new Histogram(MAX_NANOS, SIGNIFICANT_DIGITS);
+  private long predictedRuns;
+  private long stoppedRuns;
+  private long implausibleRuns;
+  private long runsOutOfOrder;
+  private long lastEndMicros = Long.MIN_VALUE;
 
   /**
-   * The last of the ways is the one that is timed, and whose bounds are compared for each share.
+   * A replay that has seen nothing. The last of the predictors is the one that is timed, and whose
+   * prediction intervals are checked for each coverage.
    */
-  Replay(List<Foretelling> ways) {
-    this.ways = new ArrayList<>(ways);
-    ways.forEach(way -> scores.put(way.name(), new Score()));
+  Replay(List<RunTimePredictor> predictors) {
+    this.predictors = new ArrayList<>(predictors);
+    main = predictors.get(predictors.size() - 1);
+    predictors.forEach(predictor -> scores.put(predictor.name(), new PredictionScore()));
   }
 
-  void take(Ended ended, long bestMicros) throws IOException {
+  /** Takes the next run; {@code oracleMicros} is what an oracle would predict, or 0. */
+  void accept(Ended ended, long oracleMicros) {
     TaskRun run = ended.run();
-    outOfOrder += ended.atWallMicros() < lastAtMicros ? 1 : 0;
-    lastAtMicros = ended.atWallMicros();
+    if (ended.atWallMicros() < lastEndMicros) {
+      runsOutOfOrder++;
+    }
+    lastEndMicros = ended.atWallMicros();
     if (!run.isPlausible()) {
-      absurd++;
+      implausibleRuns++;
       return;
     }
-    if (!run.complete()) {
-      part++;
+    if (run.complete()) {
+      predict(run, oracleMicros);
     } else {
-      ask(run, bestMicros);
+      stoppedRuns++;
     }
-    for (int i = 0; i < ways.size(); i++) {
-      long from = System.nanoTime();
-      ways.get(i).after(run);
-      if (i == ways.size() - 1) {
-        tellingNanos.recordValue(
-            Math.min(tellingNanos.getHighestTrackableValue(), System.nanoTime() - from));
-      }
+    predictors.forEach(predictor -> observe(predictor, run));
+  }
+
+  private void observe(RunTimePredictor predictor, TaskRun run) {
+    long beginNanos = System.nanoTime();
+    predictor.observe(run);
+    if (predictor == main) {
+      record(observationNanos, beginNanos);
     }
   }
 
-  private void ask(TaskRun run, long bestMicros) {
-    int chunk = (int) (asked++ / CHUNK);
-    String jobClass = run.profile().jobClass();
-    for (int i = 0; i < ways.size(); i++) {
-      Foretelling way = ways.get(i);
-      long from = System.nanoTime();
-      Estimate estimate = way.before(run, SHARE);
-      if (i == ways.size() - 1) {
-        askingNanos.recordValue(
-            Math.min(askingNanos.getHighestTrackableValue(), System.nanoTime() - from));
-        long[] counts = held.computeIfAbsent(jobClass, name -> new long[SHARES.size()]);
-        for (int j = 0; j < SHARES.size(); j++) {
-          Estimate other = way.before(run, SHARES.get(j));
-          boolean inside =
-              run.durationMicros() >= other.lowMicros()
-                  && run.durationMicros() <= other.highMicros();
-          counts[j] += inside ? 1 : 0;
-        }
+  private void predict(TaskRun run, long oracleMicros) {
+    int chunk = (int) (predictedRuns++ / CHUNK);
+    for (RunTimePredictor predictor : predictors) {
+      long beginNanos = System.nanoTime();
+      Estimate estimate = predictor.predict(run, COVERAGE);
+      if (predictor == main) {
+        record(predictionNanos, beginNanos);
+        checkIntervals(run);
       }
-      scores.get(way.name()).add(jobClass, chunk, estimate, run.durationMicros());
+      scores.get(predictor.name()).add(run, chunk, estimate);
     }
-    if (bestMicros > 0) {
+    if (oracleMicros > 0) {
       scores
-          .computeIfAbsent(BEST, name -> new Score())
-          .add(
-              jobClass,
-              chunk,
-              new Estimate(bestMicros, bestMicros, bestMicros, 0, 0, Level.NONE, Basis.RATIO),
-              run.durationMicros());
+          .computeIfAbsent(ORACLE, name -> new PredictionScore())
+          .add(run, chunk, Estimate.ofPoint(oracleMicros));
     }
   }
 
-  Map<String, Score> scores() {
-    return scores;
+  private void checkIntervals(TaskRun run) {
+    long[] contained =
+        containedByClass.computeIfAbsent(
+            run.profile().jobClass(), name -> new long[COVERAGES.size()]);
+    for (int i = 0; i < contained.length; i++) {
+      if (main.predict(run, COVERAGES.get(i)).contains(run.durationMicros())) {
+        contained[i]++;
+      }
+    }
   }
 
-  boolean hasBounds(String way) {
-    return ways.stream().anyMatch(one -> one.name().equals(way) && one.hasBounds());
+  private static void record(Histogram nanos, long beginNanos) {
+    nanos.recordValue(Math.min(nanos.getHighestTrackableValue(), System.nanoTime() - beginNanos));
   }
 
   /**
-   * Of each class, how many runs lay within the bounds, for each of the shares that they promise.
+   * The scores by the names of the predictors, in their order; the oracle's last, if there is one.
    */
-  Map<String, long[]> held() {
-    return held;
+  Map<String, PredictionScore> scores() {
+    return scores;
+  }
+
+  /** Whether the predictor of the name has prediction intervals. */
+  boolean hasIntervals(String name) {
+    return predictors.stream()
+        .anyMatch(predictor -> predictor.name().equals(name) && predictor.hasIntervals());
+  }
+
+  /** Of each class, how many runs lay within the intervals, one count for each coverage. */
+  Map<String, long[]> containedByClass() {
+    return containedByClass;
   }
 
-  /** The share of all runs that lay within the bounds, for each of the shares that they promise. */
-  double[] heldShares() {
-    double[] all = new double[SHARES.size()];
-    for (long[] counts : held.values()) {
-      for (int i = 0; i < all.length; i++) {
-        all[i] += (double) counts[i] / asked;
+  /** The share of all runs that lay within the intervals, one for each coverage. */
+  double[] observedCoverages() {
+    double[] observed = new double[COVERAGES.size()];
+    for (long[] contained : containedByClass.values()) {
+      for (int i = 0; i < observed.length; i++) {
+        observed[i] += (double) contained[i] / predictedRuns;
       }
     }
-    return all;
+    return observed;
   }
 
-  long asked() {
-    return asked;
+  /** How many runs were predicted. */
+  long predictedRuns() {
+    return predictedRuns;
   }
 
-  long part() {
-    return part;
+  /** How many runs were observed without a prediction. */
+  long stoppedRuns() {
+    return stoppedRuns;
   }
 
-  long absurd() {
-    return absurd;
+  /** How many runs were left out. */
+  long implausibleRuns() {
+    return implausibleRuns;
   }
 
-  long outOfOrder() {
-    return outOfOrder;
+  /** How many runs ended before the run that came before them. */
+  long runsOutOfOrder() {
+    return runsOutOfOrder;
   }
 
-  Histogram askingNanos() {
-    return askingNanos;
+  /** How long the last predictor's predictions took. */
+  Histogram predictionNanos() {
+    return predictionNanos;
   }
 
-  Histogram tellingNanos() {
-    return tellingNanos;
+  /** How long the last predictor's observations took. */
+  Histogram observationNanos() {
+    return observationNanos;
   }
 }
--- a/src/main/java/madderrudder/tools/EstimateCommand.java
+++ b/src/main/java/madderrudder/tools/EstimateCommand.java
@@ -5,6 +5,7 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
@@ -15,23 +16,25 @@
 import madderrudder.protocol.Resources;
 import madderrudder.replay.HistoryReader;
 import madderrudder.replay.HtmlReport;
-import madderrudder.replay.Progress;
+import madderrudder.replay.ProgressPrinter;
 import madderrudder.replay.Replay;
-import madderrudder.replay.Replays;
-import madderrudder.replay.Report;
+import madderrudder.replay.ReplayRunner;
+import madderrudder.replay.TextReport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** How long a task will take, from histories of what has run. */
+/** Commands that estimate run times from histories, and replay histories to judge estimates. */
 @Command(
     name = "estimate",
     mixinStandardHelpOptions = true,
     description = "Say how long a described task will take, and how sure that is.")
 final class EstimateCommand implements Runnable {
-  private static final double MICROS = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final double THOUSANDTHS = 1e3;
+  private static final String PROGRESS_UNIT = "runs read";
 
   @Spec private CommandSpec spec;
 
@@ -84,64 +87,39 @@
       defaultValue = "",
       paramLabel = "NAME",
       description = "The type of the machine.")
-  private String type;
+  private String machineType;
 
   @Option(
       names = "--guess",
       defaultValue = "0",
       paramLabel = "SECONDS",
       description = "The owner's guess.")
-  private double guessSeconds;
+  private double ownerEstimateSeconds;
 
   @Option(
       names = "--ran",
       defaultValue = "0",
       paramLabel = "SECONDS",
       description = "For how long it runs already.")
-  private double ranSeconds;
+  private double elapsedSeconds;
 
   @Option(
       names = "--share",
       defaultValue = "0.8",
+      paramLabel = "<share>",
       description =
           "The part of such tasks that the bounds shall hold (default: ${DEFAULT-VALUE}).")
-  private double share;
+  private double coverage;
 
   @Option(names = "--strict", description = "End at a malformed line, instead of leaving it out.")
   private boolean strict;
 
   @Override
   public void run() {
-    check(!files.isEmpty(), "--history is missing");
-    check(jobClass != null, "--class is missing");
-    check(share > 0 && share < 1, "--share must lie between 0 and 1");
-    check(
-        guessSeconds >= 0 && ranSeconds >= 0 && cpus >= 0 && gpus >= 0 && memoryGb >= 0,
-        "amounts and times must be at least 0");
-    PrintWriter err = spec.commandLine().getErr();
-    Estimator estimator;
-    try {
-      estimator =
-          Replays.learn(files, strict, problems(err), new Progress(System.err, "runs read"));
-    } catch (IOException e) {
-      throw new ParameterException(spec.commandLine(), reason(e));
-    }
-    TaskProfile profile =
-        new TaskProfile(
-            "",
-            jobClass,
-            team,
-            image,
-            new Resources(
-                Math.round(1e3 * cpus), Math.round(1e3 * gpus), Math.round(1e3 * memoryGb)));
-    EstimateQuery question =
-        new EstimateQuery(
-            profile,
-            Math.round(MICROS * guessSeconds),
-            type,
-            Math.round(MICROS * ranSeconds),
-            share);
-    Estimate estimate = estimator.estimate(question);
+    checkOptions();
+    Estimator estimator = learn();
+    EstimateQuery query = query();
+    Estimate estimate = estimator.estimate(query);
     PrintWriter out = spec.commandLine().getOut();
     if (estimate.isUnknown()) {
       out.println("unknown: nothing like it has run, and there is no guess");
@@ -151,31 +129,61 @@
         String.format(
             Locale.ROOT,
             "%.3f s, in %.0f of 100 cases %.3f to %.3f s (%s, from %d runs %s)",
-            estimate.medianMicros() / MICROS,
-            100 * share,
-            estimate.lowMicros() / MICROS,
-            estimate.highMicros() / MICROS,
+            estimate.medianMicros() / MICROS_PER_SECOND,
+            100 * coverage,
+            estimate.lowMicros() / MICROS_PER_SECOND,
+            estimate.highMicros() / MICROS_PER_SECOND,
             estimate.isConfident() ? "sure" : "unsure",
             estimate.runs(),
             estimate.level().words()));
-    out.println(estimator.explain(question));
+    out.println(estimator.explain(query));
+  }
+
+  private void checkOptions() {
+    check(!files.isEmpty(), "--history is missing");
+    check(jobClass != null, "--class is missing");
+    check(coverage > 0 && coverage < 1, "--share must lie between 0 and 1");
+    boolean timesValid = ownerEstimateSeconds >= 0 && elapsedSeconds >= 0;
+    boolean amountsValid = cpus >= 0 && gpus >= 0 && memoryGb >= 0;
+    check(timesValid && amountsValid, "amounts and times must be at least 0");
+  }
+
+  private Estimator learn() {
+    ProgressPrinter progress = new ProgressPrinter(System.err, PROGRESS_UNIT);
+    try {
+      return ReplayRunner.learn(files, strict, printTo(spec.commandLine().getErr()), progress);
+    } catch (IOException e) {
+      throw new ParameterException(spec.commandLine(), message(e));
+    }
+  }
+
+  private EstimateQuery query() {
+    Resources resources =
+        new Resources(
+            Math.round(THOUSANDTHS * cpus),
+            Math.round(THOUSANDTHS * gpus),
+            Math.round(THOUSANDTHS * memoryGb));
+    return new EstimateQuery(
+        new TaskProfile("", jobClass, team, image, resources),
+        Math.round(MICROS_PER_SECOND * ownerEstimateSeconds),
+        machineType,
+        Math.round(MICROS_PER_SECOND * elapsedSeconds),
+        coverage);
   }
 
-  private void check(boolean good, String problem) {
-    if (!good) {
+  private void check(boolean valid, String problem) {
+    if (!valid) {
       throw new ParameterException(spec.commandLine(), problem);
     }
   }
 
-  private static String reason(IOException e) {
-    return e instanceof java.nio.file.NoSuchFileException
-        ? "no such file: " + e.getMessage()
-        : e.getMessage();
+  private static String message(IOException e) {
+    return e instanceof NoSuchFileException ? "no such file: " + e.getMessage() : e.getMessage();
   }
 
-  private static HistoryReader.Problems problems(PrintWriter err) {
-    return (file, line, why) ->
-        err.println("madderrudder: " + file + ", line " + line + " is left out: " + why);
+  private static HistoryReader.MalformedLineListener printTo(PrintWriter err) {
+    return (file, line, problem) ->
+        err.println("madderrudder: " + file + ", line " + line + " is left out: " + problem);
   }
 
   @Command(
@@ -191,20 +199,22 @@
       @Option(
               names = "--all-ways",
               description = "Also the ways to learn that were weighed and not taken.")
-          boolean allWays,
+          boolean allMethods,
       @Option(
               names = "--strict",
               description = "End at a malformed line, instead of leaving it out.")
-          boolean strictly)
+          boolean strictReplay)
       throws IOException {
     PrintWriter out = spec.commandLine().getOut();
     PrintWriter err = spec.commandLine().getErr();
-    HistoryReader reader = new HistoryReader(file, strictly, problems(err));
+    HistoryReader reader = new HistoryReader(file, strictReplay, printTo(err));
     Replay replay;
     try {
-      replay = Replays.replay(reader, byTime, allWays, new Progress(System.err, "runs read"));
-    } catch (java.nio.file.NoSuchFileException e) {
-      throw new IOException(reason(e), e);
+      replay =
+          ReplayRunner.replay(
+              reader, byTime, allMethods, new ProgressPrinter(System.err, PROGRESS_UNIT));
+    } catch (NoSuchFileException e) {
+      throw new IOException(message(e), e);
     }
     String source =
         file
@@ -216,7 +226,7 @@
             + reader.repeated()
             + " repeated";
     out.println(source);
-    new Report(replay).write(out);
+    new TextReport(replay).write(out);
     out.flush();
     if (html != null) {
       try (Writer page = Files.newBufferedWriter(html, StandardCharsets.UTF_8)) {
--- a/src/main/java/madderrudder/tools/HistoryCommand.java
+++ b/src/main/java/madderrudder/tools/HistoryCommand.java
@@ -4,21 +4,19 @@
 import java.io.PrintStream;
 import java.io.Writer;
 import java.net.URI;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.List;
-import madderrudder.replay.Generator;
 import madderrudder.replay.HistoryClient;
+import madderrudder.replay.HistoryGenerator;
 import madderrudder.replay.HistoryWriter;
-import madderrudder.replay.Progress;
+import madderrudder.replay.ProgressPrinter;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Histories of what has run. */
+/** Commands that write histories of runs: collected from controllers, or generated. */
 @Command(
     name = "history",
     description = "Collect or draw histories of runs.",
@@ -44,17 +42,7 @@
               description =
                   "The controllers, for instance http://127.0.0.1:7400; the one that leads answers.")
           List<URI> controllers,
-      @Option(
-              names = "--out",
-              paramLabel = "FILE",
-              description = "Where to (default: standard output).")
-          Path file,
-      @Option(
-              names = "--format",
-              defaultValue = "jsonl",
-              paramLabel = "FORMAT",
-              description = "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
-          HistoryWriter.Format format,
+      @Mixin OutputOptions output,
       @Option(
               names = "--after",
               defaultValue = "0",
@@ -70,8 +58,8 @@
       throws IOException, InterruptedException {
     HistoryClient client = new HistoryClient(controllers, after);
     PrintStream err = System.err;
-    try (Writer out = open(file)) {
-      HistoryWriter writer = new HistoryWriter(out, format, false);
+    try (Writer out = output.open()) {
+      HistoryWriter writer = new HistoryWriter(out, output.format(), false);
       do {
         collectAll(client, writer, followSeconds > 0, err);
         out.flush();
@@ -88,18 +76,19 @@
   }
 
   /**
-   * While following, controllers may be away for a while; the leader remembers what has run
-   * meanwhile.
+   * Collects until there is nothing new. While following, no leader may answer for a while; that is
+   * printed, and the leader still has the latest runs afterwards.
    */
   private static void collectAll(
-      HistoryClient client, HistoryWriter writer, boolean patient, PrintStream err)
+      HistoryClient client, HistoryWriter writer, boolean following, PrintStream err)
       throws IOException, InterruptedException {
     try {
-      while (client.collect(writer::write) > 0) {
-        // Goes on until there is nothing new.
-      }
+      int collected;
+      do {
+        collected = client.collect(writer::write);
+      } while (collected > 0);
     } catch (IOException e) {
-      if (!patient) {
+      if (!following) {
         throw e;
       }
       err.println("madderrudder: " + e.getMessage());
@@ -123,38 +112,21 @@
               paramLabel = "N",
               description = "How many (default: ${DEFAULT-VALUE}).")
           long runs,
-      @Option(
-              names = "--format",
-              defaultValue = "jsonl",
-              paramLabel = "FORMAT",
-              description = "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
-          HistoryWriter.Format format,
-      @Option(
-              names = "--out",
-              paramLabel = "FILE",
-              description = "Where to (default: standard output).")
-          Path file)
+      @Mixin OutputOptions output)
       throws IOException {
     if (runs < 1) {
       throw new ParameterException(spec.commandLine(), "--runs must be at least 1");
     }
-    Progress progress = new Progress(System.err, "runs drawn");
-    try (Writer out = open(file)) {
-      HistoryWriter writer = new HistoryWriter(out, format, true);
-      new Generator(seed, runs)
-          .draw(
-              (ended, bestMicros) -> {
+    ProgressPrinter progress = new ProgressPrinter(System.err, "runs drawn");
+    try (Writer out = output.open()) {
+      HistoryWriter writer = new HistoryWriter(out, output.format(), true);
+      new HistoryGenerator(seed, runs)
+          .generate(
+              (ended, oracleMicros) -> {
                 progress.step();
-                writer.write(ended, bestMicros);
+                writer.write(ended, oracleMicros);
               });
     }
     return 0;
   }
-
-  private static Writer open(Path file) throws IOException {
-    return file == null
-        ? new java.io.BufferedWriter(
-            new java.io.OutputStreamWriter(System.out, StandardCharsets.UTF_8))
-        : Files.newBufferedWriter(file, StandardCharsets.UTF_8);
-  }
 }
--- a/src/main/java/madderrudder/tools/Tools.java
+++ b/src/main/java/madderrudder/tools/Tools.java
@@ -1,10 +1,14 @@
 package madderrudder.tools;
 
+import java.io.IOException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Spec;
 
-/** The commands that run on ordinary machines, beside the controllers. */
+/** The entry point of the tools, which run on operators' machines and not in a controller. */
 @Command(
     name = "madderrudder",
     description = "Tools of the madderrudder scheduler.",
@@ -17,8 +21,9 @@
     versionProvider = Tools.Version.class,
     subcommands = {HistoryCommand.class, EstimateCommand.class})
 public final class Tools implements Runnable {
-  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+  @Spec private CommandSpec spec;
 
+  /** The version in the manifest of the jar. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -27,22 +32,22 @@
     }
   }
 
-  /** Without a command there is nothing to do: says which there are. */
+  /** Fails with the list of commands, since a command is missing. */
   @Override
   public void run() {
-    throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+    throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
   /**
-   * Files that can't be read or written, and controllers that don't answer, are told in a line, not
-   * with a stack.
+   * The command line of all commands. Files that can't be read or written, and controllers that
+   * don't answer, are printed as one line without a stack trace; the exit code is 1 then.
    */
   static CommandLine commandLine() {
     return new CommandLine(new Tools())
         .setCaseInsensitiveEnumValuesAllowed(true)
         .setExecutionExceptionHandler(
             (failure, line, result) -> {
-              if (failure instanceof java.io.IOException) {
+              if (failure instanceof IOException) {
                 line.getErr().println("madderrudder: " + failure.getMessage());
                 return 1;
               }
@@ -50,6 +55,7 @@
             });
   }
 
+  /** Runs the command in the arguments and exits with its code. */
   public static void main(String[] args) {
     System.exit(commandLine().execute(args));
   }
--- a/src/test/java/madderrudder/replay/ReplayTest.java
+++ b/src/test/java/madderrudder/replay/ReplayTest.java
@@ -25,7 +25,7 @@
 import madderrudder.metrics.RunHistory.Ended;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.Resources;
-import madderrudder.replay.Score.Tally;
+import madderrudder.replay.PredictionScore.ErrorTally;
 import madderrudder.tools.ToolsRunner;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -35,8 +35,8 @@
 
 /** Histories from drawing to report, and the commands of operators. */
 class ReplayTest {
-  private static final Progress SILENT =
-      new Progress(new PrintStream(new ByteArrayOutputStream()), "");
+  private static final ProgressPrinter SILENT =
+      new ProgressPrinter(new PrintStream(new ByteArrayOutputStream()), "");
 
   @TempDir Path folder;
 
@@ -46,7 +46,7 @@
             "history-" + seed + (format == HistoryWriter.Format.CSV ? ".csv" : ".jsonl"));
     StringWriter out = new StringWriter();
     HistoryWriter writer = new HistoryWriter(out, format, true);
-    new Generator(seed, runs).draw(writer::write);
+    new HistoryGenerator(seed, runs).generate(writer::write);
     return Files.writeString(file, out.toString());
   }
 
@@ -64,25 +64,29 @@
   @Test
   void whatNoiseAllowsIsForetold() throws IOException {
     Replay replay =
-        Replays.replay(reader(drawn(7, 6_000, HistoryWriter.Format.JSONL)), false, false, SILENT);
-    Score learned = replay.scores().get("learned");
-    Score best = replay.scores().get(Replay.BEST);
+        ReplayRunner.replay(
+            reader(drawn(7, 6_000, HistoryWriter.Format.JSONL)), false, false, SILENT);
+    PredictionScore learned = replay.scores().get("learned");
+    PredictionScore best = replay.scores().get(Replay.ORACLE);
     int allowed = 0;
     for (String name : best.byClass.keySet()) {
-      Tally here = learned.byClass.get(name);
-      Tally there = best.byClass.get(name);
-      if (there.withinShare() > 0.9 && !name.equals("drifting")) {
+      ErrorTally here = learned.byClass.get(name);
+      ErrorTally there = best.byClass.get(name);
+      if (there.nearShare() > 0.9 && !name.equals("drifting")) {
         allowed++;
         assertTrue(
-            here.withinShare() > 0.8,
-            name + " " + here.withinShare() + " of " + there.withinShare());
+            here.nearShare() > 0.8, name + " " + here.nearShare() + " of " + there.nearShare());
       }
     }
     assertTrue(allowed >= 4, "only " + allowed + " classes have so little noise");
-    assertTrue(learned.all.withinShare() > 2 * replay.scores().get("guess").all.withinShare());
-    assertTrue(learned.all.withinShare() > 1.5 * replay.scores().get("ratio").all.withinShare());
-    for (int i = 0; i < Replay.SHARES.size(); i++) {
-      assertEquals(Replay.SHARES.get(i), replay.heldShares()[i], 0.06, "of bounds that promise it");
+    assertTrue(learned.all.nearShare() > 2 * replay.scores().get("guess").all.nearShare());
+    assertTrue(learned.all.nearShare() > 1.5 * replay.scores().get("ratio").all.nearShare());
+    for (int i = 0; i < Replay.COVERAGES.size(); i++) {
+      assertEquals(
+          Replay.COVERAGES.get(i),
+          replay.observedCoverages()[i],
+          0.06,
+          "of bounds that promise it");
     }
   }
 
@@ -175,18 +179,19 @@
                 {"at_s":5,"job":"c","task":0,"class":"c","guess_s":60,"took_s":9e8,"end":"done"}
                 {"at_s":7,"job":"d","task":0,"class":"c","guess_s":0,"took_s":60,"end":"part"}
                 """);
-    Replay asItStands = Replays.replay(reader(file), false, false, SILENT);
-    assertEquals(1, asItStands.asked());
-    assertEquals(2, asItStands.absurd());
-    assertEquals(1, asItStands.part());
-    assertEquals(1, asItStands.outOfOrder());
-    assertEquals(0, Replays.replay(reader(file), true, false, SILENT).outOfOrder());
+    Replay asItStands = ReplayRunner.replay(reader(file), false, false, SILENT);
+    assertEquals(1, asItStands.predictedRuns());
+    assertEquals(2, asItStands.implausibleRuns());
+    assertEquals(1, asItStands.stoppedRuns());
+    assertEquals(1, asItStands.runsOutOfOrder());
+    assertEquals(0, ReplayRunner.replay(reader(file), true, false, SILENT).runsOutOfOrder());
   }
 
   @Test
   void thePageHasItsPlotsAndTables() throws Exception {
     Replay replay =
-        Replays.replay(reader(drawn(5, 2_500, HistoryWriter.Format.JSONL)), false, true, SILENT);
+        ReplayRunner.replay(
+            reader(drawn(5, 2_500, HistoryWriter.Format.JSONL)), false, true, SILENT);
     StringWriter page = new StringWriter();
     new HtmlReport(replay).write("a <history> & more", page);
     String text = page.toString();
@@ -209,8 +214,9 @@
   void progressIsToldOnceASecond() {
     ByteArrayOutputStream told = new ByteArrayOutputStream();
     AtomicLong nanos = new AtomicLong();
-    Progress progress =
-        new Progress(new PrintStream(told, true, StandardCharsets.UTF_8), "runs", nanos::get);
+    ProgressPrinter progress =
+        new ProgressPrinter(
+            new PrintStream(told, true, StandardCharsets.UTF_8), "runs", nanos::get);
     for (int i = 0; i < 10_000; i++) {
       nanos.addAndGet(250_000);
       progress.step();
