--- /dev/null
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -0,0 +1,167 @@
+package madderrudder.coordination.heartbeat;
+
+import madderrudder.coordination.policy.FencingToken;
+import madderrudder.coordination.registry.LeaderTerm;
+import madderrudder.coordination.registry.MachineRegistry;
+import madderrudder.coordination.scaleout.ScaleOutController;
+import madderrudder.coordination.state.Machine;
+import madderrudder.protocol.Heartbeat;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Takes heartbeats into the cluster state: unknown machines, new sessions, the state of the worker
+ * and of its tasks. Confined to the event loop thread.
+ */
+final class HeartbeatIngest {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatIngest.class);
+
+  /** A worker ignores answers that come later than this after its heartbeat. */
+  private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
+
+  private final LeaderTerm term;
+  private final MachineRegistry machines;
+  private final ScaleOutController scaleOut;
+  private final TaskStatusIngest tasks;
+  private final Runnable onCapacityFreed;
+
+  /** {@code onCapacityFreed} is run when a task may be placed that could not be before. */
+  HeartbeatIngest(
+      LeaderTerm term,
+      MachineRegistry machines,
+      ScaleOutController scaleOut,
+      TaskStatusIngest tasks,
+      Runnable onCapacityFreed) {
+    this.term = term;
+    this.machines = machines;
+    this.scaleOut = scaleOut;
+    this.tasks = tasks;
+    this.onCapacityFreed = onCapacityFreed;
+  }
+
+  /** Takes a heartbeat in, if it is newer than what is known of its worker. */
+  Freshness accept(Heartbeat heartbeat) {
+    Machine machine = term.cluster.machines.get(heartbeat.machine());
+    if (machine == null) {
+      if (machines.wasRemoved(heartbeat.machine())) {
+        return Freshness.STALE;
+      }
+      machine = register(heartbeat);
+    } else if (machine.reported && !heartbeat.newerThan(machine.session, machine.seq)) {
+      return acceptOlder(machine, heartbeat);
+    }
+    long nowMicros = term.scheduler.nowMicros();
+    checkAcknowledgement(machine, heartbeat, nowMicros);
+    boolean first = !machine.reported;
+    if (first || machine.leaseExpired) {
+      machine.idleSinceMicros = nowMicros;
+      scaleOut.machineUp(machine);
+      LOG.info("{} is up", machine.id);
+    }
+    updateWorkerState(machine, heartbeat, nowMicros);
+    boolean freed = tasks.applyStatuses(machine, heartbeat, nowMicros);
+    freed |= tasks.releaseGone(machine);
+    if (freed || first) {
+      onCapacityFreed.run();
+    }
+    return Freshness.NEW;
+  }
+
+  /** Adds the machine of a worker that is heard for the first time. */
+  private Machine register(Heartbeat heartbeat) {
+    Machine machine =
+        machines.add(
+            heartbeat.machine(),
+            heartbeat.type(),
+            heartbeat.zone(),
+            heartbeat.spot(),
+            scaleOut.ownedStillOpen(),
+            term.scheduler.wallMicros());
+    LOG.info(
+        "first heartbeat of unknown machine {} ({} {}{}), {}",
+        machine.id,
+        heartbeat.type(),
+        heartbeat.zone(),
+        heartbeat.spot() ? " spot" : "",
+        machine.owned ? "owned" : "rented");
+    machines.save(machine);
+    // It may have been returned long ago, and this heartbeat be a late copy: nothing is placed
+    // there before its worker has answered.
+    if (!machine.owned) {
+      expectAcknowledgementUnlessSeen(machine, heartbeat, term.scheduler.nowMicros());
+    }
+    return machine;
+  }
+
+  /**
+   * A worker has one heartbeat under way at a time and drops an answer that comes after its
+   * timeout. An answer to an older heartbeat than the last it sent by itself reaches nobody, and
+   * must not count as a renewal of its lease.
+   */
+  private Freshness acceptOlder(Machine machine, Heartbeat heartbeat) {
+    if (!awaitsAnswer(machine, heartbeat)) {
+      return Freshness.STALE;
+    }
+    if (heartbeat.seq() > machine.heartbeatSeq) {
+      machine.heartbeatSeq = heartbeat.seq();
+      machine.heartbeatMicros = term.scheduler.nowMicros();
+    }
+    return Freshness.OVERTAKEN;
+  }
+
+  private boolean awaitsAnswer(Machine machine, Heartbeat heartbeat) {
+    if (heartbeat.session() != machine.session || heartbeat.seq() < machine.heartbeatSeq) {
+      return false;
+    }
+    return heartbeat.seq() > machine.heartbeatSeq
+        || term.scheduler.nowMicros() - machine.heartbeatMicros < ANSWER_TIMEOUT_MICROS;
+  }
+
+  /** Follows whether answers reach the worker, by the token that its heartbeat shows. */
+  private void checkAcknowledgement(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    if (machine.reported && heartbeat.session() > machine.session) {
+      beginSession(machine);
+      machine.expectAcknowledgement(nowMicros);
+    } else if (machine.reported && machine.answeredInTerm) {
+      // The answer to an earlier heartbeat carried this term's token, and did not reach the worker.
+      expectAcknowledgementUnlessSeen(machine, heartbeat, machine.lastHeardMicros);
+    }
+    if (machine.acknowledges(heartbeat.token())) {
+      LOG.debug("answers reach {}", machine.id);
+    }
+  }
+
+  private void expectAcknowledgementUnlessSeen(
+      Machine machine, Heartbeat heartbeat, long sinceMicros) {
+    if (FencingToken.term(heartbeat.token()) < term.term) {
+      machine.expectAcknowledgement(sinceMicros);
+    }
+  }
+
+  /**
+   * The worker's lease ran out in between: it dropped what this leader had started, and old
+   * commands no longer match. What an earlier leader started may belong to the new session, because
+   * both heartbeats may be older than that, held on their way. Such tasks were once taken for gone
+   * and ran twice, so they are released only by a heartbeat that knows this term.
+   */
+  private void beginSession(Machine machine) {
+    LOG.info("{} begins a new session", machine.id);
+    machines.releaseOwn(machine);
+    machine.heartbeatSeq = -1;
+  }
+
+  private void updateWorkerState(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    machine.reported = true;
+    machine.leaseExpired = false;
+    machine.failed = false;
+    machine.session = heartbeat.session();
+    machine.seq = heartbeat.seq();
+    machine.token = heartbeat.token();
+    machine.reportedInTerm |= FencingToken.term(heartbeat.token()) >= term.term;
+    machine.heartbeatSeq = heartbeat.seq();
+    machine.heartbeatMicros = nowMicros;
+    machine.addr = heartbeat.addr().isEmpty() ? machine.addr : heartbeat.addr();
+    machine.reclaimMicros =
+        heartbeat.noticeMicros() < 0 ? -1 : nowMicros + heartbeat.noticeMicros();
+  }
+}
--- /dev/null
+++ b/src/main/java/madderrudder/coordination/leader/ConfidenceTracker.java
@@ -0,0 +1,110 @@
+package madderrudder.coordination.leader;
+
+import java.util.Set;
+import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.registry.LeaderTerm;
+import madderrudder.coordination.scheduling.Demand;
+import madderrudder.coordination.state.Job;
+import madderrudder.protocol.Priority;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Follows after a failover how much of the cluster has been heard from, and which starts wait for
+ * more. Confined to the event loop thread.
+ */
+final class ConfidenceTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(ConfidenceTracker.class);
+
+  private final LeaderTerm term;
+  private final long patienceMicros;
+  private final long beginMicros;
+
+  /** Since when workers are answered by what is recorded. */
+  private long readyMicros;
+
+  private Confidence confidence = Confidence.FULL;
+
+  /** The jobs that were within their teams' guarantees when this leader took over. */
+  private Set<Job> guaranteed = Set.of();
+
+  /**
+   * Starts with the term.
+   *
+   * @param members how many controllers there are, this one included
+   */
+  ConfidenceTracker(LeaderTerm term, int members) {
+    this.term = term;
+    patienceMicros = Confidence.patienceMicros(term.deployment.workers(), members);
+    beginMicros = term.scheduler.nowMicros();
+  }
+
+  /**
+   * The stored state has been read. Assesses the cluster before and after the early heartbeats,
+   * those that came meanwhile, are accepted. They have been answered already; what they say is as
+   * good as that of any heartbeat that comes late.
+   */
+  void begin(Runnable acceptEarlyHeartbeats) {
+    readyMicros = term.scheduler.nowMicros();
+    LOG.info(
+        "term {}: took over {} jobs and {} machines",
+        term.term,
+        term.cluster.jobs.size(),
+        term.cluster.machines.size());
+    confidence = assess();
+    guaranteed = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence).guaranteed();
+    acceptEarlyHeartbeats.run();
+    confidence = assess();
+    LOG.info(
+        "term {}: the store was read in {} ms; {} of the machines that were up have reported{}",
+        term.term,
+        (readyMicros - beginMicros) / 1000,
+        percent(confidence.share()),
+        confidence.suffices() ? "" : ", scale-out and preemption wait for more");
+  }
+
+  /** The confidence as last assessed; full before {@link #begin}. */
+  Confidence confidence() {
+    return confidence;
+  }
+
+  /** Assesses the cluster anew, until all machines that are expected have reported. */
+  void refresh() {
+    if (confidence.complete()) {
+      return;
+    }
+    boolean sufficed = confidence.suffices();
+    confidence = assess();
+    if (!sufficed && confidence.suffices()) {
+      LOG.info(
+          "term {}: {} of the machines that were up have reported after {} ms",
+          term.term,
+          percent(confidence.share()),
+          (term.scheduler.nowMicros() - readyMicros) / 1000);
+    }
+  }
+
+  /**
+   * Whether tasks of the job are not started before more machines have reported. Jobs of production
+   * priority and those within a guarantee are started at once where they are recorded; the rest
+   * could be preempted again by work that waits.
+   */
+  boolean defersStart(Job job) {
+    return !confidence.complete()
+        && !confidence.suffices(job)
+        && job.spec.priority() != Priority.PRODUCTION
+        && !guaranteed.contains(job);
+  }
+
+  private Confidence assess() {
+    return Confidence.of(
+        term.cluster,
+        term.scheduler.nowMicros() - readyMicros,
+        patienceMicros,
+        term.scheduler.wallMicros());
+  }
+
+  private static String percent(double share) {
+    return Math.round(100 * share) + "%";
+  }
+}
--- /dev/null
+++ b/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
@@ -0,0 +1,99 @@
+package madderrudder.coordination.leader;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.Map;
+import java.util.function.Predicate;
+import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.registry.LeaderTerm;
+import madderrudder.coordination.scaleout.ScaleOutController;
+import madderrudder.coordination.state.ClusterSummary;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The state of the cluster for operators, in {@code GET /metrics} and in the log. Confined to the
+ * event loop thread.
+ */
+final class LeaderStatus {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
+
+  private final LeaderTerm term;
+  private final ScaleOutController scaleOut;
+  private final ConfidenceTracker confidence;
+  private final PlanningLoop planning;
+
+  LeaderStatus(
+      LeaderTerm term,
+      ScaleOutController scaleOut,
+      ConfidenceTracker confidence,
+      PlanningLoop planning) {
+    this.term = term;
+    this.scaleOut = scaleOut;
+    this.confidence = confidence;
+    this.planning = planning;
+  }
+
+  /** Logs one line about the cluster. */
+  void logSummary() {
+    LOG.info(
+        "machines and processors in use: {}; {} tasks wait, {} changes unwritten, budget left {}",
+        ClusterSummary.of(term.cluster),
+        waitingTasks(),
+        term.commits.backlog(),
+        scaleOut.budgetLeft());
+  }
+
+  /** Writes the fields of {@code GET /metrics} that only the leader knows. */
+  void writeMetrics(JsonGenerator out) throws IOException {
+    out.writeNumberField("jobs", term.cluster.jobs.size());
+    out.writeNumberField("waiting_tasks", waitingTasks());
+    out.writeNumberField("unwritten_changes", term.commits.backlog());
+    out.writeNumberField("rentals_under_way", scaleOut.underWay());
+    out.writeNumberField("budget_left", scaleOut.budgetLeft());
+    out.writeStringField("machines", ClusterSummary.of(term.cluster));
+    long nowMicros = term.scheduler.nowMicros();
+    out.writeNumberField(
+        "jobs_failing", term.cluster.jobs.values().stream().filter(Job::failing).count());
+    out.writeNumberField(
+        "machines_passed_over", countMachines(machine -> machine.cordoned(nowMicros)));
+    out.writeNumberField("machines_in_doubt", countMachines(Machine::unacknowledged));
+    out.writeNumberField(
+        "boots_late",
+        countMachines(machine -> machine.booting() && !machine.bootingOnTime(nowMicros)));
+    if (term.learned != null) {
+      term.learned.write(out);
+    }
+    writeConfidence(out, confidence.confidence());
+  }
+
+  private void writeConfidence(JsonGenerator out, Confidence now) throws IOException {
+    out.writeObjectFieldStart("heard");
+    out.writeNumberField("share", now.share());
+    out.writeBooleanField("overdue", now.overdue());
+    out.writeNumberField("jobs_held_back", planning.jobsHeldBack());
+    writeShares(out, "zones", now.zones());
+    writeShares(out, "types", now.types());
+    writeShares(out, "teams", now.teams());
+    out.writeEndObject();
+  }
+
+  private static void writeShares(
+      JsonGenerator out, String name, Map<String, Confidence.Count> shares) throws IOException {
+    out.writeObjectFieldStart(name);
+    for (Map.Entry<String, Confidence.Count> share : shares.entrySet()) {
+      out.writeNumberField(share.getKey(), share.getValue().share());
+    }
+    out.writeEndObject();
+  }
+
+  private int waitingTasks() {
+    return term.cluster.jobs.values().stream().mapToInt(Job::waitingCount).sum();
+  }
+
+  private long countMachines(Predicate<Machine> test) {
+    return term.cluster.machines.values().stream().filter(test).count();
+  }
+}
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -212,14 +212,14 @@
     if (leader != null && leader.ready() && ++pulses % PULSES_PER_PROGRESS == 0) {
       peers.broadcast(
           PeerMessage.encode(
-              new PeerMessage.ProgressUpdate(leader.number(), leader.someProgress())));
+              new PeerMessage.ProgressUpdate(leader.number(), leader.nextProgressBatch())));
     }
-    long grantMicros = leader == null ? 0 : leader.grantMicros();
+    long grantMicros = leader == null ? 0 : leader.delegationGrantMicros();
     if (grantMicros > 0) {
       deputy.harmlessUntil(now + grantMicros);
     }
     List<PeerMessage.StampEcho> echoes =
-        grantMicros > 0 ? leader.granted(deputy.echoes(), grantMicros) : deputy.echoes();
+        grantMicros > 0 ? leader.grantDelegation(deputy.echoes(), grantMicros) : deputy.echoes();
     deputy
         .frames(election.highestTerm(), grantMicros, echoes)
         .forEach(frame -> peers.broadcast(PeerMessage.encode(frame)));
@@ -244,11 +244,11 @@
         election.heard(standing.term(), null);
         deputy.take(standing, election.highestTerm());
         if (leader != null) {
-          leader.heard(standing, deputy.echo(standing));
+          leader.onMembershipStatus(standing, deputy.echo(standing));
         }
       } else if (frame instanceof PeerMessage.DelegatedRenewals answered) {
         if (leader != null) {
-          leader.heard(answered);
+          leader.onDelegatedRenewals(answered);
         }
       } else if (frame instanceof PeerMessage.ForwardedHeartbeat relayed) {
         reports.take(relayed);
@@ -279,7 +279,7 @@
   }
 
   private JobProgress progress(String id) {
-    JobProgress own = leader == null ? null : leader.progress(id);
+    JobProgress own = leader == null ? null : leader.progress(id).orElse(null);
     return own != null ? own : told.get(id);
   }
 
@@ -352,7 +352,7 @@
     out.writeStringField("leader", name == null ? "" : name);
     out.writeNumberField("term", election.highestTerm());
     if (leader != null && leader.ready()) {
-      leader.writeState(out);
+      leader.writeMetrics(out);
     }
     reports.write(out);
     metrics.write(out);
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -11,6 +11,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import madderrudder.coordination.leader.HeartbeatReply;
 import madderrudder.coordination.leader.Leader;
 import madderrudder.coordination.membership.HeartbeatDelegate;
 import madderrudder.coordination.membership.LeaderElection;
@@ -146,7 +147,7 @@
   /** Whether it is clear who answers reports. */
   private boolean settled() {
     Leader here = around.leader().get();
-    return here != null ? here.takesReports() : election.leader() != null;
+    return here != null ? here.decidesHeartbeats() : election.leader() != null;
   }
 
   private void settle() {
@@ -167,15 +168,13 @@
       follow(arrived);
       return;
     }
-    here.report(
+    here.handleHeartbeat(
         arrived.report(),
         reply -> {
-          if (reply.orders() == null) {
-            redirect(arrived.answer());
+          if (reply instanceof HeartbeatReply.Answered answered) {
+            arrived.answer().accept(HttpResponse.of(200, encode(answered)));
           } else {
-            arrived
-                .answer()
-                .accept(HttpResponse.of(200, WorkerCodec.answer(reply.token(), reply.orders())));
+            redirect(arrived.answer());
           }
         });
   }
@@ -260,15 +259,13 @@
       if (here == null) {
         return;
       }
-      here.report(
+      here.handleHeartbeat(
           report,
           reply -> {
             // Nothing in the answer: the worker is to have none, neither of this controller nor in
             // its stead.
             byte[] body =
-                reply.orders() == null
-                    ? new byte[0]
-                    : WorkerCodec.answer(reply.token(), reply.orders());
+                reply instanceof HeartbeatReply.Answered answered ? encode(answered) : new byte[0];
             if (PeerMessage.carries(body.length)) {
               around
                   .peers()
@@ -292,6 +289,10 @@
     }
   }
 
+  private static byte[] encode(HeartbeatReply.Answered answered) {
+    return WorkerCodec.answer(answered.token(), answered.commands());
+  }
+
   private void redirect(Consumer<HttpResponse> answer) {
     String name = election.leader();
     boolean other = name != null && !name.equals(around.member());
