--- /dev/null
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -0,0 +1,113 @@
+package madderrudder.coordination.heartbeat;
+
+import java.util.List;
+import madderrudder.coordination.policy.FencingToken;
+import madderrudder.coordination.policy.TeamQuota;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
+import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.JobSpec;
+import madderrudder.protocol.MachineType;
+import madderrudder.protocol.Priority;
+import madderrudder.protocol.Resources;
+import madderrudder.protocol.TaskId;
+import madderrudder.protocol.TaskStatus;
+import madderrudder.protocol.TaskStatus.ExitReason;
+import madderrudder.protocol.TaskStatus.Phase;
+
+/** A machine in the cluster state of term 7, whose newest heartbeat has been taken in. */
+final class MachineFixture {
+  static final long TERM = 7;
+  static final long SECOND = 1_000_000;
+  static final long SESSION = 3;
+  static final long SEQ = 5;
+  static final long ATTEMPT = 11;
+
+  private static final MachineType TYPE =
+      new MachineType(
+          "box", Resources.of(4, 0, 16), 30, 1, 1.0, 0.3, 10 * SECOND, List.of("east", "west"));
+
+  final Machine machine = new Machine("m-0", TYPE, "east", false, true, 0, 0);
+
+  MachineFixture() {
+    machine.addr = "10.0.1.1:80";
+    machine.reported = true;
+    machine.session = SESSION;
+    machine.seq = SEQ;
+    machine.token = FencingToken.first(TERM);
+    machine.issuedToken = FencingToken.first(TERM);
+  }
+
+  /** A job whose tasks write checkpoints, which takes two seconds, if {@code checkpoints}. */
+  static Job job(boolean checkpoints) {
+    JobSpec spec =
+        new JobSpec(
+            "req-1",
+            "class",
+            "alto",
+            JobKind.ARRAY,
+            Priority.NORMAL,
+            1_000,
+            Resources.of(1, 0, 1),
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            30 * SECOND,
+            checkpoints ? 10 * SECOND : 0,
+            checkpoints ? 2 * SECOND : 0,
+            0);
+    return new Job(spec, new TeamQuota("alto", Resources.NONE, Resources.NONE), 1, 0, 0);
+  }
+
+  /** A durable record of a task that the worker has not reported. */
+  Assignment place(Job job, int index, boolean inherited) {
+    Assignment assignment =
+        new Assignment(
+            task(index), ATTEMPT, machine, job.spec.team(), job.spec.perTask(), job, inherited, 0);
+    assignment.durable = true;
+    machine.assignments.put(assignment.key(), assignment);
+    return assignment;
+  }
+
+  /** A durable record of a task that the newest heartbeat names. */
+  Assignment placeReported(Job job, int index) {
+    Assignment assignment = place(job, index, false);
+    assignment.reportedSeq = SEQ;
+    assignment.phase = Phase.RUNNING;
+    return assignment;
+  }
+
+  static TaskId task(int index) {
+    return new TaskId("req-1", index);
+  }
+
+  static TaskStatus status(int index, Phase phase) {
+    return new TaskStatus(
+        task(index), ATTEMPT, phase, phase == Phase.EXITED ? ExitReason.DONE : null, false);
+  }
+
+  /** The heartbeat that has been taken in, with these tasks. */
+  Heartbeat newest(TaskStatus... tasks) {
+    return heartbeat(SEQ, tasks);
+  }
+
+  Heartbeat heartbeat(long seq, TaskStatus... tasks) {
+    return new Heartbeat(
+        machine.id,
+        machine.addr,
+        "box",
+        "east",
+        false,
+        SESSION,
+        seq,
+        machine.token,
+        -1,
+        List.of(tasks));
+  }
+}
