--- a/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
@@ -1,5 +1,8 @@
 package madderrudder.coordination.heartbeat;
 
+import madderrudder.coordination.state.Machine;
+import madderrudder.protocol.Heartbeat;
+
 /** How a heartbeat relates to what is already known of its worker. */
 public enum Freshness {
   /** It is newer than anything known of its worker. */
@@ -10,5 +13,25 @@
    */
   OVERTAKEN,
   /** Its worker has moved on since and ignores any answer to it. */
-  STALE
+  STALE;
+
+  /** A worker ignores answers that come later than this after its heartbeat. */
+  private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
+
+  /**
+   * Compares a heartbeat with what is known of its worker. A worker has one heartbeat under way at
+   * a time and drops an answer that comes after its timeout. An answer to an older heartbeat than
+   * the last it sent by itself reaches nobody, and must not count as a renewal of its lease.
+   */
+  static Freshness of(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    if (!machine.reported || heartbeat.newerThan(machine.session, machine.seq)) {
+      return NEW;
+    }
+    if (heartbeat.session() != machine.session || heartbeat.seq() < machine.heartbeatSeq) {
+      return STALE;
+    }
+    boolean firstArrival = heartbeat.seq() > machine.heartbeatSeq;
+    boolean awaited = nowMicros - machine.heartbeatMicros < ANSWER_TIMEOUT_MICROS;
+    return firstArrival || awaited ? OVERTAKEN : STALE;
+  }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -16,9 +16,6 @@
 final class HeartbeatIngest {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatIngest.class);
 
-  /** A worker ignores answers that come later than this after its heartbeat. */
-  private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
-
   private final LeaderTerm term;
   private final MachineRegistry machines;
   private final ScaleOutController scaleOut;
@@ -47,10 +44,19 @@
         return Freshness.STALE;
       }
       machine = register(heartbeat);
-    } else if (machine.reported && !heartbeat.newerThan(machine.session, machine.seq)) {
-      return acceptOlder(machine, heartbeat);
     }
     long nowMicros = term.scheduler.nowMicros();
+    Freshness freshness = Freshness.of(machine, heartbeat, nowMicros);
+    if (freshness == Freshness.NEW) {
+      update(machine, heartbeat, nowMicros);
+    } else if (freshness == Freshness.OVERTAKEN && heartbeat.seq() > machine.heartbeatSeq) {
+      machine.heartbeatSeq = heartbeat.seq();
+      machine.heartbeatMicros = nowMicros;
+    }
+    return freshness;
+  }
+
+  private void update(Machine machine, Heartbeat heartbeat, long nowMicros) {
     checkAcknowledgement(machine, heartbeat, nowMicros);
     boolean first = !machine.reported;
     if (first || machine.leaseExpired) {
@@ -64,7 +70,6 @@
     if (freed || first) {
       onCapacityFreed.run();
     }
-    return Freshness.NEW;
   }
 
   /** Adds the machine of a worker that is heard for the first time. */
@@ -93,30 +98,6 @@
     return machine;
   }
 
-  /**
-   * A worker has one heartbeat under way at a time and drops an answer that comes after its
-   * timeout. An answer to an older heartbeat than the last it sent by itself reaches nobody, and
-   * must not count as a renewal of its lease.
-   */
-  private Freshness acceptOlder(Machine machine, Heartbeat heartbeat) {
-    if (!awaitsAnswer(machine, heartbeat)) {
-      return Freshness.STALE;
-    }
-    if (heartbeat.seq() > machine.heartbeatSeq) {
-      machine.heartbeatSeq = heartbeat.seq();
-      machine.heartbeatMicros = term.scheduler.nowMicros();
-    }
-    return Freshness.OVERTAKEN;
-  }
-
-  private boolean awaitsAnswer(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.session() != machine.session || heartbeat.seq() < machine.heartbeatSeq) {
-      return false;
-    }
-    return heartbeat.seq() > machine.heartbeatSeq
-        || term.scheduler.nowMicros() - machine.heartbeatMicros < ANSWER_TIMEOUT_MICROS;
-  }
-
   /** Follows whether answers reach the worker, by the token that its heartbeat shows. */
   private void checkAcknowledgement(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (machine.reported && heartbeat.session() > machine.session) {
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -12,6 +12,7 @@
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.Heartbeat;
+import madderrudder.protocol.WorkerCommand;
 
 /**
  * Decides whether and when a heartbeat is answered; what the answer says is up to {@link
@@ -155,7 +156,7 @@
 
   /** The commands come first: they may raise the token. */
   private HeartbeatReply answer(Heartbeat heartbeat) {
-    var commands = heartbeats.commandsFor(heartbeat);
+    List<WorkerCommand> commands = heartbeats.commandsFor(heartbeat);
     return new HeartbeatReply.Answered(heartbeats.tokenFor(heartbeat), commands);
   }
 }
--- a/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
@@ -3,6 +3,7 @@
 import static madderrudder.coordination.heartbeat.MachineFixture.ATTEMPT;
 import static madderrudder.coordination.heartbeat.MachineFixture.SECOND;
 import static madderrudder.coordination.heartbeat.MachineFixture.SEQ;
+import static madderrudder.coordination.heartbeat.MachineFixture.SESSION;
 import static madderrudder.coordination.heartbeat.MachineFixture.TERM;
 import static madderrudder.coordination.heartbeat.MachineFixture.job;
 import static madderrudder.coordination.heartbeat.MachineFixture.status;
@@ -131,6 +132,7 @@
     fixture.place(job, 3, false);
     Heartbeat older =
         fixture.heartbeat(
+            SESSION,
             SEQ - 1,
             status(0, Phase.RUNNING),
             status(1, Phase.RUNNING),
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -94,17 +94,17 @@
 
   /** The heartbeat that has been taken in, with these tasks. */
   Heartbeat newest(TaskStatus... tasks) {
-    return heartbeat(SEQ, tasks);
+    return heartbeat(SESSION, SEQ, tasks);
   }
 
-  Heartbeat heartbeat(long seq, TaskStatus... tasks) {
+  Heartbeat heartbeat(long session, long seq, TaskStatus... tasks) {
     return new Heartbeat(
         machine.id,
         machine.addr,
         "box",
         "east",
         false,
-        SESSION,
+        session,
         seq,
         machine.token,
         -1,
