--- a/src/main/java/madderrudder/service/LocalLeader.java
+++ b/src/main/java/madderrudder/service/LocalLeader.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
+import madderrudder.coordination.leader.HeartbeatReply;
 import madderrudder.coordination.leader.Leader;
 import madderrudder.coordination.registry.LeaderDependencies;
 import madderrudder.protocol.Heartbeat;
@@ -60,7 +61,7 @@
 
   /** Whether heartbeats are answered at this moment; false if this process does not lead. */
   boolean answersHeartbeats() {
-    return leader != null && leader.takesReports();
+    return leader != null && leader.decidesHeartbeats();
   }
 
   /**
@@ -70,12 +71,13 @@
    *     answer
    */
   void handle(Heartbeat heartbeat, Consumer<Optional<byte[]>> answer) {
-    leader.report(
-        heartbeat,
-        reply ->
-            answer.accept(
-                Optional.ofNullable(reply.orders())
-                    .map(orders -> WorkerCodec.answer(reply.token(), orders))));
+    leader.handleHeartbeat(heartbeat, reply -> answer.accept(encode(reply)));
+  }
+
+  private static Optional<byte[]> encode(HeartbeatReply reply) {
+    return reply instanceof HeartbeatReply.Answered answered
+        ? Optional.of(WorkerCodec.answer(answered.token(), answered.commands()))
+        : Optional.empty();
   }
 
   /** How many writes a second of its own rate the leader leaves over; 0 without a leader. */
@@ -85,22 +87,22 @@
 
   /** The progress of some of the jobs, for the other controllers. The leader must be ready. */
   ProgressUpdate progressUpdate() {
-    return new ProgressUpdate(leader.number(), leader.someProgress());
+    return new ProgressUpdate(leader.number(), leader.nextProgressBatch());
   }
 
   /** A job's progress; empty without a leader or if it does not know the job. */
   Optional<JobProgress> progress(String job) {
-    return leader == null ? Optional.empty() : Optional.ofNullable(leader.progress(job));
+    return leader == null ? Optional.empty() : leader.progress(job);
   }
 
   /** For how long other controllers may answer heartbeats; 0 if not at all or without a leader. */
   long grantMicros() {
-    return leader == null ? 0 : leader.grantMicros();
+    return leader == null ? 0 : leader.delegationGrantMicros();
   }
 
   /** Those of the processes heard that may be sent the grant. The leader must be present. */
   List<StampEcho> grantTo(List<StampEcho> heard, long grantMicros) {
-    return leader.granted(heard, grantMicros);
+    return leader.grantDelegation(heard, grantMicros);
   }
 
   /**
@@ -110,14 +112,14 @@
    */
   void recordStatus(MembershipStatus status, StampEcho echo) {
     if (leader != null) {
-      leader.heard(status, echo);
+      leader.onMembershipStatus(status, echo);
     }
   }
 
   /** Notes that another controller has renewed workers' leases. */
   void recordRenewals(DelegatedRenewals renewals) {
     if (leader != null) {
-      leader.heard(renewals);
+      leader.onDelegatedRenewals(renewals);
     }
   }
 
@@ -129,7 +131,7 @@
   /** Writes the leader's state for {@code GET /metrics}; nothing if it is not ready. */
   void writeState(JsonGenerator out) throws IOException {
     if (isReady()) {
-      leader.writeState(out);
+      leader.writeMetrics(out);
     }
   }
 }
