--- a/src/main/java/madderrudder/coordination/cloud/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/cloud/CloudClient.java
@@ -10,48 +10,98 @@
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.Scheduler;
 
-/** Calls to the cloud, kept under its rate. */
+/**
+ * Client of the cloud's rental API, kept below the rate that the cloud enforces. Calls wait in a
+ * bounded queue; when that is full, the result of a call that was not sent is delivered before the
+ * method returns. Each call delivers exactly one result. Confined to the event loop thread.
+ */
 public final class CloudClient {
-  private static final long CALL_MICROS = 4_000_000;
-  private static final int PAGE = 500;
+  private static final long CALL_TIMEOUT_MICROS = 4_000_000;
 
-  private final HttpCaller calls;
+  /** The largest page that the cloud gives. */
+  private static final int LIST_PAGE_SIZE = 500;
+
+  /** The share of the allowed rate that is used, so that the cloud does not answer 429. */
+  private static final double RATE_SHARE = 0.8;
+
+  private final HttpCaller http;
   private final String address;
-  private final RateLimiter pace;
+  private final RateLimiter rateLimiter;
 
+  /**
+   * Creates a client; it sends nothing yet.
+   *
+   * @param scheduler clock and timers of the event loop
+   * @param http sends the requests
+   * @param address host and port of the cloud
+   * @param requestsPerSecond the rate above which the cloud refuses requests; a burst of one
+   *     second's requests is sent at once
+   */
   public CloudClient(
-      Scheduler scheduler, HttpCaller calls, String address, double requestsPerSecond) {
-    this.calls = calls;
+      Scheduler scheduler, HttpCaller http, String address, double requestsPerSecond) {
+    this.http = http;
     this.address = address;
-    pace = new RateLimiter(scheduler, requestsPerSecond * 0.8, requestsPerSecond);
+    rateLimiter = new RateLimiter(scheduler, requestsPerSecond * RATE_SHARE, requestsPerSecond);
   }
 
-  public void rent(String request, ScaleOutRequest rental, Consumer<HttpResponse> answer) {
+  /**
+   * Rents machines. The request is idempotent: the cloud answers a repeated id with the machines it
+   * rented the first time.
+   *
+   * @param requestId the name of the request, never used for another one
+   * @param request what to rent
+   * @param onResult receives the outcome
+   */
+  public void rent(String requestId, ScaleOutRequest request, Consumer<RentResult> onResult) {
+    byte[] body =
+        CloudCodec.rent(
+            requestId, request.type().name(), request.zone(), request.spot(), request.count());
     call(
-        HttpRequest.post(
-            "/machines",
-            CloudCodec.rent(
-                request, rental.type().name(), rental.zone(), rental.spot(), rental.count())),
-        answer);
+        HttpRequest.post("/machines", body),
+        response -> onResult.accept(CloudResponses.rent(response)));
   }
 
-  public void delete(List<String> machines, Consumer<HttpResponse> answer) {
-    call(HttpRequest.post("/machines/delete", CloudCodec.delete(machines)), answer);
+  /**
+   * Deletes machines. Can be repeated, since the cloud ignores unknown names.
+   *
+   * @param machineIds the machines, at most 100
+   * @param onResult receives the outcome
+   */
+  public void delete(List<String> machineIds, Consumer<DeleteResult> onResult) {
+    call(
+        HttpRequest.post("/machines/delete", CloudCodec.delete(machineIds)),
+        response -> onResult.accept(CloudResponses.delete(response)));
   }
 
-  public void list(String since, Consumer<HttpResponse> answer) {
+  /**
+   * Reads one page of the machine list, in the order of machine ids.
+   *
+   * @param afterId the machine after which the page begins; empty for the first page
+   * @param onResult receives the page
+   */
+  public void list(String afterId, Consumer<CloudResult<CloudCodec.Page>> onResult) {
+    String start = afterId.isEmpty() ? "" : "&since=" + afterId;
     call(
-        HttpRequest.get("/machines?most=" + PAGE + (since.isEmpty() ? "" : "&since=" + since)),
-        answer);
+        HttpRequest.get("/machines?most=" + LIST_PAGE_SIZE + start),
+        response -> onResult.accept(CloudResponses.list(response)));
   }
 
-  public void catalog(Consumer<HttpResponse> answer) {
-    call(HttpRequest.get("/catalog"), answer);
+  /**
+   * Reads the catalog of machine types with their current prices.
+   *
+   * @param onResult receives the catalog; that it is received does not mean that its types are
+   *     valid
+   */
+  public void catalog(Consumer<CloudResult<CatalogDocument>> onResult) {
+    call(
+        HttpRequest.get("/catalog"), response -> onResult.accept(CloudResponses.catalog(response)));
   }
 
-  private void call(HttpRequest request, Consumer<HttpResponse> answer) {
-    if (!pace.run(1, () -> calls.call(address, request, CALL_MICROS, answer))) {
-      answer.accept(HttpResponse.notSent());
+  private void call(HttpRequest request, Consumer<HttpResponse> onResponse) {
+    boolean queued =
+        rateLimiter.run(1, () -> http.call(address, request, CALL_TIMEOUT_MICROS, onResponse));
+    if (!queued) {
+      onResponse.accept(HttpResponse.notSent());
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -524,7 +524,7 @@
   }
 
   private void saveCatalog() {
-    byte[] text = dependencies.catalog().text();
+    byte[] text = dependencies.catalog().latestJson();
     if (!term.closed() && text != null && text.length < term.deployment.state().valueBytes()) {
       term.commits.add(new CatalogChange(text), Urgency.LATER);
     }
