--- a/src/main/java/madderrudder/metrics/Metrics.java
+++ b/src/main/java/madderrudder/metrics/Metrics.java
@@ -7,52 +7,72 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** How long things have taken since this process began, for operators to read. */
+/**
+ * Histograms of how long things have taken since this process began, served in {@code GET
+ * /metrics}. Confined to the event loop thread.
+ */
 public final class Metrics {
-  private static final long MOST_MICROS = 3_600_000_000L;
-  private static final int DIGITS = 2;
+  /** Longer times are recorded as this. */
+  private static final long MAX_MICROS = 3_600_000_000L;
 
-  /** What is measured. */
+  private static final int SIGNIFICANT_DIGITS = 2;
+
+  /** What is measured. The constant's name in lower case is the field of {@code GET /metrics}. */
   public enum Timing {
-    /** A user's submission, from its arrival to its answer. */
+    /** From the arrival of a job submission to its response. */
     SUBMISSION,
-    /** A task, from when it began to wait to its placement. */
+    /** From when a task began to wait to its placement. */
     PLACING,
-    /** A placement, until the store has it. */
+    /** From a task's placement until the placement is durable in the store. */
     RECORDING,
-    /** A task, from when it began to wait to the first report that it runs. */
+    /** From when a task began to wait to the first heartbeat that shows it running. */
     STARTING,
-    /** One round of planning. */
+    /** One round of planning by the leader. */
     PLANNING,
-    /** How late the loop's own timer went off. */
+    /** How late a timer of the event loop fired. */
     LOOP_DELAY
   }
 
   private final Map<Timing, Histogram> histograms = new EnumMap<>(Timing.class);
 
+  /** Creates empty histograms. */
   public Metrics() {
     for (Timing timing : Timing.values()) {
-      histograms.put(timing, new Histogram(MOST_MICROS, DIGITS));
+      histograms.put(timing, new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS));
     }
   }
 
+  /**
+   * Records one duration.
+   *
+   * @param timing what took so long
+   * @param micros the duration in microseconds; a negative one counts as 0, and one above an hour
+   *     as an hour
+   */
   public void record(Timing timing, long micros) {
-    histograms.get(timing).recordValue(Math.max(0, Math.min(MOST_MICROS, micros)));
+    histograms.get(timing).recordValue(Math.max(0, Math.min(MAX_MICROS, micros)));
   }
 
   /**
-   * Writes each timing as a field with its count and, in milliseconds, some of its distribution.
+   * Writes each timing as a field: an object with its count and, in milliseconds, its median, 90th
+   * and 99th percentile and maximum.
+   *
+   * @param out the generator, inside an object
+   * @throws IOException if the generator fails
    */
   public void write(JsonGenerator out) throws IOException {
     for (Map.Entry<Timing, Histogram> entry : histograms.entrySet()) {
-      Histogram histogram = entry.getValue();
       out.writeObjectFieldStart(entry.getKey().name().toLowerCase(Locale.ROOT));
-      out.writeNumberField("count", histogram.getTotalCount());
-      out.writeNumberField("p50_ms", histogram.getValueAtPercentile(50) / 1e3);
-      out.writeNumberField("p90_ms", histogram.getValueAtPercentile(90) / 1e3);
-      out.writeNumberField("p99_ms", histogram.getValueAtPercentile(99) / 1e3);
-      out.writeNumberField("max_ms", histogram.getMaxValue() / 1e3);
+      writeDistribution(out, entry.getValue());
       out.writeEndObject();
     }
   }
+
+  private static void writeDistribution(JsonGenerator out, Histogram histogram) throws IOException {
+    out.writeNumberField("count", histogram.getTotalCount());
+    out.writeNumberField("p50_ms", histogram.getValueAtPercentile(50) / 1e3);
+    out.writeNumberField("p90_ms", histogram.getValueAtPercentile(90) / 1e3);
+    out.writeNumberField("p99_ms", histogram.getValueAtPercentile(99) / 1e3);
+    out.writeNumberField("max_ms", histogram.getMaxValue() / 1e3);
+  }
 }
--- a/src/main/java/madderrudder/metrics/RunHistory.java
+++ b/src/main/java/madderrudder/metrics/RunHistory.java
@@ -7,51 +7,82 @@
 import madderrudder.estimates.TaskRun;
 
 /**
- * The runs that this leader has seen end, the latest of them, numbered from 1: for operators to
- * collect. A new leader begins anew, which its term tells.
+ * The latest task runs that this leader has seen end, numbered from 1, for operators to collect
+ * through {@code GET /history/N}. It is kept in memory alone: a new leader begins at 1 again, which
+ * collectors notice by the term. Confined to the event loop thread.
  */
 public final class RunHistory {
-  /** Some minutes of a large fleet's work; about 200 bytes each, in memory alone. */
-  private static final int MOST_RUNS = 4_000;
+  /** Some minutes of a large cluster's work, at about 200 bytes a run. */
+  private static final int MAX_RUNS = 4_000;
 
-  /** Of an answer, so that each stays within about 100 KB. */
-  private static final int MOST_ANSWERED = 400;
+  /** Runs in one response, so that it stays within about 100 KB. */
+  private static final int MAX_RUNS_PER_RESPONSE = 400;
 
   private final long term;
   private final Deque<Ended> runs = new ArrayDeque<>();
-  private long last;
 
-  /** A run and when it ended. */
+  /** The number of the latest run; 0 before the first. */
+  private long lastNumber;
+
+  /**
+   * A run and when it ended.
+   *
+   * @param atWallMicros the time of day of its end, in microseconds since the epoch
+   * @param run the run
+   */
   public record Ended(long atWallMicros, TaskRun run) {}
 
+  /**
+   * Creates an empty history.
+   *
+   * @param term the leader's term
+   */
   public RunHistory(long term) {
     this.term = term;
   }
 
+  /**
+   * Adds a run; the oldest one is dropped if there are too many.
+   *
+   * @param atWallMicros the time of day of its end, in microseconds since the epoch
+   * @param run the run
+   */
   public void add(long atWallMicros, TaskRun run) {
-    if (runs.size() == MOST_RUNS) {
+    if (runs.size() == MAX_RUNS) {
       runs.removeFirst();
     }
     runs.addLast(new Ended(atWallMicros, run));
-    last++;
+    lastNumber++;
   }
 
   /**
-   * The runs after the number, as many as go into an answer; {@code next} is to be asked for after
-   * them.
+   * Writes the runs after a number, as many as go into one response: the fields {@code term},
+   * {@code missed} (how many of the runs asked for were dropped already), {@code next} (the number
+   * to ask after next) and {@code runs}.
+   *
+   * @param out the generator, inside an object
+   * @param after the number of the last run that the collector has; 0 for all
+   * @throws IOException if the generator fails
    */
   public void write(JsonGenerator out, long after) throws IOException {
-    long first = last - runs.size();
-    long from = Math.max(first, Math.min(after, last));
-    long next = Math.min(last, from + MOST_ANSWERED);
+    long lastDropped = lastNumber - runs.size();
+    long from = Math.max(lastDropped, Math.min(after, lastNumber));
+    long next = Math.min(lastNumber, from + MAX_RUNS_PER_RESPONSE);
     out.writeNumberField("term", term);
-    out.writeNumberField("missed", Math.max(0, first - after));
+    out.writeNumberField("missed", Math.max(0, lastDropped - after));
     out.writeNumberField("next", next);
     out.writeArrayFieldStart("runs");
-    long number = first;
+    writeRuns(out, from, next);
+    out.writeEndArray();
+  }
+
+  /** Writes the runs numbered above {@code from}, up to {@code last}. */
+  private void writeRuns(JsonGenerator out, long from, long last) throws IOException {
+    long number = lastNumber - runs.size();
     for (Ended ended : runs) {
-      if (++number > next) {
-        break;
+      number++;
+      if (number > last) {
+        return;
       }
       if (number > from) {
         out.writeStartObject();
@@ -59,6 +90,5 @@
         out.writeEndObject();
       }
     }
-    out.writeEndArray();
   }
 }
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -10,9 +10,12 @@
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 
-/** The words of a history of runs, in a controller's answer as in files. Times are in seconds. */
+/**
+ * Reads and writes one run of a history, in {@code GET /history/N} as in files. Times are in
+ * seconds, memory in GB. Pure functions.
+ */
 public final class RunHistoryCodec {
-  /** The fields in the order of a table's columns. */
+  /** The field names, in the order of the columns of a CSV file. */
   public static final List<String> FIELDS =
       List.of(
           "at_s",
@@ -31,13 +34,21 @@
           "took_s",
           "end");
 
-  private static final String DONE = "done";
+  /** The value of {@code end} for a run from the beginning of the task to its completion. */
+  private static final String COMPLETE = "done";
 
-  /** Stopped, or resumed what an earlier attempt had saved. */
-  private static final String PART = "part";
+  /** The value of {@code end} for a run that was stopped, or began at a checkpoint. */
+  private static final String PARTIAL = "part";
 
   private RunHistoryCodec() {}
 
+  /**
+   * Writes the fields of a run.
+   *
+   * @param out the generator, inside an object
+   * @param ended the run
+   * @throws IOException if the generator fails
+   */
   public static void write(JsonGenerator out, Ended ended) throws IOException {
     TaskRun run = ended.run();
     TaskProfile profile = run.profile();
@@ -55,9 +66,16 @@
     out.writeStringField("machine", run.machine());
     out.writeNumberField("guess_s", run.guessMicros() / 1e6);
     out.writeNumberField("took_s", run.tookMicros() / 1e6);
-    out.writeStringField("end", run.complete() ? DONE : PART);
+    out.writeStringField("end", run.complete() ? COMPLETE : PARTIAL);
   }
 
+  /**
+   * Reads a run. Only {@code job}, {@code class}, {@code task}, {@code took_s} and {@code end} are
+   * required; any other text field is empty when it is absent, and any other number is 0.
+   *
+   * @param in the fields of the run
+   * @throws MalformedMessageException if a required field is missing, or any field is invalid
+   */
   public static Ended read(Fields in) throws MalformedMessageException {
     TaskProfile profile =
         new TaskProfile(
@@ -67,10 +85,7 @@
             in.text("image", ""),
             new Resources(
                 thousandths(in, "cpus"), thousandths(in, "gpus"), thousandths(in, "memory_gb")));
-    String end = in.text("end");
-    if (!end.equals(DONE) && !end.equals(PART)) {
-      throw new MalformedMessageException("field end is neither " + DONE + " nor " + PART);
-    }
+    boolean complete = readComplete(in);
     TaskRun run =
         new TaskRun(
             profile,
@@ -80,11 +95,23 @@
             in.text("machine", ""),
             in.secondsAsMicros("guess_s", 0),
             in.secondsAsMicros("took_s"),
-            end.equals(DONE));
+            complete);
     // A time of day is more seconds than any duration may be.
     return new Ended(Math.round(1e6 * in.amount("at_s", 0)), run);
   }
 
+  /** Whether {@code end} tells of a complete run. */
+  private static boolean readComplete(Fields in) throws MalformedMessageException {
+    return switch (in.text("end")) {
+      case COMPLETE -> true;
+      case PARTIAL -> false;
+      default ->
+          throw new MalformedMessageException(
+              "field end is neither " + COMPLETE + " nor " + PARTIAL);
+    };
+  }
+
+  /** Reads a decimal as whole thousandths, the unit of {@link Resources}; 0 when it is absent. */
   private static long thousandths(Fields in, String name) throws MalformedMessageException {
     return Math.round(1e3 * in.amount(name, 0));
   }
