--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -12,23 +12,18 @@
 import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Machine;
 import madderrudder.coordination.state.ScaleOutRequest;
-import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
-import madderrudder.persistence.PendingChange;
-import madderrudder.persistence.RentalBudget;
 import madderrudder.persistence.RentalRecord;
-import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec.Item;
-import madderrudder.protocol.StoreCodec.Write;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The rental requests from their intent to their recorded outcome. The intent and its reservation
- * on the budget are durable before the cloud is called, and the call is repeated under the same
- * request id, by later leaders too, until its outcome is known: so that no machine is rented
- * without being counted, and none is rented twice.
+ * The rental requests from their intent to their outcome. The intent and its reservation on the
+ * budget are durable before the cloud is called, and the call is repeated under the same request
+ * id, by later leaders too, until its outcome is known: so that no machine is rented without being
+ * counted, and none is rented twice.
  */
 final class RentalRequests {
   private static final Logger LOG = LoggerFactory.getLogger(RentalRequests.class);
@@ -38,34 +33,23 @@
   private final MachineRegistry machines;
   private final CloudClient cloud;
   private final CapacityPoolLimits poolLimits;
-  private final RentalBudget budget;
+  private final RentalIntents intents;
 
-  /** By request id, oldest first; those whose outcome is not recorded yet. */
+  /** By request id, oldest first; those whose outcome is not known yet. */
   private final Map<String, RentalRecord> openRequests = new LinkedHashMap<>();
 
-  /** Whether the owned machines are in the store, where the first intent of all puts them. */
-  private boolean ownedRecorded;
-
   RentalRequests(
       LeaderTerm term, MachineRegistry machines, CloudClient cloud, CapacityPoolLimits poolLimits) {
     this.term = term;
     this.machines = machines;
     this.cloud = cloud;
     this.poolLimits = poolLimits;
-    budget =
-        new RentalBudget(
-            term.policy.budget(),
-            term.policy.budgetWindowMicros(),
-            term.deployment.clockOffMicros());
+    intents = new RentalIntents(term);
   }
 
   /** Takes over the budget and the open requests of earlier leaders, and sends these again. */
   void load(StoredStateReader.Found found) throws MalformedMessageException {
-    Item storedBudget = found.singles().get(Keys.BUDGET);
-    if (storedBudget != null) {
-      budget.load(storedBudget.value());
-    }
-    ownedRecorded = found.singles().containsKey(Keys.OWNED);
+    intents.load(found);
     for (Item item : found.under(Keys.RENTALS)) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
@@ -76,15 +60,15 @@
 
   /** Whether no machine was ever rented, so that each machine that is found is an owned one. */
   boolean ownedStillOpen() {
-    return !ownedRecorded;
+    return intents.ownedStillOpen();
   }
 
   /** How many machines may still be rented against the budget now. */
   int budgetLeft() {
-    return budget.left(term.scheduler.wallMicros());
+    return intents.budgetLeft();
   }
 
-  /** The number of requests whose outcome is not recorded. */
+  /** The number of requests whose outcome is not known yet. */
   int openCount() {
     return openRequests.size();
   }
@@ -100,7 +84,7 @@
     return known;
   }
 
-  /** Whether a request of this type, zone and kind has no recorded outcome. */
+  /** Whether a request of this type, zone and kind is open. */
   boolean anyOpenFor(ScaleOutRequest.CapacityPool pool) {
     return openRequests.values().stream().anyMatch(rental -> pool(rental).equals(pool));
   }
@@ -123,7 +107,7 @@
    * nothing if a counted request does not fit into the budget.
    */
   void begin(ScaleOutRequest request) {
-    if (request.counted() && !budget.reserve(request.count(), term.scheduler.wallMicros())) {
+    if (request.counted() && !intents.reserve(request.count())) {
       return;
     }
     String requestId = term.nextScaleOutRequestId();
@@ -144,7 +128,7 @@
         request.spot() ? " spot" : "",
         request.counted() ? ", counted against the budget" : "",
         requestId);
-    term.commits.add(new PutRentalIntent(rental), Urgency.FIRST);
+    intents.put(rental, this::send);
   }
 
   private void send(RentalRecord rental) {
@@ -193,7 +177,7 @@
     for (String machineId : machineIds) {
       addIfNew(rental, machineId);
     }
-    term.commits.add(new DeleteRentalIntent(rental.request()), Urgency.SOON);
+    intents.delete(rental);
   }
 
   /** The machine may be known from the list, and may even have been deleted again. */
@@ -211,76 +195,4 @@
             term.scheduler.wallMicros());
     machines.save(machine);
   }
-
-  private byte[] renderOwnedMachines() {
-    return Json.object(
-        out -> {
-          out.writeArrayFieldStart("machines");
-          for (Machine machine : term.cluster.machines.values()) {
-            if (machine.owned) {
-              out.writeString(machine.id);
-            }
-          }
-          out.writeEndArray();
-        });
-  }
-
-  /**
-   * Writes the intent with its reservation on the budget, and with the owned machines if this is
-   * the first rental of all. The request is sent once that is durable.
-   */
-  private final class PutRentalIntent implements PendingChange {
-    private final RentalRecord rental;
-    private boolean recordsOwned;
-
-    PutRentalIntent(RentalRecord rental) {
-      this.rental = rental;
-    }
-
-    @Override
-    public String name() {
-      return Keys.rental(rental.request());
-    }
-
-    @Override
-    public List<Write> writes() {
-      List<Write> writes = new ArrayList<>();
-      writes.add(Write.put(Keys.rental(rental.request()), rental.render()));
-      if (rental.counted()) {
-        writes.add(Write.put(Keys.BUDGET, budget.render()));
-      }
-      recordsOwned = !ownedRecorded;
-      if (recordsOwned) {
-        writes.add(Write.put(Keys.OWNED, renderOwnedMachines()));
-      }
-      return writes;
-    }
-
-    @Override
-    public void committed() {
-      ownedRecorded |= recordsOwned;
-      send(rental);
-    }
-  }
-
-  /**
-   * Deletes the intent of a request whose outcome is known. The rented machines are in their own
-   * records, written before this or with it.
-   */
-  private record DeleteRentalIntent(String requestId) implements PendingChange {
-    @Override
-    public String name() {
-      return Keys.rental(requestId);
-    }
-
-    @Override
-    public List<Write> writes() {
-      return List.of(Write.drop(Keys.rental(requestId)));
-    }
-
-    @Override
-    public void committed() {
-      LOG.debug("outcome of request {} is recorded", requestId);
-    }
-  }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -45,9 +45,8 @@
   }
 
   /**
-   * Takes over what earlier leaders stored: the budget, and the rental requests without a recorded
-   * outcome, which are sent again. From then on the machine list is polled and retired machines are
-   * deleted.
+   * Takes over what earlier leaders stored: the budget, and the open rental requests, which are
+   * sent again. From then on the machine list is polled and retired machines are deleted.
    *
    * @param found what the store holds
    * @throws MalformedMessageException if a stored record is unreadable
@@ -66,7 +65,7 @@
     return requests.ownedStillOpen();
   }
 
-  /** The number of rental requests without a recorded outcome. */
+  /** The number of rental requests whose outcome is not known yet. */
   public int underWay() {
     return requests.openCount();
   }
