--- a/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
+++ b/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
@@ -32,7 +32,7 @@
   }
 
   private void save() {
-    byte[] text = catalog.text();
+    byte[] text = catalog.latestJson();
     if (!term.closed() && text != null && text.length < term.deployment.state().valueBytes()) {
       term.commits.add(new CatalogChange(text), Urgency.LATER);
     }
