--- a/src/main/java/madderrudder/config/InvalidSettingsException.java
+++ b/src/main/java/madderrudder/config/InvalidSettingsException.java
@@ -1,10 +1,11 @@
 package madderrudder.config;
 
+import java.io.Serial;
 import java.util.List;
 
 /** Settings that can't be used, with everything that is wrong with them. */
 public final class InvalidSettingsException extends Exception {
-  private static final long serialVersionUID = 1;
+  @Serial private static final long serialVersionUID = 1;
 
   private final List<String> problems;
 
--- a/src/main/java/madderrudder/config/MalformedSExpressionException.java
+++ b/src/main/java/madderrudder/config/MalformedSExpressionException.java
@@ -1,8 +1,10 @@
 package madderrudder.config;
 
+import java.io.Serial;
+
 /** A text that is no S-expression, or not the one that is expected at that place. */
 public final class MalformedSExpressionException extends Exception {
-  private static final long serialVersionUID = 1;
+  @Serial private static final long serialVersionUID = 1;
 
   private final int line;
   private final int column;
--- a/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
+++ b/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
@@ -12,7 +12,7 @@
 import madderrudder.protocol.PeerMessage.DelegatedRenewals;
 import madderrudder.protocol.PeerMessage.MembershipStatus;
 import madderrudder.protocol.PeerMessage.StampEcho;
-import madderrudder.transport.Scheduler;
+import madderrudder.transport.ManualClock;
 import org.junit.jupiter.api.Test;
 
 /** When a delegate may answer heartbeats, and what it reports of its answers. */
@@ -23,29 +23,7 @@
   private static final long OTHER_INCARNATION = 8;
   private static final SafetyBounds SAFETY = new SafetyBounds(LEASE, 20 * SECOND);
 
-  private long nowMicros = 100 * SECOND;
-  private final Scheduler clock =
-      new Scheduler() {
-        @Override
-        public long nowMicros() {
-          return nowMicros;
-        }
-
-        @Override
-        public long wallMicros() {
-          return nowMicros;
-        }
-
-        @Override
-        public Timer after(long delayMicros, Runnable action) {
-          throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void execute(Runnable action) {
-          action.run();
-        }
-      };
+  private final ManualClock clock = new ManualClock(100 * SECOND);
   private final HeartbeatDelegate delegate =
       new HeartbeatDelegate(clock, SAFETY, "n-1", INCARNATION);
 
@@ -57,7 +35,7 @@
   }
 
   private void leaderFallsSilent() {
-    nowMicros += SAFETY.leaderSilenceMicros() + 1;
+    clock.advance(SAFETY.leaderSilenceMicros() + 1);
   }
 
   private static Heartbeat heartbeat(String machine, long seq) {
@@ -99,7 +77,7 @@
   @Test
   void aGrantEndsEarlierByTheDriftOfTheClocks() {
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
-    nowMicros = 100 * SECOND + 4_990_000;
+    clock.set(100 * SECOND + 4_990_000);
     assertFalse(delegate.mayAnswer(3), "the clocks may differ");
   }
 
@@ -107,7 +85,7 @@
   @Test
   void aGrantCountsFromBeforeItWasGiven() {
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
-    nowMicros = 200 * SECOND;
+    clock.set(200 * SECOND);
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 104 * SECOND), 3);
     leaderFallsSilent();
     assertFalse(delegate.mayAnswer(3));
@@ -157,7 +135,7 @@
   @Test
   void lateCopiesOfHeartbeatsAreNotAnswered() {
     answerHeartbeatsOf(3);
-    nowMicros += SECOND;
+    clock.advance(SECOND);
     assertFalse(delegate.recordAnswer(heartbeat("m-000001", 4)), "a copy was answered");
     assertFalse(delegate.recordAnswer(heartbeat("m-000002", 3)), "an earlier one was answered");
     assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
@@ -166,7 +144,7 @@
   @Test
   void everyMachineAnsweredWithinALeaseIsReported() {
     answerHeartbeatsOf(9_000);
-    nowMicros += SECOND;
+    clock.advance(SECOND);
     assertFalse(
         delegate.recordAnswer(heartbeat("m-000001", 4))
             || delegate.recordAnswer(heartbeat("m-000002", 3)),
@@ -175,7 +153,7 @@
     List<String> reported = reportedRenewals();
     assertEquals(9_000, reported.size());
     assertTrue(reported.contains("m-000001 1000") && reported.contains("m-000000 0"));
-    nowMicros += LEASE + 2 * SECOND;
+    clock.advance(LEASE + 2 * SECOND);
     assertEquals(1, delegate.statusMessages(3, 0, List.of()).size() - 1);
   }
 
--- a/src/test/java/madderrudder/service/HealthCheckTest.java
+++ b/src/test/java/madderrudder/service/HealthCheckTest.java
@@ -5,34 +5,14 @@
 import java.util.HashMap;
 import java.util.Map;
 import madderrudder.service.PeerStatusExchange.PeerStatus;
+import madderrudder.transport.ManualClock;
 import madderrudder.transport.Scheduler;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 class HealthCheckTest {
   private static final long NOW_MICROS = 100_000_000;
-  private static final Scheduler CLOCK =
-      new Scheduler() {
-        @Override
-        public long nowMicros() {
-          return NOW_MICROS;
-        }
-
-        @Override
-        public long wallMicros() {
-          return NOW_MICROS;
-        }
-
-        @Override
-        public Timer after(long delayMicros, Runnable action) {
-          throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void execute(Runnable action) {
-          action.run();
-        }
-      };
+  private static final Scheduler CLOCK = new ManualClock(NOW_MICROS);
 
   /** Peers are given as how long ago each was heard in ms, with + if the store answered it. */
   @ParameterizedTest
