--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -18,6 +18,7 @@
 import madderrudder.coordination.registry.LeaderDependencies;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
+import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.registry.StoredStateReader;
 import madderrudder.coordination.scaleout.ScaleOutController;
 import madderrudder.coordination.scheduling.Demand;
@@ -119,7 +120,7 @@
     StoredStateReader.read(term, found -> loadWhenCatalogKnown(found, readMicros));
   }
 
-  private void loadWhenCatalogKnown(StoredStateReader.Found found, long readMicros) {
+  private void loadWhenCatalogKnown(StoredState found, long readMicros) {
     if (!dependencies.catalog().known()) {
       term.after(TICK_MICROS, () -> loadWhenCatalogKnown(found, readMicros));
       return;
@@ -127,11 +128,11 @@
     term.cluster.types = dependencies.catalog().types();
     try {
       jobs.load(found, readMicros);
-      machines.load(found.under(Keys.PAGES));
+      machines.load(found.logSegments());
       term.cluster.machines.values().forEach(this::answeredEarlier);
       scaleOut.load(found);
       if (term.learned != null) {
-        term.learned.load(found.under(Keys.RUN_TIMES));
+        term.learned.load(found.runTimes());
         term.learned.keep();
       }
     } catch (MalformedMessageException e) {
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -1,62 +1,85 @@
 package madderrudder.coordination.registry;
 
-import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
 import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
-import madderrudder.coordination.state.Machine;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.JobRecords;
 import madderrudder.persistence.Keys;
-import madderrudder.persistence.PendingChange;
-import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.JobState;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
-import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Item;
-import madderrudder.protocol.StoreCodec.Write;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows the live jobs in the store, and writes down what becomes of them. */
+/**
+ * Keeps the jobs of the cluster state and their records in the store in step: live jobs come from
+ * the store, progress and completion go there. Confined to the event loop thread.
+ */
 public final class JobRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(JobRegistry.class);
-  private static final long RETRY_MICROS = 200_000;
-  private static final long FOLLOW_MICROS = 2_000_000;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
-  private final Runnable onChange;
-  private long knownUpToMicros;
+  private final LiveJobWatch watch;
 
+  /**
+   * Creates the registry of a term, without jobs.
+   *
+   * @param onChange called after jobs were submitted or cancelled
+   */
   public JobRegistry(LeaderTerm term, MachineRegistry machines, Runnable onChange) {
     this.term = term;
     this.machines = machines;
-    this.onChange = onChange;
+    watch = new LiveJobWatch(term, new WatchListener(onChange));
   }
 
-  /** Every submission and cancellation accepted before this moment is known here. */
-  public long knownUpToMicros() {
-    return knownUpToMicros;
-  }
+  private final class WatchListener implements LiveJobWatch.Listener {
+    private final Runnable onChange;
 
-  public void load(StoredStateReader.Found found, long readMicros) {
-    knownUpToMicros = readMicros;
-    for (Item item : found.under(Keys.LIVE)) {
+    WatchListener(Runnable onChange) {
+      this.onChange = onChange;
+    }
+
+    @Override
+    public void submitted(Item item) {
       add(item);
     }
-    term.cluster.jobs.values().forEach(job -> job.inherited = true);
-    for (Item item : found.under(Keys.PROGRESS)) {
-      loadProgress(item);
+
+    @Override
+    public void deleted(String id, long sinceMicros) {
+      liveKeyDeleted(id, sinceMicros);
     }
-    follow(found.liveRevision());
+
+    @Override
+    public void changed() {
+      onChange.run();
+    }
+  }
+
+  /**
+   * The moment, on the scheduler's clock in microseconds, before which every accepted submission
+   * and cancellation is known here.
+   */
+  public long knownUpToMicros() {
+    return watch.knownUpToMicros();
+  }
+
+  /**
+   * Takes over the stored jobs and starts to watch for new ones. A record that cannot be read is
+   * logged and left out.
+   *
+   * @param readMicros when the reading of the stored state began
+   */
+  public void load(StoredState stored, long readMicros) {
+    watch.knownUpTo(readMicros);
+    stored.liveJobs().forEach(this::add);
+    term.cluster.jobs.values().forEach(job -> job.inherited = true);
+    stored.progress().forEach(this::loadProgress);
+    watch.watch(stored.liveRevision());
   }
 
   private void loadProgress(Item item) {
@@ -64,7 +87,7 @@
     int slash = rest.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
     if (job == null) {
-      term.commits.add(new DropChange(item.key()), Urgency.LATER);
+      term.commits.add(new DeleteKeyChange(item.key()), Urgency.LATER);
       return;
     }
     try {
@@ -81,38 +104,6 @@
     }
   }
 
-  private void follow(long revision) {
-    long sentMicros = term.scheduler.nowMicros();
-    term.store.follow(
-        Keys.LIVE,
-        revision,
-        FOLLOW_MICROS,
-        reply -> {
-          if (term.closed()) {
-            return;
-          }
-          if (reply.is(Outcome.OK)) {
-            long beforeMicros = knownUpToMicros;
-            knownUpToMicros = sentMicros;
-            for (Item item : reply.value().items()) {
-              if (item.value() != null) {
-                add(item);
-              } else {
-                dropped(item.key().substring(Keys.LIVE.length()), beforeMicros);
-              }
-            }
-            if (!reply.value().items().isEmpty()) {
-              onChange.run();
-            }
-            follow(reply.value().revision());
-          } else if (reply.is(Outcome.GONE)) {
-            term.election.stepDown("the watch of jobs has fallen too far behind");
-          } else {
-            term.after(RETRY_MICROS, () -> follow(revision));
-          }
-        });
-  }
-
   private void add(Item item) {
     String id = item.key().substring(Keys.LIVE.length());
     if (term.cluster.jobs.containsKey(id)) {
@@ -123,7 +114,7 @@
       JobSpec spec = live.spec();
       TeamQuota team = term.deployment.teams().get(spec.team());
       if (team == null) {
-        // Accepted under other settings: it may not run now, and may again after a change back.
+        // Accepted under other settings: it may not run now, but may if the settings change back.
         team = new TeamQuota(spec.team(), Resources.NONE, Resources.NONE);
       }
       term.cluster.jobs.put(
@@ -135,11 +126,8 @@
     }
   }
 
-  /**
-   * A live job's key is gone: either this leader moved it, or its user cancelled it, after the
-   * moment given.
-   */
-  private void dropped(String id, long beforeMicros) {
+  /** Either this leader moved the job to the finished ones, or its user cancelled it. */
+  private void liveKeyDeleted(String id, long sinceMicros) {
     Job job = term.cluster.jobs.get(id);
     if (job == null || job.ended) {
       return;
@@ -147,18 +135,19 @@
     LOG.debug("{} cancelled", id);
     for (Assignment assignment : job.assignments) {
       if (!assignment.completed) {
-        term.cluster.markCancelled(assignment, beforeMicros);
+        term.cluster.markCancelled(assignment, sinceMicros);
       }
     }
     end(job);
-    for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
-      if (!job.done.isEmpty() || job.failing()) {
-        term.commits.add(new DropChange(Keys.progress(id, chunk)), Urgency.LATER);
+    if (!job.done.isEmpty() || job.failing()) {
+      for (String key : JobProgressChange.progressKeys(job)) {
+        term.commits.add(new DeleteKeyChange(key), Urgency.LATER);
       }
     }
   }
 
-  private void end(Job job) {
+  /** Removes a job that is over from the cluster state, and stops what still runs of it. */
+  void end(Job job) {
     job.ended = true;
     term.cluster.jobs.remove(job.spec.id());
     for (Assignment assignment : List.copyOf(job.assignments)) {
@@ -169,7 +158,7 @@
     }
   }
 
-  /** A task has completed; a gang's tasks complete together. */
+  /** Records that a task has completed; the tasks of a gang complete together. */
   public void completed(Assignment assignment) {
     Job job = assignment.job;
     if (job == null || job.ended || job.spec.kind() == JobKind.SERVICE) {
@@ -183,124 +172,25 @@
     } else {
       job.done.set(assignment.task.index());
     }
-    job.unwritten.set(chunkOf(assignment));
+    job.unwritten.set(JobProgressChange.chunkOf(assignment));
     save(job);
   }
 
-  /** Kept, so that the next leader does not try all of its tasks again at once. */
+  /**
+   * Stores that the job's tasks fail on whatever machine they run, so that the next leader does not
+   * retry all of them at once.
+   */
   public void markFailing(Job job) {
     job.unwritten.set(0);
     save(job);
   }
 
-  private static int chunkOf(Assignment assignment) {
-    return assignment.task.index() / JobRecords.CHUNK;
-  }
-
-  /** A job's user waits for its end; until then its workers keep what they have completed. */
-  private void save(Job job) {
-    term.commits.add(new JobChange(job), job.complete() ? Urgency.SOON : Urgency.LATER);
-  }
-
-  /** Writes a job's progress, or moves it to the finished ones once all of it is done. */
-  private final class JobChange implements PendingChange {
-    private final Job job;
-    private Set<Assignment> written = Set.of();
-    private BitSet chunks = new BitSet();
-    private boolean finishing;
-
-    JobChange(Job job) {
-      this.job = job;
-    }
-
-    @Override
-    public String name() {
-      return Keys.live(job.spec.id());
-    }
-
-    @Override
-    public List<Condition> conditions() {
-      return List.of(new Condition(Keys.live(job.spec.id()), job.version));
-    }
-
-    @Override
-    public List<Write> writes() {
-      String id = job.spec.id();
-      written = new LinkedHashSet<>();
-      chunks = (BitSet) job.unwritten.clone();
-      finishing = job.complete();
-      for (Assignment assignment : job.assignments) {
-        if (assignment.completed && (finishing || chunks.get(chunkOf(assignment)))) {
-          written.add(assignment);
-        }
-      }
-      List<Write> writes = new ArrayList<>();
-      if (finishing) {
-        writes.add(Write.drop(Keys.live(id)));
-        writes.add(
-            Write.put(Keys.finished(id), JobRecords.finished(JobState.DONE, job.spec.tasks())));
-        for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
-          writes.add(Write.drop(Keys.progress(id, chunk)));
-        }
-      } else {
-        chunks.stream()
-            .forEach(
-                chunk ->
-                    writes.add(
-                        Write.put(
-                            Keys.progress(id, chunk),
-                            JobRecords.progress(job.done, chunk, job.failing()))));
-      }
-      return writes;
-    }
-
-    @Override
-    public void committed() {
-      job.unwritten.andNot(chunks);
-      // What completed while this was on its way is not in what was written. It once passed for
-      // written: its worker
-      // was told to forget it, and a new leader started it again, beyond its team's limit.
-      for (Assignment assignment : job.assignments) {
-        if (assignment.completed && !written.contains(assignment)) {
-          job.unwritten.set(chunkOf(assignment));
-        }
-      }
-      if (finishing) {
-        end(job);
-      }
-      if (!job.unwritten.isEmpty()) {
-        save(job);
-      }
-      Set<Machine> settled = new LinkedHashSet<>();
-      for (Assignment assignment : written) {
-        machines.release(assignment);
-        settled.add(assignment.machine);
-      }
-      settled.forEach(machines::settled);
-    }
-
-    /** Its user cancelled it first; the watch brings that. */
-    @Override
-    public void rejected() {
-      LOG.debug("{} was over before its progress was written", job.spec.id());
-    }
-  }
-
-  /** Removes what a job that is over has left behind. */
-  private record DropChange(String key) implements PendingChange {
-    @Override
-    public String name() {
-      return key;
-    }
-
-    @Override
-    public List<Write> writes() {
-      return List.of(Write.drop(key));
-    }
-
-    @Override
-    public void committed() {
-      LOG.debug("dropped {}", key);
-    }
+  /**
+   * Queues the job's progress for writing. The end of a job is more urgent, since its user waits
+   * for it; until progress is durable, workers keep what they have completed.
+   */
+  void save(Job job) {
+    Urgency urgency = job.complete() ? Urgency.SOON : Urgency.LATER;
+    term.commits.add(new JobProgressChange(job, this, machines), urgency);
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -28,26 +28,41 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the machines of the picture and their records in step, and ends what is surely gone. */
+/**
+ * Keeps the machines and assignments of the cluster state and their records in the store in step.
+ * An assignment is released only when its task can no longer be on the machine. Confined to the
+ * event loop thread.
+ */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
   private final LeaderTerm term;
   private final Set<String> removed = new HashSet<>();
-  private final Set<Machine> touched = new LinkedHashSet<>();
+  private final Set<Machine> pendingPush = new LinkedHashSet<>();
   private Consumer<Machine> onDurable = machine -> {};
   private final MachineLog log;
 
+  /** Creates the registry of a term, without machines. */
   public MachineRegistry(LeaderTerm term) {
     this.term = term;
     log = new MachineLog(term, machine -> onDurable.accept(machine));
   }
 
-  /** Called when what was written of a machine has become durable. */
+  /**
+   * Sets what is called for a machine when a placement, a retirement or the progress of a task on
+   * it has become durable. Replaces the action set before.
+   */
   public void onDurable(Consumer<Machine> action) {
     onDurable = action;
   }
 
+  /**
+   * Adds a machine to the cluster state; {@link #save} writes its record. A machine of a type that
+   * the cloud does not list has no capacity.
+   *
+   * @param type the name of the machine type
+   * @param rentedWallMicros the time of day when it was rented, in microseconds
+   */
   public Machine add(
       String id, String type, String zone, boolean spot, boolean owned, long rentedWallMicros) {
     MachineType known = term.cluster.types.get(type);
@@ -61,11 +76,18 @@
     return machine;
   }
 
-  /** Deleted in this term; lists and late reports may still name it. */
+  /** Whether the machine was deleted in this term; cloud lists and late heartbeats may name it. */
   public boolean wasRemoved(String id) {
     return removed.contains(id);
   }
 
+  /**
+   * Places a task on a machine and writes that. The task must not be started before the assignment
+   * is durable.
+   *
+   * @param task the index of the task in its job
+   * @param attempt the attempt number
+   */
   public Assignment assign(Machine machine, Job job, int task, long attempt) {
     Assignment assignment =
         new Assignment(
@@ -85,42 +107,45 @@
     return assignment;
   }
 
-  /** Takes over what the log of earlier leaders says. */
+  /**
+   * Takes over the machines and placements that earlier leaders wrote. The jobs must have been
+   * loaded before.
+   *
+   * @param items the stored log segments, in any order
+   * @throws MalformedMessageException if a segment is unreadable; the cluster state is not changed
+   */
   public void load(List<Item> items) throws MalformedMessageException {
     Map<Long, Integer> slots = new HashMap<>();
-    List<LogSegment> pages = new ArrayList<>();
+    List<LogSegment> segments = new ArrayList<>();
     for (Item item : items) {
-      LogSegment page = LogSegment.read(item.value());
-      pages.add(page);
-      slots.put(page.number(), Keys.slot(item.key()));
-    }
-    pages.sort(Comparator.comparingLong(LogSegment::number));
-    LogState reading = LogState.of(pages);
-    for (LogSegment.MachineEntry entry : reading.machines()) {
-      LogSegment.JobKind kind = entry.kind();
-      Machine machine =
-          add(
-              entry.id(),
-              kind.type(),
-              kind.zone(),
-              kind.spot(),
-              kind.owned(),
-              entry.rentedWallMicros());
-      machine.inherited = true;
-      machine.retiring = entry.retiring();
-      machine.retiringDurable = entry.retiring();
-    }
-    reading.placed().forEach(this::inherit);
-    for (LogSegment.Image image : reading.images()) {
-      Machine machine = term.cluster.machines.get(image.machine());
-      if (machine != null) {
-        machine.recordImageUse(image.name(), image.gb());
-      }
+      LogSegment segment = LogSegment.read(item.value());
+      segments.add(segment);
+      slots.put(segment.number(), Keys.logSegmentSlot(item.key()));
     }
-    pages.forEach(page -> log.load(slots.get(page.number()), page));
+    segments.sort(Comparator.comparingLong(LogSegment::number));
+    LogState state = LogState.of(segments);
+    state.machines().forEach(this::restoreMachine);
+    state.placed().forEach(this::restoreAssignment);
+    state.images().forEach(this::restoreImage);
+    segments.forEach(segment -> log.load(slots.get(segment.number()), segment));
   }
 
-  private void inherit(LogSegment.Entry entry) {
+  private void restoreMachine(LogSegment.MachineEntry entry) {
+    LogSegment.MachineKind kind = entry.kind();
+    Machine machine =
+        add(
+            entry.id(),
+            kind.type(),
+            kind.zone(),
+            kind.spot(),
+            kind.owned(),
+            entry.rentedWallMicros());
+    machine.inherited = true;
+    machine.retiring = entry.retiring();
+    machine.retiringDurable = entry.retiring();
+  }
+
+  private void restoreAssignment(LogSegment.Placement entry) {
     Job job = term.cluster.jobs.get(entry.task().job());
     if (job != null && entry.task().index() >= job.spec.tasks()) {
       job = null;
@@ -130,8 +155,8 @@
             entry.task(),
             entry.attempt(),
             term.cluster.machines.get(entry.machine()),
-            entry.share().team(),
-            entry.share().takes(),
+            entry.usage().team(),
+            entry.usage().resources(),
             job,
             true,
             term.scheduler.nowMicros());
@@ -148,51 +173,62 @@
     }
   }
 
-  /** The task shall not run there any more; its worker will hear of it. */
+  private void restoreImage(LogSegment.CachedImage image) {
+    Machine machine = term.cluster.machines.get(image.machine());
+    if (machine != null) {
+      machine.recordImageUse(image.name(), image.gb());
+    }
+  }
+
+  /** Marks the task to be stopped; its worker is told with the next commands. */
   public void evict(Assignment assignment) {
     assignment.evicting = true;
-    touched.add(assignment.machine);
+    pendingPush.add(assignment.machine);
   }
 
-  /** The machines with something new to be told, each named once. */
+  /** Returns, once, the machines whose workers have new commands, each named once. */
   public List<Machine> takeTouched() {
-    List<Machine> machines = List.copyOf(touched);
-    touched.clear();
+    List<Machine> machines = List.copyOf(pendingPush);
+    pendingPush.clear();
     return machines;
   }
 
   /**
-   * The task is surely not on the machine any more. The log may name it for a moment longer: that
-   * only makes a new leader more careful, and whatever is placed later is written with it or after
-   * it.
+   * Frees what an assignment holds, once its task can no longer be on the machine. Does nothing if
+   * it was released already. The log may name it a little longer: that only makes a new leader more
+   * careful, and whatever is placed later is written with it or after it.
    */
   public void release(Assignment assignment) {
     Machine machine = assignment.machine;
-    long now = term.scheduler.nowMicros();
-    if (!term.cluster.release(assignment, now)) {
+    long nowMicros = term.scheduler.nowMicros();
+    if (!term.cluster.release(assignment, nowMicros)) {
       return;
     }
     if (machine.empty()) {
-      machine.idleSinceMicros = now;
+      machine.idleSinceMicros = nowMicros;
     }
     log.ended(assignment);
   }
 
-  /** The machine has the image from now on. */
+  /** Records that the machine has the job's image from now on. */
   public void recordImageUse(Machine machine, JobSpec job) {
     boolean known = machine.hasImage(job.image());
     machine.recordImageUse(job.image(), job.imageGb());
     if (!known) {
-      log.kept(machine, job.image(), job.imageGb());
+      log.imageCached(machine, job.image(), job.imageGb());
     }
   }
 
+  /** Releases every assignment of the machine, and forgets the orphan tasks reported from it. */
   public void releaseAll(Machine machine) {
     List.copyOf(machine.assignments.values()).forEach(this::release);
     term.cluster.orphanTasks(machine, List.of());
   }
 
-  /** Its worker has begun a new session: what this leader has placed there is released. */
+  /**
+   * Handles a new session of the machine's worker: what this leader placed there is released; what
+   * earlier leaders placed is kept, since their commands may still arrive.
+   */
   public void releaseOwn(Machine machine) {
     for (Assignment assignment : List.copyOf(machine.assignments.values())) {
       if (!assignment.inherited) {
@@ -204,17 +240,23 @@
   }
 
   /**
-   * The machine and everything on it is gone: the cloud has confirmed its deletion, or lists it no
-   * more.
+   * Removes a machine that no longer exists, and everything on it: the cloud has confirmed its
+   * deletion, or no longer lists it.
    */
   public void remove(Machine machine) {
     releaseAll(machine);
     term.cluster.remove(machine);
     removed.add(machine.id);
-    log.gone(machine);
+    log.machineRemoved(machine);
   }
 
-  public void retire(Machine machine, String why) {
+  /**
+   * Starts to return a machine to the cloud, unless that was started before. The cloud may be
+   * called once the decision is durable.
+   *
+   * @param reason why, for the log
+   */
+  public void retire(Machine machine, String reason) {
     if (!machine.retiring) {
       LOG.info(
           "returning {} ({} {}{}): {}",
@@ -222,32 +264,33 @@
           machine.type.name(),
           machine.zone,
           machine.spot ? " spot" : "",
-          why);
+          reason);
       machine.retiring = true;
       save(machine);
     }
   }
 
-  /** Machines that were silent for longer than any lease lasts have dropped their tasks. */
+  /** Releases what was on machines silent for longer than any worker's lease lasts. */
   public void expireSilentLeases(long nowMicros) {
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
-      boolean counts = machine.reported || !machine.assignments.isEmpty();
+      boolean mayHaveTasks = machine.reported || !machine.assignments.isEmpty();
       if (!machine.leaseExpired
-          && counts
+          && mayHaveTasks
           && term.delegation.dropped(machine.lastAnsweredMicros, nowMicros)) {
-        LOG.info("{} has been silent for a lease", machine.id);
+        LOG.info("lease of {} expired", machine.id);
         machine.leaseExpired = true;
         releaseAll(machine);
       }
     }
   }
 
-  /** What the store was to learn of the machine's tasks it knows now. */
+  /** Reports that the progress of tasks on the machine has become durable. */
   public void settled(Machine machine) {
     onDurable.accept(machine);
   }
 
+  /** Writes the machine's record, new or changed. */
   public void save(Machine machine) {
-    log.machine(machine);
+    log.machineChanged(machine);
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -19,7 +19,7 @@
 import madderrudder.coordination.reconciliation.MachineReconciler;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
-import madderrudder.coordination.registry.StoredStateReader;
+import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.scheduling.ScaleOutPlanner;
 import madderrudder.coordination.state.CapacityPoolLimits;
@@ -88,13 +88,12 @@
             term.deployment.clockOffMicros());
   }
 
-  public void load(StoredStateReader.Found found) throws MalformedMessageException {
-    Item spent = found.singles().get(Keys.BUDGET);
-    if (spent != null) {
-      budget.load(spent.value());
+  public void load(StoredState found) throws MalformedMessageException {
+    if (found.rentalBudget().isPresent()) {
+      budget.load(found.rentalBudget().get().value());
     }
-    ownedSealed = found.singles().containsKey(Keys.OWNED);
-    for (Item item : found.under(Keys.RENTALS)) {
+    ownedSealed = found.ownedMachinesRecorded();
+    for (Item item : found.rentals()) {
       String request = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(request, item.value());
       open.put(request, rental);
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -7,12 +7,12 @@
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
-import madderrudder.persistence.LogSegment.Ended;
-import madderrudder.persistence.LogSegment.Entry;
-import madderrudder.persistence.LogSegment.Image;
-import madderrudder.persistence.LogSegment.JobKind;
+import madderrudder.persistence.LogSegment.CachedImage;
+import madderrudder.persistence.LogSegment.EndedAttempt;
 import madderrudder.persistence.LogSegment.MachineEntry;
-import madderrudder.persistence.LogSegment.Share;
+import madderrudder.persistence.LogSegment.MachineKind;
+import madderrudder.persistence.LogSegment.Placement;
+import madderrudder.persistence.LogSegment.Usage;
 import madderrudder.protocol.Documents;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
@@ -64,25 +64,26 @@
   @Provide
   Arbitrary<List<Record>> entries() {
     Arbitrary<Long> numbers = Arbitraries.longs().greaterOrEqual(0);
-    Arbitrary<JobKind> kinds =
+    Arbitrary<MachineKind> kinds =
         Combinators.combine(
                 Arbitraries.of("g8", "small"),
                 Arbitraries.of("east", "west"),
                 Arbitraries.of(true, false),
                 Arbitraries.of(true, false))
-            .as(JobKind::new);
+            .as(MachineKind::new);
     Arbitrary<Record> machine =
         Combinators.combine(machines(), kinds, numbers, Arbitraries.of(true, false))
             .as(MachineEntry::new);
-    Arbitrary<Share> share =
+    Arbitrary<Usage> share =
         Combinators.combine(names(), numbers, numbers, numbers)
-            .as((team, c, g, m) -> new Share(team, new Resources(c, g, m)));
+            .as((team, c, g, m) -> new Usage(team, new Resources(c, g, m)));
     Arbitrary<Record> placed =
-        Combinators.combine(tasks(), numbers, share, machines()).as(Entry::new);
-    Arbitrary<Record> ended = Combinators.combine(tasks(), numbers, machines()).as(Ended::new);
+        Combinators.combine(tasks(), numbers, share, machines()).as(Placement::new);
+    Arbitrary<Record> ended =
+        Combinators.combine(tasks(), numbers, machines()).as(EndedAttempt::new);
     Arbitrary<Record> image =
         Combinators.combine(names(), Arbitraries.doubles().between(0, 1e15), machines())
-            .as(Image::new);
+            .as(CachedImage::new);
     return Arbitraries.oneOf(machine, placed, ended, image).list().ofMaxSize(120);
   }
 
@@ -91,15 +92,17 @@
       @ForAll("entries") List<Record> entries,
       @ForAll @IntRange(min = 200, max = 16_384) int mostBytes)
       throws MalformedMessageException {
-    LogSegment.Builder builder = new LogSegment.Builder(mostBytes);
+    LogSegmentBuilder builder = new LogSegmentBuilder(mostBytes);
     List<Record> taken = new ArrayList<>();
     for (Record entry : entries) {
       boolean fits =
           entry instanceof MachineEntry machine
               ? builder.add(machine)
-              : entry instanceof Entry placed
+              : entry instanceof Placement placed
                   ? builder.add(placed)
-                  : entry instanceof Ended ended ? builder.add(ended) : builder.add((Image) entry);
+                  : entry instanceof EndedAttempt ended
+                      ? builder.add(ended)
+                      : builder.add((CachedImage) entry);
       if (fits) {
         taken.add(entry);
       }
--- a/src/test/java/madderrudder/persistence/RecordsTest.java
+++ b/src/test/java/madderrudder/persistence/RecordsTest.java
@@ -42,11 +42,11 @@
   void pagesOfTheLogKeepWithinAValueAndComeBack() throws MalformedMessageException {
     SplittableRandom random = new SplittableRandom(7);
     for (int size : new int[] {2048, 4096, 15 * 1024}) {
-      LogSegment.Builder builder = new LogSegment.Builder(size);
+      LogSegmentBuilder builder = new LogSegmentBuilder(size);
       Set<LogSegment.MachineEntry> machines = new HashSet<>();
-      Set<LogSegment.Entry> placed = new HashSet<>();
-      Set<LogSegment.Ended> ended = new HashSet<>();
-      Set<LogSegment.Image> images = new HashSet<>();
+      Set<LogSegment.Placement> placed = new HashSet<>();
+      Set<LogSegment.EndedAttempt> ended = new HashSet<>();
+      Set<LogSegment.CachedImage> images = new HashSet<>();
       Set<String> gone = new HashSet<>();
       boolean room = true;
       for (long i = 1; room; i++) {
@@ -57,14 +57,15 @@
         LogSegment.MachineEntry entry =
             new LogSegment.MachineEntry(
                 machine,
-                new LogSegment.JobKind(
+                new LogSegment.MachineKind(
                     "g8", random.nextBoolean() ? "itä" : "länsi", random.nextBoolean(), true),
                 i << 30,
                 random.nextBoolean());
-        LogSegment.Entry at =
-            new LogSegment.Entry(task, i << 20, new LogSegment.Share("töölö", takes), machine);
-        LogSegment.Ended end = new LogSegment.Ended(task, i, machine);
-        LogSegment.Image image = new LogSegment.Image("img-" + random.nextInt(4), 1.5, machine);
+        LogSegment.Placement at =
+            new LogSegment.Placement(task, i << 20, new LogSegment.Usage("töölö", takes), machine);
+        LogSegment.EndedAttempt end = new LogSegment.EndedAttempt(task, i, machine);
+        LogSegment.CachedImage image =
+            new LogSegment.CachedImage("img-" + random.nextInt(4), 1.5, machine);
         room =
             builder.add(entry)
                 && machines.add(entry)
@@ -97,10 +98,10 @@
   @Test
   void pagesKeepWithinAValueWhateverImagesAreCalled() throws MalformedMessageException {
     for (String letter : List.of("\u0001", "\"", "\u20ac", "\ud83d\ude00")) {
-      LogSegment.Builder builder = new LogSegment.Builder(15 * 1024);
+      LogSegmentBuilder builder = new LogSegmentBuilder(15 * 1024);
       int count = 0;
       while (builder.add(
-          new LogSegment.Image(
+          new LogSegment.CachedImage(
               letter.repeat(200 / letter.length() - 8) + count, 1.5, "m-000001"))) {
         count++;
       }
@@ -130,11 +131,11 @@
    */
   @Test
   void pagesAreReadInTheOrderOfTheirNumbers() {
-    LogSegment.JobKind kind = new LogSegment.JobKind("g8", "a", false, true);
-    LogSegment.Share share = new LogSegment.Share("alto", Resources.of(1, 0, 1));
+    LogSegment.MachineKind kind = new LogSegment.MachineKind("g8", "a", false, true);
+    LogSegment.Usage share = new LogSegment.Usage("alto", Resources.of(1, 0, 1));
     TaskId first = new TaskId("req-000001", 0);
     TaskId second = new TaskId("req-000001", 1);
-    LogSegment.Entry again = new LogSegment.Entry(first, 2, share, "m-2");
+    LogSegment.Placement again = new LogSegment.Placement(first, 2, share, "m-2");
     LogState reading =
         LogState.of(
             List.of(
@@ -143,7 +144,7 @@
                     List.of(),
                     List.of("m-3"),
                     List.of(again),
-                    List.of(new LogSegment.Ended(first, 1, "m-1")),
+                    List.of(new LogSegment.EndedAttempt(first, 1, "m-1")),
                     List.of()),
                 new LogSegment(
                     4,
@@ -153,8 +154,8 @@
                         new LogSegment.MachineEntry("m-3", kind, 5, false)),
                     List.of(),
                     List.of(
-                        new LogSegment.Entry(first, 1, share, "m-1"),
-                        new LogSegment.Entry(second, 3, share, "m-3")),
+                        new LogSegment.Placement(first, 1, share, "m-1"),
+                        new LogSegment.Placement(second, 3, share, "m-3")),
                     List.of(),
                     List.of())));
     assertEquals(List.of(again), List.copyOf(reading.placed()));
@@ -169,10 +170,10 @@
    */
   @Test
   void aTaskReplacedUnderItsAttemptStaysNamed() {
-    LogSegment.JobKind kind = new LogSegment.JobKind("g8", "a", false, true);
-    LogSegment.Share share = new LogSegment.Share("alto", Resources.of(1, 0, 1));
+    LogSegment.MachineKind kind = new LogSegment.MachineKind("g8", "a", false, true);
+    LogSegment.Usage share = new LogSegment.Usage("alto", Resources.of(1, 0, 1));
     TaskId task = new TaskId("req-000001", 0);
-    LogSegment.Entry replaced = new LogSegment.Entry(task, 5, share, "m-2");
+    LogSegment.Placement replaced = new LogSegment.Placement(task, 5, share, "m-2");
     LogState reading =
         LogState.of(
             List.of(
@@ -182,7 +183,7 @@
                         new LogSegment.MachineEntry("m-1", kind, 5, false),
                         new LogSegment.MachineEntry("m-2", kind, 5, false)),
                     List.of(),
-                    List.of(new LogSegment.Entry(task, 5, share, "m-1")),
+                    List.of(new LogSegment.Placement(task, 5, share, "m-1")),
                     List.of(),
                     List.of()),
                 new LogSegment(
@@ -190,7 +191,7 @@
                     List.of(),
                     List.of(),
                     List.of(replaced),
-                    List.of(new LogSegment.Ended(task, 5, "m-1")),
+                    List.of(new LogSegment.EndedAttempt(task, 5, "m-1")),
                     List.of())));
     assertEquals(List.of(replaced), List.copyOf(reading.placed()));
   }
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -35,19 +35,19 @@
           + "\"ended\":[{\"j\":\"job-1\",\"of\":[\"1 1 m1\"]}],"
           + "\"images\":[{\"i\":\"img\",\"gb\":1.5,\"of\":[\"m1\"]}]}";
 
-  private static final LogSegment.JobKind KIND =
-      new LogSegment.JobKind("m5.large", "zone-a", false, true);
+  private static final LogSegment.MachineKind KIND =
+      new LogSegment.MachineKind("m5.large", "zone-a", false, true);
   private static final LogSegment.MachineEntry MACHINE =
       new LogSegment.MachineEntry("m1", KIND, 5_000_000, false);
-  private static final LogSegment.Entry PLACED =
-      new LogSegment.Entry(
+  private static final LogSegment.Placement PLACED =
+      new LogSegment.Placement(
           new TaskId("job-1", 3),
           2,
-          new LogSegment.Share("team-a", new Resources(1000, 0, 2048)),
+          new LogSegment.Usage("team-a", new Resources(1000, 0, 2048)),
           "m1");
-  private static final LogSegment.Ended ENDED =
-      new LogSegment.Ended(new TaskId("job-1", 1), 1, "m1");
-  private static final LogSegment.Image IMAGE = new LogSegment.Image("img", 1.5, "m1");
+  private static final LogSegment.EndedAttempt ENDED =
+      new LogSegment.EndedAttempt(new TaskId("job-1", 1), 1, "m1");
+  private static final LogSegment.CachedImage IMAGE = new LogSegment.CachedImage("img", 1.5, "m1");
 
   @Test
   void termKeyIsWrittenInItsStoredForm() {
@@ -114,7 +114,7 @@
 
   @Test
   void logSegmentIsWrittenInItsStoredForm() {
-    LogSegment.Builder builder = new LogSegment.Builder(10_000);
+    LogSegmentBuilder builder = new LogSegmentBuilder(10_000);
     assertTrue(builder.add(MACHINE));
     assertTrue(builder.addGone("m0"));
     assertTrue(builder.add(PLACED));
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -366,7 +366,7 @@
     if (turned) {
       Map<TaskId, String> before = Map.copyOf(named);
       named.clear();
-      for (LogSegment.Entry entry : LogState.of(pages.values()).placed()) {
+      for (LogSegment.Placement entry : LogState.of(pages.values()).placed()) {
         String other = named.put(entry.task(), entry.machine());
         if (other != null) {
           broken.add(entry.task() + " is named on " + other + " and on " + entry.machine());
