--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -4,10 +4,10 @@
 import java.util.random.RandomGenerator;
 import madderrudder.coordination.policy.FencingToken;
 import madderrudder.coordination.policy.SafetyBounds;
-import madderrudder.persistence.CommitQueue;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
+import madderrudder.persistence.TermKey;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
@@ -269,7 +269,7 @@
               claim(
                   newLease,
                   sentMicros,
-                  CommitQueue.readTerm(reply.value().value()),
+                  TermKey.readTerm(reply.value().value()),
                   reply.value().version());
               return;
             }
@@ -295,7 +295,7 @@
     List<Write> writes =
         List.of(
             new Write(Keys.LEAD, lead, newLease),
-            Write.put(Keys.TERM, CommitQueue.helm(newTerm, member, 0)));
+            Write.put(Keys.TERM, TermKey.encode(newTerm, member, 0)));
     byte[] body =
         StoreCodec.commit(
             List.of(new Condition(Keys.LEAD, inherited), new Condition(Keys.TERM, termVersion)),
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -9,19 +9,33 @@
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
 
-/** The values kept for jobs: the job itself, its progress in chunks, and how it ended. */
+/**
+ * Encodes and decodes the stored records of jobs: the job itself, its progress in chunks, and how
+ * it ended. The layouts are stored and must not change.
+ */
 public final class JobRecords {
-  /** Tasks a chunk: 4 KiB of bits, under 6 KiB as text. */
+  /** The tasks in a chunk of progress: 4 KiB of bits, less than 6 KiB as text. */
   public static final int CHUNK = 32_768;
 
-  /** A job that is not over yet, and the time of day of its acceptance. */
+  /**
+   * A job that is not over.
+   *
+   * @param spec the job as submitted
+   * @param acceptedWallMicros the time of day of its acceptance, in microseconds
+   */
   public record Live(JobSpec spec, long acceptedWallMicros) {}
 
-  /** How a job ended. */
+  /**
+   * How a job ended.
+   *
+   * @param state done or cancelled
+   * @param done how many of its tasks had completed
+   */
   public record Finished(JobState state, int done) {}
 
   private JobRecords() {}
 
+  /** Encodes a job that is not over; the time is a time of day in microseconds. */
   public static byte[] live(JobSpec spec, long acceptedWallMicros) {
     return Json.object(
         out -> {
@@ -30,10 +44,16 @@
         });
   }
 
+  /**
+   * Decodes a job that is not over.
+   *
+   * @throws MalformedMessageException if the record is not valid
+   */
   public static Live readLive(Fields in) throws MalformedMessageException {
     return new Live(JobCodec.read(in), in.count("accepted_us"));
   }
 
+  /** Encodes how a job ended. */
   public static byte[] finished(JobState state, int done) {
     return Json.object(
         out -> {
@@ -42,30 +62,49 @@
         });
   }
 
+  /**
+   * Decodes how a job ended; any state but "done" counts as cancelled.
+   *
+   * @throws MalformedMessageException if a field is missing or has the wrong type
+   */
   public static Finished readFinished(Fields in) throws MalformedMessageException {
     JobState state =
         in.text("state").equals(JobCodec.word(JobState.DONE)) ? JobState.DONE : JobState.CANCELLED;
     return new Finished(state, in.smallCount("done"));
   }
 
-  /** {@code faulty}: its tasks fail wherever they run. */
-  public static byte[] progress(BitSet done, int chunk, boolean faulty) {
+  /**
+   * Encodes a chunk of a job's progress.
+   *
+   * @param done the indexes of all the job's completed tasks
+   * @param chunk the number of the chunk, from 0
+   * @param failing whether the job's tasks fail on whatever machine they run
+   */
+  public static byte[] progress(BitSet done, int chunk, boolean failing) {
     byte[] bits = done.get(chunk * CHUNK, (chunk + 1) * CHUNK).toByteArray();
     return Json.object(
         out -> {
           out.writeStringField("done", Base64.getEncoder().encodeToString(bits));
-          if (faulty) {
+          if (failing) {
             out.writeBooleanField("faulty", true);
           }
         });
   }
 
-  /** Whether the job's tasks were found to fail wherever they run. */
+  /**
+   * Whether a chunk of progress says that the job's tasks fail on whatever machine they run.
+   *
+   * @throws MalformedMessageException if the field is not a boolean
+   */
   public static boolean readFaulty(Fields in) throws MalformedMessageException {
     return in.flag("faulty", false);
   }
 
-  /** Adds a stored chunk to the set. */
+  /**
+   * Decodes a chunk of progress and adds its completed tasks to the set.
+   *
+   * @throws MalformedMessageException if the chunk is not valid; the set is not changed
+   */
   public static void readProgress(Fields in, int chunk, BitSet done)
       throws MalformedMessageException {
     byte[] bits;
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -4,9 +4,19 @@
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
 
-/** An open rental: committed before the cloud is called, dropped once its answer is recorded. */
+/**
+ * An open rental: committed before the cloud is called, deleted once its answer is recorded.
+ *
+ * @param request the request id, which makes repeated calls of the cloud idempotent
+ * @param type the name of the machine type
+ * @param zone the zone
+ * @param spot whether spot machines are asked for
+ * @param count how many machines
+ * @param counted whether they count against the rental budget
+ */
 public record RentalRecord(
     String request, String type, String zone, boolean spot, int count, boolean counted) {
+  /** Encodes the record; the request id is its key. The layout is stored and must not change. */
   public byte[] render() {
     return Json.object(
         out -> {
@@ -18,6 +28,11 @@
         });
   }
 
+  /**
+   * Decodes the record stored under a request id.
+   *
+   * @throws MalformedMessageException if the record is not valid
+   */
   public static RentalRecord read(String request, Fields in) throws MalformedMessageException {
     return new RentalRecord(
         request,
--- a/src/main/java/madderrudder/persistence/StoreReply.java
+++ b/src/main/java/madderrudder/persistence/StoreReply.java
@@ -3,19 +3,28 @@
 import java.util.List;
 
 /**
- * What came of a call to the store. {@code failed} names the keys whose conditions did not hold.
+ * The outcome of a call to the store.
+ *
+ * @param outcome what is known of the call
+ * @param value the result; null unless the outcome is {@link Outcome#OK}
+ * @param failed the keys whose conditions did not hold; empty unless the outcome is {@link
+ *     Outcome#CONFLICT}
  */
 public record StoreReply<T>(Outcome outcome, T value, List<String> failed) {
   /** What is known of the call. */
   public enum Outcome {
+    /** Executed; there is a value. */
     OK,
-    /** The key, lease or range is not there (404, 410, or a write on a lease that ended). */
+    /**
+     * The key or lease does not exist, the watched revision is no longer kept, or the request is
+     * invalid (400, 404, 410).
+     */
     GONE,
     /** A condition did not hold; nothing was written. */
     CONFLICT,
-    /** Surely not executed: refused, over a rate, or never sent. */
+    /** Certainly not executed: refused, over a rate, or never sent. */
     REFUSED,
-    /** No answer: perhaps executed, perhaps executed later. */
+    /** No readable answer: it may have been executed, or may be later. */
     UNKNOWN
   }
 
@@ -27,6 +36,7 @@
     return new StoreReply<>(Outcome.OK, value, List.of());
   }
 
+  /** Whether this is the outcome. */
   public boolean is(Outcome other) {
     return outcome == other;
   }
--- /dev/null
+++ b/src/main/java/madderrudder/persistence/TransactionBuilder.java
@@ -0,0 +1,81 @@
+package madderrudder.persistence;
+
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import madderrudder.protocol.StoreCodec;
+import madderrudder.protocol.StoreCodec.Condition;
+import madderrudder.protocol.StoreCodec.Write;
+
+/** Assembles one transaction from queued changes, within the store's limits on writes and bytes. */
+final class TransactionBuilder {
+  private static final int MAX_BYTES = 48 * 1024;
+  private static final int HEAD_BYTES = 512;
+
+  /** What one write adds to a transaction beside its key and value. */
+  private static final int WRITE_OVERHEAD_BYTES = 64;
+
+  private final List<PendingChange> changes = new ArrayList<>();
+  private final List<Condition> conditions = new ArrayList<>();
+  private final List<Write> writes = new ArrayList<>();
+  private int bytes = HEAD_BYTES;
+
+  private final long serial;
+
+  /**
+   * Starts a transaction.
+   *
+   * @param serial its serial number in the term
+   * @param termCondition the condition on the term key
+   * @param termWrite the write that renews the term key
+   */
+  TransactionBuilder(long serial, Condition termCondition, Write termWrite) {
+    this.serial = serial;
+    conditions.add(termCondition);
+    writes.add(termWrite);
+  }
+
+  /** How many writes the transaction has so far. */
+  int writes() {
+    return writes.size();
+  }
+
+  /**
+   * Moves changes from the queue into the transaction while they fit. The first change of a
+   * transaction is taken whatever its size, so that a large one is sent alone.
+   *
+   * @return whether the queue was emptied
+   */
+  boolean takeFrom(Map<String, PendingChange> queue, int maxWrites) {
+    for (Iterator<PendingChange> iterator = queue.values().iterator(); iterator.hasNext(); ) {
+      PendingChange change = iterator.next();
+      List<Write> rendered = change.writes();
+      int size = rendered.stream().mapToInt(TransactionBuilder::sizeOf).sum();
+      if (!changes.isEmpty() && !fits(rendered.size(), size, maxWrites)) {
+        return false;
+      }
+      iterator.remove();
+      changes.add(change);
+      writes.addAll(rendered);
+      conditions.addAll(change.conditions());
+      bytes += size;
+    }
+    return true;
+  }
+
+  private boolean fits(int moreWrites, int moreBytes, int maxWrites) {
+    return writes.size() + moreWrites <= maxWrites && bytes + moreBytes <= MAX_BYTES;
+  }
+
+  private static int sizeOf(Write write) {
+    int valueBytes = write.value() == null ? 0 : write.value().length;
+    return write.key().length() + WRITE_OVERHEAD_BYTES + valueBytes;
+  }
+
+  /** Encodes the transaction. */
+  Transaction build() {
+    byte[] body = StoreCodec.commit(conditions, writes);
+    return new Transaction(changes, body, writes.size(), serial);
+  }
+}
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -51,12 +51,12 @@
 
   @Test
   void termKeyIsWrittenInItsStoredForm() {
-    assertEquals(TERM_KEY, text(CommitQueue.helm(7, "node-a", 3)));
+    assertEquals(TERM_KEY, text(TermKey.encode(7, "node-a", 3)));
   }
 
   @Test
   void termKeyInItsStoredFormIsRead() throws MalformedMessageException {
-    assertEquals(7, CommitQueue.readTerm(Json.readObject(bytes(TERM_KEY))));
+    assertEquals(7, TermKey.readTerm(Json.readObject(bytes(TERM_KEY))));
   }
 
   @Test
