--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -18,7 +18,6 @@
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.PendingChange;
 import madderrudder.protocol.JobKind;
-import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec.Item;
@@ -27,76 +26,81 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Run times learned from what has run, kept in the store so that the next leader goes on from
- * there.
+ * Run times learned from the tasks that have run, stored page by page so that the next leader
+ * continues from there. Confined to the event loop thread.
  */
 public final class LearnedRunTimes implements RunTimes {
   private static final Logger LOG = LoggerFactory.getLogger(LearnedRunTimes.class);
 
   /**
-   * Memory: with as many jobs and the names of 1,500 machines about 5 MB of the smallest
-   * controller's 64 MB heap.
+   * Limits memory: with as many jobs and the names of 1,500 machines it takes about 5 MB of the
+   * smallest controller's 64 MB heap.
    */
-  private static final int MOST_KINDS = 500;
+  private static final int MAX_KINDS = 500;
 
-  private static final int MOST_JOBS = 500;
+  private static final int MAX_JOBS = 500;
 
   /**
-   * Few enough that all are written within a minute, one at a time: a new leader lacks no more than
-   * that, and the store sees one write in ten seconds of the dozens it takes in each.
+   * Few enough that all are written within a minute, one at a time: a new leader lacks at most the
+   * last minute, and the store gets one write in ten seconds, of the dozens a second it accepts.
    */
   private static final int PAGES = 6;
 
-  private static final long PAGE_MICROS = 10_000_000;
-  private static final int PAGE_TEXT_BYTES = 15 * 1024;
+  private static final long PAGE_INTERVAL_MICROS = 10_000_000;
+  private static final int MAX_PAGE_BYTES = 15 * 1024;
 
-  /** Of a page, beside its text. */
+  /** The bytes of a stored page beside its text. */
   private static final int PAGE_HEAD_BYTES = 64;
 
-  /** For so long an answer is good; the picture asks for each job that waits at each plan. */
-  private static final long ANSWER_MICROS = 2_000_000;
+  /** How long an estimate is reused: each scheduling round asks for each job that waits. */
+  private static final long ESTIMATE_LIFE_MICROS = 2_000_000;
 
+  /** The share of runs that an estimate's interval is to contain. */
   private static final double SHARE = 0.8;
-  private static final int MOST_CLASSES = 50;
+
+  /** The most classes of jobs in the metrics. */
+  private static final int MAX_CLASSES = 50;
 
   private final LeaderTerm term;
-  private final Estimator estimator = new Estimator(MOST_KINDS, MOST_JOBS);
+  private final Estimator estimator = new Estimator(MAX_KINDS, MAX_JOBS);
   private final EstimatePages pages;
-  private int next;
+  private int nextPage;
 
   LearnedRunTimes(LeaderTerm term) {
     this.term = term;
-    int most = Math.min(PAGE_TEXT_BYTES, term.deployment.state().valueBytes()) - PAGE_HEAD_BYTES;
-    pages = new EstimatePages(estimator, PAGES, most);
+    int textBytes =
+        Math.min(MAX_PAGE_BYTES, term.deployment.state().valueBytes()) - PAGE_HEAD_BYTES;
+    pages = new EstimatePages(estimator, PAGES, textBytes);
   }
 
   /**
-   * Takes over what earlier leaders have learned. A page that can't be read is left out: learning
-   * afresh costs precision for a while, a failed take-over would cost everything.
+   * Takes over what earlier leaders have learned. A page that cannot be read is left out: learning
+   * it anew costs precision for a while, while a failed failover would stop everything.
+   *
+   * @param items the stored pages, in any order
    */
   public void load(List<Item> items) {
     for (Item item : items) {
       try {
         pages.read(item.value().text("d"));
       } catch (MalformedMessageException | Refused e) {
-        LOG.info(
-            "{} of run times is left out, they are learned afresh: {}", item.key(), e.getMessage());
+        LOG.info("page {} of run times is unreadable and left out: {}", item.key(), e.getMessage());
       }
     }
-    LOG.info("run times of {} kinds of tasks are known", estimator.size());
+    LOG.info("loaded run times of {} kinds of tasks", estimator.size());
   }
 
-  /** Begins to keep in the store what is learned. */
+  /** Starts to store, at intervals until the term ends, the pages that have changed. */
   public void keep() {
-    term.every(
-        PAGE_MICROS,
-        () -> {
-          int page = pages.nextChanged(next);
-          if (page >= 0) {
-            next = (page + 1) % PAGES;
-            term.commits.add(new PageChange(page), Urgency.LATER);
-          }
-        });
+    term.every(PAGE_INTERVAL_MICROS, this::saveNextChangedPage);
+  }
+
+  private void saveNextChangedPage() {
+    int page = pages.nextChanged(nextPage);
+    if (page >= 0) {
+      nextPage = (page + 1) % PAGES;
+      term.commits.add(new PageChange(page), Urgency.LATER);
+    }
   }
 
   @Override
@@ -106,53 +110,50 @@
     }
   }
 
-  private Estimate of(Job job) {
-    long now = term.scheduler.nowMicros();
-    if (job.expected == null || now - job.expected.askedMicros() >= ANSWER_MICROS) {
-      EstimateQuery question =
-          new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, SHARE);
-      Estimate estimate = estimator.estimate(question);
+  private Estimate estimateOf(Job job) {
+    long nowMicros = term.scheduler.nowMicros();
+    if (job.expected == null || nowMicros - job.expected.askedMicros() >= ESTIMATE_LIFE_MICROS) {
+      EstimateQuery query = new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, SHARE);
+      Estimate estimate = estimator.estimate(query);
       if (job.expected == null && LOG.isDebugEnabled()) {
-        LOG.debug(
-            "{} of {} is expected to take {} ms ({} to {}): {}",
-            job.spec.id(),
-            job.spec.jobClass(),
-            estimate.medianMicros() / 1000,
-            estimate.lowMicros() / 1000,
-            estimate.highMicros() / 1000,
-            estimator.explain(question));
+        logFirstEstimate(job, query, estimate);
       }
-      job.expected = new Expected(estimate, now);
+      job.expected = new Expected(estimate, nowMicros);
     }
     return job.expected.estimate();
   }
 
+  private void logFirstEstimate(Job job, EstimateQuery query, Estimate estimate) {
+    LOG.debug(
+        "{} of {} is expected to take {} ms ({} to {}): {}",
+        job.spec.id(),
+        job.spec.jobClass(),
+        estimate.medianMicros() / 1000,
+        estimate.lowMicros() / 1000,
+        estimate.highMicros() / 1000,
+        estimator.explain(query));
+  }
+
   @Override
   public long expectedMicros(Job job) {
-    return of(job).medianMicros();
+    return estimateOf(job).medianMicros();
   }
 
   @Override
   public long mostMicros(Job job) {
-    return of(job).highMicros();
+    return estimateOf(job).highMicros();
   }
 
   @Override
   public long leftMicros(Assignment assignment, long nowMicros) {
-    long ran = RunTimes.ranMicros(assignment, nowMicros);
-    JobSpec spec = assignment.job.spec;
-    long whole =
-        estimator
-            .estimate(
-                new EstimateQuery(
-                    assignment.job.profile,
-                    spec.estimateMicros(),
-                    assignment.machine.type.name(),
-                    ran,
-                    SHARE))
-            .medianMicros();
-    // Of one that runs for longer than anything like it nothing is known.
-    return whole > ran ? whole - ran : ran;
+    long ranMicros = RunTimes.ranMicros(assignment, nowMicros);
+    Job job = assignment.job;
+    String machineType = assignment.machine.type.name();
+    EstimateQuery query =
+        new EstimateQuery(job.profile, job.spec.estimateMicros(), machineType, ranMicros, SHARE);
+    long wholeMicros = estimator.estimate(query).medianMicros();
+    // Nothing is known of a task that has run for longer than any like it.
+    return wholeMicros > ranMicros ? wholeMicros - ranMicros : ranMicros;
   }
 
   @Override
@@ -160,33 +161,23 @@
     if (assignment.runningMicros < 0 || assignment.job.spec.kind() == JobKind.SERVICE) {
       return false;
     }
-    // Only of what has not come to its lower bound yet: what runs on just below its upper one
-    // mostly outlasts it.
-    long ran = RunTimes.ranMicros(assignment, nowMicros);
-    Estimate estimate = of(assignment.job);
-    return ran <= estimate.lowMicros() && estimate.highMicros() - ran <= withinMicros;
+    // Only for a task that has not reached its lower bound: one that still runs close to its upper
+    // bound mostly outlasts it.
+    long ranMicros = RunTimes.ranMicros(assignment, nowMicros);
+    Estimate estimate = estimateOf(assignment.job);
+    return ranMicros <= estimate.lowMicros() && estimate.highMicros() - ranMicros <= withinMicros;
   }
 
-  /** For operators: what is known of each class, and how well it held. */
+  /**
+   * Writes the metrics of the estimates as the field {@code run_times}: counts, and for each class
+   * of jobs how run times relate to their users' estimates.
+   */
   public void write(JsonGenerator out) throws IOException {
     out.writeObjectFieldStart("run_times");
     out.writeNumberField("kinds", estimator.size());
-    List<IOException> failed = new ArrayList<>();
-    estimator
-        .counts()
-        .each(
-            (name, count) -> {
-              try {
-                out.writeNumberField(name, count);
-              } catch (IOException e) {
-                failed.add(e);
-              }
-            });
-    if (!failed.isEmpty()) {
-      throw failed.get(0);
-    }
+    writeCounts(out);
     out.writeObjectFieldStart("ratio_to_guess");
-    for (ClassSummary known : estimator.classes(MOST_CLASSES)) {
+    for (ClassSummary known : estimator.classes(MAX_CLASSES)) {
       out.writeObjectFieldStart(known.jobClass());
       out.writeNumberField("runs", known.runs());
       out.writeNumberField("low", known.low());
@@ -199,7 +190,24 @@
     out.writeEndObject();
   }
 
-  /** Rendered when it is written, so that it says what is known then. */
+  private void writeCounts(JsonGenerator out) throws IOException {
+    List<IOException> failures = new ArrayList<>();
+    estimator
+        .counts()
+        .each(
+            (name, count) -> {
+              try {
+                out.writeNumberField(name, count);
+              } catch (IOException e) {
+                failures.add(e);
+              }
+            });
+    if (!failures.isEmpty()) {
+      throw failures.get(0);
+    }
+  }
+
+  /** Writes one page, rendered when its transaction is built, with what is known then. */
   private final class PageChange implements PendingChange {
     private final int page;
 
@@ -220,7 +228,7 @@
 
     @Override
     public void committed() {
-      LOG.debug("{} kept", name());
+      LOG.debug("{} written", name());
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -72,9 +72,7 @@
    * later carries it along.
    */
   void ended(Assignment assignment) {
-    if (!pending.placed.remove(assignment)) {
-      pending.ended.add(
-          new LogSegment.EndedAttempt(assignment.task, assignment.attempt, assignment.machine.id));
+    if (pending.addEnded(assignment)) {
       term.commits.add(change, Urgency.LATER);
     }
   }
--- a/src/main/java/madderrudder/coordination/registry/PendingEntries.java
+++ b/src/main/java/madderrudder/coordination/registry/PendingEntries.java
@@ -23,6 +23,19 @@
         && images.isEmpty();
   }
 
+  /**
+   * Adds that an attempt has ended. One that no segment names yet is only taken back.
+   *
+   * @return whether there is something to write
+   */
+  boolean addEnded(Assignment assignment) {
+    if (placed.remove(assignment)) {
+      return false;
+    }
+    ended.add(new EndedAttempt(assignment.task, assignment.attempt, assignment.machine.id));
+    return true;
+  }
+
   /** How soon the most urgent of the entries is to be written. */
   Urgency urgency() {
     if (!placed.isEmpty()) {
