--- /dev/null
+++ b/src/test/java/madderrudder/persistence/LogStateTest.java
@@ -0,0 +1,81 @@
+package madderrudder.persistence;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import madderrudder.protocol.Resources;
+import madderrudder.protocol.TaskId;
+import org.junit.jupiter.api.Test;
+
+class LogStateTest {
+  private static final LogSegment.MachineKind KIND =
+      new LogSegment.MachineKind("g8", "a", false, true);
+  private static final LogSegment.Usage USAGE = new LogSegment.Usage("alto", Resources.of(1, 0, 1));
+
+  private static LogSegment.MachineEntry machine(String id) {
+    return new LogSegment.MachineEntry(id, KIND, 5, false);
+  }
+
+  private static LogSegment segment(
+      long number,
+      List<LogSegment.MachineEntry> machines,
+      List<String> gone,
+      List<LogSegment.Placement> placed,
+      List<LogSegment.EndedAttempt> ended) {
+    return new LogSegment(number, machines, gone, placed, ended, List.of());
+  }
+
+  /** What was placed on a machine that is gone is gone with it. */
+  @Test
+  void segmentsAreReplayedInTheOrderOfTheirNumbers() {
+    TaskId first = new TaskId("req-000001", 0);
+    TaskId second = new TaskId("req-000001", 1);
+    LogSegment.Placement again = new LogSegment.Placement(first, 2, USAGE, "m-2");
+    LogSegment later =
+        segment(
+            9,
+            List.of(),
+            List.of("m-3"),
+            List.of(again),
+            List.of(new LogSegment.EndedAttempt(first, 1, "m-1")));
+    LogSegment earlier =
+        segment(
+            4,
+            List.of(machine("m-1"), machine("m-2"), machine("m-3")),
+            List.of(),
+            List.of(
+                new LogSegment.Placement(first, 1, USAGE, "m-1"),
+                new LogSegment.Placement(second, 3, USAGE, "m-3")),
+            List.of());
+    LogState state = LogState.of(List.of(later, earlier));
+    assertEquals(List.of(again), List.copyOf(state.placed()));
+    assertEquals(
+        List.of("m-1", "m-2"), state.machines().stream().map(LogSegment.MachineEntry::id).toList());
+  }
+
+  /**
+   * A task lost by a gang that is still being placed is replaced under the same attempt. It once
+   * fell out of the log, and ran twice.
+   */
+  @Test
+  void aTaskReplacedUnderItsAttemptStaysPlaced() {
+    TaskId task = new TaskId("req-000001", 0);
+    LogSegment.Placement replaced = new LogSegment.Placement(task, 5, USAGE, "m-2");
+    LogState state =
+        LogState.of(
+            List.of(
+                segment(
+                    1,
+                    List.of(machine("m-1"), machine("m-2")),
+                    List.of(),
+                    List.of(new LogSegment.Placement(task, 5, USAGE, "m-1")),
+                    List.of()),
+                segment(
+                    2,
+                    List.of(),
+                    List.of(),
+                    List.of(replaced),
+                    List.of(new LogSegment.EndedAttempt(task, 5, "m-1")))));
+    assertEquals(List.of(replaced), List.copyOf(state.placed()));
+  }
+}
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -28,17 +28,17 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * What is kept in the store: pages hold what was put in and stay within their size; damage is told
- * from values.
+ * Properties of the stored records: a segment holds what was put in and stays within its size, and
+ * an altered one is read or reported as malformed.
  */
 class RecordPropertiesTest {
-  private static final String PAGE =
+  private static final String SEGMENT =
       """
             {"n":7,"machines":[{"type":"g8","zone":"a","spot":true,"owned":false,"of":["m-1 1790000000000000 r","m-2 5"]}],
              "gone":["m-3"],"placed":[{"j":"req-1","w":"alto","c":4000,"g":0,"m":16000,"of":["0 41 m-1","7 41 m-2"]}],
              "ended":[{"j":"req-2","of":["3 40 m-1"]}],"images":[{"i":"img","gb":1.5,"of":["m-1"]}]}""";
 
-  /** Names of users may hold anything that can be written. */
+  /** Names chosen by users may contain any character. */
   private static Arbitrary<String> names() {
     return Arbitraries.oneOf(
         Arbitraries.strings().withCharRange('a', 'z').ofMinLength(1).ofMaxLength(200),
@@ -88,7 +88,7 @@
   }
 
   @Property(seed = "31")
-  void aPageHoldsWhatFitsAndNoMore(
+  void aSegmentHoldsWhatFitsAndNoMore(
       @ForAll("entries") List<Record> entries,
       @ForAll @IntRange(min = 200, max = 16_384) int mostBytes)
       throws MalformedMessageException {
@@ -107,9 +107,9 @@
         taken.add(entry);
       }
     }
-    byte[] page = builder.render(7);
-    assertTrue(page.length <= mostBytes, page.length + " bytes of " + mostBytes);
-    LogSegment read = LogSegment.read(Json.readObject(page));
+    byte[] segment = builder.render(7);
+    assertTrue(segment.length <= mostBytes, segment.length + " bytes of " + mostBytes);
+    LogSegment read = LogSegment.read(Json.readObject(segment));
     List<Record> found = new ArrayList<>(read.machines());
     found.addAll(read.placed());
     found.addAll(read.ended());
@@ -119,12 +119,12 @@
   }
 
   @Provide
-  Arbitrary<byte[]> pages() {
-    return Documents.nearly(PAGE);
+  Arbitrary<byte[]> segments() {
+    return Documents.nearly(SEGMENT);
   }
 
   @Property(seed = "32", tries = 3000)
-  void aPageIsReadOrMalformed(@ForAll("pages") byte[] text) {
+  void anAlteredSegmentIsReadOrMalformed(@ForAll("segments") byte[] text) {
     boolean read;
     try {
       LogSegment.read(Json.readObject(text));
