--- a/src/main/java/madderrudder/coordination/leader/StateLoader.java
+++ b/src/main/java/madderrudder/coordination/leader/StateLoader.java
@@ -4,6 +4,7 @@
 import madderrudder.coordination.registry.JobRegistry;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
+import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.registry.StoredStateReader;
 import madderrudder.coordination.scaleout.ScaleOutController;
 import madderrudder.persistence.Keys;
@@ -48,7 +49,7 @@
   }
 
   private void loadWhenCatalogKnown(
-      StoredStateReader.Found found, long readMicros, Runnable onLoaded) {
+      StoredState found, long readMicros, Runnable onLoaded) {
     if (!catalog.known()) {
       term.after(CATALOG_RETRY_MICROS, () -> loadWhenCatalogKnown(found, readMicros, onLoaded));
       return;
@@ -64,14 +65,14 @@
     onLoaded.run();
   }
 
-  private void loadAll(StoredStateReader.Found found, long readMicros)
+  private void loadAll(StoredState found, long readMicros)
       throws MalformedMessageException {
     jobs.load(found, readMicros);
-    machines.load(found.under(Keys.PAGES));
+    machines.load(found.logSegments());
     term.cluster.machines.values().forEach(delegation::allowForEarlierLeader);
     scaleOut.load(found);
     if (term.learned != null) {
-      term.learned.load(found.under(Keys.RUN_TIMES));
+      term.learned.load(found.runTimes());
       term.learned.keep();
     }
   }
--- a/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
+++ b/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.membership;
 
 import java.util.List;
-import madderrudder.persistence.CommitQueue;
+import madderrudder.persistence.TermKey;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
@@ -85,7 +85,7 @@
   private void claimAfter(Item termKey) {
     long oldTerm;
     try {
-      oldTerm = CommitQueue.readTerm(termKey.value());
+      oldTerm = TermKey.readTerm(termKey.value());
     } catch (MalformedMessageException e) {
       LOG.error("the term key is unreadable: {}", e.getMessage());
       giveUp();
@@ -107,7 +107,7 @@
     List<Write> writes =
         List.of(
             new Write(Keys.LEAD, new LeaderRecord(newTerm, member).encode(), lease.id()),
-            Write.put(Keys.TERM, CommitQueue.helm(newTerm, member, 0)));
+            Write.put(Keys.TERM, TermKey.encode(newTerm, member, 0)));
     store.commitUrgent(
         StoreCodec.commit(conditions, writes),
         reply -> {
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import madderrudder.coordination.registry.LeaderTerm;
-import madderrudder.coordination.registry.StoredStateReader;
+import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.state.Machine;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
@@ -41,12 +41,11 @@
   }
 
   /** Takes over the budget of earlier leaders, and whether any of them rented a machine. */
-  void load(StoredStateReader.Found found) throws MalformedMessageException {
-    Item storedBudget = found.singles().get(Keys.BUDGET);
-    if (storedBudget != null) {
-      budget.load(storedBudget.value());
+  void load(StoredState found) throws MalformedMessageException {
+    if (found.rentalBudget().isPresent()) {
+      budget.load(found.rentalBudget().get().value());
     }
-    ownedRecorded = found.singles().containsKey(Keys.OWNED);
+    ownedRecorded = found.ownedMachinesRecorded();
   }
 
   /** Whether no machine was ever rented, so that each machine that is found is an owned one. */
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -8,7 +8,7 @@
 import madderrudder.coordination.cloud.RentResult;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
-import madderrudder.coordination.registry.StoredStateReader;
+import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Machine;
 import madderrudder.coordination.state.ScaleOutRequest;
@@ -48,9 +48,9 @@
   }
 
   /** Takes over the budget and the open requests of earlier leaders, and sends these again. */
-  void load(StoredStateReader.Found found) throws MalformedMessageException {
+  void load(StoredState found) throws MalformedMessageException {
     intents.load(found);
-    for (Item item : found.under(Keys.RENTALS)) {
+    for (Item item : found.rentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
       openRequests.put(requestId, rental);
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -5,7 +5,7 @@
 import madderrudder.coordination.reconciliation.Confidence;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
-import madderrudder.coordination.registry.StoredStateReader;
+import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.scheduling.ScaleOutPlanner;
 import madderrudder.coordination.state.CapacityPoolLimits;
@@ -51,7 +51,7 @@
    * @param found what the store holds
    * @throws MalformedMessageException if a stored record is unreadable
    */
-  public void load(StoredStateReader.Found found) throws MalformedMessageException {
+  public void load(StoredState found) throws MalformedMessageException {
     requests.load(found);
     machineList.start();
     deleter.start();
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -7,12 +7,12 @@
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
-import madderrudder.persistence.LogSegment.Ended;
-import madderrudder.persistence.LogSegment.Entry;
-import madderrudder.persistence.LogSegment.Image;
-import madderrudder.persistence.LogSegment.JobKind;
+import madderrudder.persistence.LogSegment.CachedImage;
+import madderrudder.persistence.LogSegment.EndedAttempt;
 import madderrudder.persistence.LogSegment.MachineEntry;
-import madderrudder.persistence.LogSegment.Share;
+import madderrudder.persistence.LogSegment.MachineKind;
+import madderrudder.persistence.LogSegment.Placement;
+import madderrudder.persistence.LogSegment.Usage;
 import madderrudder.protocol.Documents;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
@@ -28,17 +28,17 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * What is kept in the store: pages hold what was put in and stay within their size; damage is told
- * from values.
+ * Properties of the stored records: a segment holds what was put in and stays within its size, and
+ * an altered one is read or reported as malformed.
  */
 class RecordPropertiesTest {
-  private static final String PAGE =
+  private static final String SEGMENT =
       """
             {"n":7,"machines":[{"type":"g8","zone":"a","spot":true,"owned":false,"of":["m-1 1790000000000000 r","m-2 5"]}],
              "gone":["m-3"],"placed":[{"j":"req-1","w":"alto","c":4000,"g":0,"m":16000,"of":["0 41 m-1","7 41 m-2"]}],
              "ended":[{"j":"req-2","of":["3 40 m-1"]}],"images":[{"i":"img","gb":1.5,"of":["m-1"]}]}""";
 
-  /** Names of users may hold anything that can be written. */
+  /** Names chosen by users may contain any character. */
   private static Arbitrary<String> names() {
     return Arbitraries.oneOf(
         Arbitraries.strings().withCharRange('a', 'z').ofMinLength(1).ofMaxLength(200),
@@ -64,49 +64,52 @@
   @Provide
   Arbitrary<List<Record>> entries() {
     Arbitrary<Long> numbers = Arbitraries.longs().greaterOrEqual(0);
-    Arbitrary<JobKind> kinds =
+    Arbitrary<MachineKind> kinds =
         Combinators.combine(
                 Arbitraries.of("g8", "small"),
                 Arbitraries.of("east", "west"),
                 Arbitraries.of(true, false),
                 Arbitraries.of(true, false))
-            .as(JobKind::new);
+            .as(MachineKind::new);
     Arbitrary<Record> machine =
         Combinators.combine(machines(), kinds, numbers, Arbitraries.of(true, false))
             .as(MachineEntry::new);
-    Arbitrary<Share> share =
+    Arbitrary<Usage> share =
         Combinators.combine(names(), numbers, numbers, numbers)
-            .as((team, c, g, m) -> new Share(team, new Resources(c, g, m)));
+            .as((team, c, g, m) -> new Usage(team, new Resources(c, g, m)));
     Arbitrary<Record> placed =
-        Combinators.combine(tasks(), numbers, share, machines()).as(Entry::new);
-    Arbitrary<Record> ended = Combinators.combine(tasks(), numbers, machines()).as(Ended::new);
+        Combinators.combine(tasks(), numbers, share, machines()).as(Placement::new);
+    Arbitrary<Record> ended =
+        Combinators.combine(tasks(), numbers, machines()).as(EndedAttempt::new);
     Arbitrary<Record> image =
         Combinators.combine(names(), Arbitraries.doubles().between(0, 1e15), machines())
-            .as(Image::new);
+            .as(CachedImage::new);
     return Arbitraries.oneOf(machine, placed, ended, image).list().ofMaxSize(120);
   }
 
   @Property(seed = "31")
-  void aPageHoldsWhatFitsAndNoMore(
+  void aSegmentHoldsWhatFitsAndNoMore(
       @ForAll("entries") List<Record> entries,
       @ForAll @IntRange(min = 200, max = 16_384) int mostBytes)
       throws MalformedMessageException {
-    LogSegment.Builder builder = new LogSegment.Builder(mostBytes);
+    LogSegmentBuilder builder = new LogSegmentBuilder(mostBytes);
     List<Record> taken = new ArrayList<>();
     for (Record entry : entries) {
       boolean fits =
           entry instanceof MachineEntry machine
               ? builder.add(machine)
-              : entry instanceof Entry placed
+              : entry instanceof Placement placed
                   ? builder.add(placed)
-                  : entry instanceof Ended ended ? builder.add(ended) : builder.add((Image) entry);
+                  : entry instanceof EndedAttempt ended
+                      ? builder.add(ended)
+                      : builder.add((CachedImage) entry);
       if (fits) {
         taken.add(entry);
       }
     }
-    byte[] page = builder.render(7);
-    assertTrue(page.length <= mostBytes, page.length + " bytes of " + mostBytes);
-    LogSegment read = LogSegment.read(Json.readObject(page));
+    byte[] segment = builder.render(7);
+    assertTrue(segment.length <= mostBytes, segment.length + " bytes of " + mostBytes);
+    LogSegment read = LogSegment.read(Json.readObject(segment));
     List<Record> found = new ArrayList<>(read.machines());
     found.addAll(read.placed());
     found.addAll(read.ended());
@@ -116,12 +119,12 @@
   }
 
   @Provide
-  Arbitrary<byte[]> pages() {
-    return Documents.nearly(PAGE);
+  Arbitrary<byte[]> segments() {
+    return Documents.nearly(SEGMENT);
   }
 
   @Property(seed = "32", tries = 3000)
-  void aPageIsReadOrMalformed(@ForAll("pages") byte[] text) {
+  void anAlteredSegmentIsReadOrMalformed(@ForAll("segments") byte[] text) {
     boolean read;
     try {
       LogSegment.read(Json.readObject(text));
