--- /dev/null
+++ b/src/test/java/madderrudder/estimates/EstimatePagesPropertiesTest.java
@@ -0,0 +1,78 @@
+package madderrudder.estimates;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Base64;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+import net.jqwik.api.Arbitrary;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.Provide;
+import net.jqwik.api.constraints.IntRange;
+
+/** Properties of pages for any evidence. */
+class EstimatePagesPropertiesTest {
+  @Provide
+  Arbitrary<List<Double>> times() {
+    return new EstimatorPropertiesTest().times();
+  }
+
+  static final int PAGES = 3;
+  static final int PAGE_BYTES = 15_000;
+
+  static List<String> pages(Estimator estimator) {
+    EstimatePages pages = new EstimatePages(estimator, PAGES, PAGE_BYTES);
+    List<String> texts = new ArrayList<>();
+    for (int page = 0; page < PAGES; page++) {
+      texts.add(pages.write(page));
+    }
+    return texts;
+  }
+
+  /** What is read again from its pages, in any order, gives the same estimates. */
+  @Property(tries = 100)
+  void pagesRestoreTheSameEstimates(
+      @ForAll("times") List<Double> timesS,
+      @ForAll @IntRange(min = 0, max = 1) int ownerEstimateMinutes,
+      @ForAll Random random)
+      throws MalformedPageException {
+    Estimator estimator = EstimatorPropertiesTest.learned(timesS, 60 * ownerEstimateMinutes);
+    List<String> texts = pages(estimator);
+    Collections.shuffle(texts, random);
+    Estimator restored = new Estimator(100, 100);
+    for (String text : texts) {
+      assertTrue(text.length() <= PAGE_BYTES);
+      new EstimatePages(restored, PAGES, PAGE_BYTES).read(text);
+    }
+    assertEquals(
+        Runs.ask(estimator, "class", 60 * ownerEstimateMinutes),
+        Runs.ask(restored, "class", 60 * ownerEstimateMinutes));
+    assertEquals(estimator.size(), restored.size());
+  }
+
+  /** A page with any one byte changed, or cut anywhere, is refused as a whole. */
+  @Property(tries = 300)
+  void damagedPageIsRefusedAsAWhole(@ForAll Random random) {
+    String text =
+        pages(EstimatorPropertiesTest.learned(List.of(1.0, 2.0, 40.0, 3.5), 60))
+            .get(random.nextInt(PAGES));
+    byte[] bytes = Base64.getDecoder().decode(text);
+    byte[] damaged =
+        random.nextBoolean() ? Arrays.copyOf(bytes, random.nextInt(bytes.length)) : bytes;
+    if (damaged == bytes) {
+      damaged[random.nextInt(damaged.length)] ^= (byte) (1 + random.nextInt(255));
+    }
+    Estimator estimator = new Estimator(100, 100);
+    EstimatePages pages = new EstimatePages(estimator, PAGES, PAGE_BYTES);
+    assertThrows(
+        MalformedPageException.class,
+        () -> pages.read(Base64.getEncoder().encodeToString(damaged)));
+    assertEquals(0, estimator.size());
+  }
+}
--- a/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
@@ -1,11 +1,9 @@
 package madderrudder.estimates;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.Base64;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
@@ -15,9 +13,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.DoubleRange;
-import net.jqwik.api.constraints.IntRange;
 
-/** What holds of estimates whatever has run. */
+/** Properties of estimates for any history. */
 class EstimatorPropertiesTest {
   /** A step of the grid is a sixteenth of its lower end at most. */
   private static final double STEP = 17.0 / 16;
@@ -29,7 +26,7 @@
     return Arbitraries.doubles().between(0.5, 5_000).ofScale(3).list().ofMinSize(1).ofMaxSize(60);
   }
 
-  private static Estimator learned(List<Double> timesS, double guessS) {
+  static Estimator learned(List<Double> timesS, double guessS) {
     Estimator estimator = new Estimator(100, 100);
     timesS.forEach(time -> estimator.observe(Runs.of("class", guessS, time)));
     return estimator;
@@ -40,7 +37,7 @@
    * the median at most.
    */
   @Property(tries = 200)
-  void estimatesLieWithinWhatWasObserved(
+  void estimateLiesWithinTheObservedTimes(
       @ForAll("times") List<Double> timesS,
       @ForAll @DoubleRange(min = 0.1, max = 0.95) double share) {
     Estimator estimator = learned(timesS, 0);
@@ -58,11 +55,11 @@
   }
 
   /**
-   * Whatever has run, one more freak moves the estimate no further than to the next that was seen
+   * Whatever has run, one outlier more moves the estimate no further than to the next that was seen
    * on either side.
    */
   @Property(tries = 200)
-  void oneFreakMovesTheMedianALittle(@ForAll("times") List<Double> timesS) {
+  void oneOutlierMovesTheMedianALittle(@ForAll("times") List<Double> timesS) {
     List<Double> many = new ArrayList<>(timesS);
     while (many.size() < 12) {
       many.addAll(timesS);
@@ -73,12 +70,12 @@
     double after = Runs.ask(estimator, "class", 0).medianMicros() / 1e6;
     assertTrue(
         after <= STEP * Collections.max(many) || after <= before * STEP,
-        "from " + before + " to " + after + " by a freak among " + many);
+        "from " + before + " to " + after + " by an outlier among " + many);
   }
 
   /** Counts on one grid add up the same in whatever order. */
   @Property(tries = 100)
-  void mergingIsTheSameInAnyOrder(
+  void mergingGivesTheSameInAnyOrder(
       @ForAll("times") List<Double> one,
       @ForAll("times") List<Double> two,
       @ForAll("times") List<Double> three,
@@ -96,52 +93,4 @@
     assertEquals((double) a.medianMicros(), (double) b.medianMicros(), a.medianMicros() / 1e5);
     assertEquals((double) a.highMicros(), (double) b.highMicros(), a.highMicros() / 1e5);
   }
-
-  private static final int PAGES = 3;
-  private static final int PAGE_BYTES = 15_000;
-
-  private static List<String> pages(Estimator estimator) {
-    EstimatePages pages = new EstimatePages(estimator, PAGES, PAGE_BYTES);
-    List<String> texts = new ArrayList<>();
-    for (int page = 0; page < PAGES; page++) {
-      texts.add(pages.write(page));
-    }
-    return texts;
-  }
-
-  /** What is read again from its pages, in any order, gives the same estimates. */
-  @Property(tries = 100)
-  void pagesHoldWhatWasLearned(
-      @ForAll("times") List<Double> timesS,
-      @ForAll @IntRange(min = 0, max = 1) int guess,
-      @ForAll Random random)
-      throws MalformedPageException {
-    Estimator estimator = learned(timesS, 60 * guess);
-    List<String> texts = pages(estimator);
-    Collections.shuffle(texts, random);
-    Estimator again = new Estimator(100, 100);
-    for (String text : texts) {
-      assertTrue(text.length() <= PAGE_BYTES);
-      new EstimatePages(again, PAGES, PAGE_BYTES).read(text);
-    }
-    assertEquals(Runs.ask(estimator, "class", 60 * guess), Runs.ask(again, "class", 60 * guess));
-    assertEquals(estimator.size(), again.size());
-  }
-
-  /** A page with any one byte changed, or cut anywhere, is refused as a whole. */
-  @Property(tries = 300)
-  void tornPagesAreRefused(@ForAll Random random) {
-    String text = pages(learned(List.of(1.0, 2.0, 40.0, 3.5), 60)).get(random.nextInt(PAGES));
-    byte[] bytes = Base64.getDecoder().decode(text);
-    byte[] torn =
-        random.nextBoolean() ? java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length)) : bytes;
-    if (torn == bytes) {
-      torn[random.nextInt(torn.length)] ^= (byte) (1 + random.nextInt(255));
-    }
-    Estimator estimator = new Estimator(100, 100);
-    EstimatePages pages = new EstimatePages(estimator, PAGES, PAGE_BYTES);
-    assertThrows(
-        MalformedPageException.class, () -> pages.read(Base64.getEncoder().encodeToString(torn)));
-    assertEquals(0, estimator.size());
-  }
 }
--- a/src/test/java/madderrudder/estimates/EstimatorTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the estimator makes of hard histories; alone, since it measures memory. */
+/** Estimates from difficult histories; isolated, since one test measures memory. */
 @Isolated
 class EstimatorTest {
   private final Estimator estimator = new Estimator(1_000, 1_000);
@@ -30,28 +30,59 @@
         micros / 1e6 + " s is not within a factor of " + factor + " of " + seconds + " s");
   }
 
+  private static EstimateQuery query(String job, String machineType, long elapsedMicros) {
+    return new EstimateQuery(
+        Runs.profile(job, "class"), 60 * SECOND, machineType, elapsedMicros, 0.8);
+  }
+
+  private static TaskRun onMachine(TaskRun run, String machineType, String machine) {
+    return new TaskRun(
+        run.profile(),
+        0,
+        run.attempt(),
+        machineType,
+        machine,
+        run.ownerEstimateMicros(),
+        run.durationMicros(),
+        true);
+  }
+
+  @Test
+  void newClassStartsFromTheOwnerEstimateWithoutConfidence() {
+    Estimate estimate = ask(estimator, "new", 100);
+    assertNear(100, estimate.medianMicros(), 1.05);
+    assertEquals(Level.NONE, estimate.level());
+    assertFalse(estimate.isConfident());
+    assertTrue(
+        estimate.highMicros() > 2 * estimate.lowMicros(), "an interval as if it were confident");
+  }
+
+  /** Owners of other classes estimate twice as long as it takes: so may those of this one. */
   @Test
-  void aNewClassBeginsWithItsGuessAndSaysThatItIsUnsure() {
-    Estimate first = ask(estimator, "new", 100);
-    assertNear(100, first.medianMicros(), 1.05);
-    assertEquals(Level.NONE, first.level());
-    assertFalse(first.isConfident());
-    assertTrue(first.highMicros() > 2 * first.lowMicros(), "as if it knew");
-    // Owners of other classes guess twice as long as it takes: so may those of this one.
+  void newClassIsCorrectedByTheRatiosOfOtherClasses() {
     for (int i = 0; i < 100; i++) {
       estimator.observe(Runs.of("other", 60, 30 * logNormal(random, 0.1)));
     }
-    Estimate second = ask(estimator, "new", 100);
-    assertNear(50, second.medianMicros(), 1.15);
-    assertEquals(Level.ALL, second.level());
-    assertFalse(second.isConfident());
+    Estimate estimate = ask(estimator, "new", 100);
+    assertNear(50, estimate.medianMicros(), 1.15);
+    assertEquals(Level.ALL, estimate.level());
+    assertFalse(estimate.isConfident());
   }
 
   @Test
-  void withoutGuessOrHistoryNothingIsSaid() {
+  void isUnknownWithoutOwnerEstimateAndHistory() {
     assertTrue(ask(estimator, "new", 0).isUnknown());
+  }
+
+  @Test
+  void timesOfOtherClassesSayNothingWithoutAnOwnerEstimate() {
     estimator.observe(Runs.of("other", 0, 30));
     assertTrue(ask(estimator, "new", 0).isUnknown(), "times of other classes say nothing");
+  }
+
+  @Test
+  void timesOfTheClassAreEnoughWithoutAnOwnerEstimate() {
+    estimator.observe(Runs.of("other", 0, 30));
     estimator.observe(Runs.of("new", 0, 20));
     assertNear(20, ask(estimator, "new", 0).medianMicros(), 1.05);
   }
@@ -59,7 +90,7 @@
   /** One run that takes a hundred times as long. */
   @ParameterizedTest
   @ValueSource(ints = {5, 500})
-  void aFreakRunDistortsNothing(int others) {
+  void oneOutlierHardlyMovesTheEstimate(int others) {
     for (int i = 0; i < others; i++) {
       estimator.observe(Runs.of("class", 60, 60 * logNormal(random, 0.05)));
     }
@@ -73,7 +104,7 @@
   }
 
   @Test
-  void aFaultyMachineTeachesNothing() {
+  void runsOnAFaultyMachineAreSetAside() {
     for (int i = 0; i < 300; i++) {
       boolean faulty = i % 3 == 0;
       estimator.observe(
@@ -95,10 +126,10 @@
 
   /** Runs are stopped at any time, so that of the longer ones fewer complete. */
   @Test
-  void whatWasStoppedCountsAsAtLeast() {
-    Estimator untold = new Estimator(1_000, 1_000);
-    double told = 0;
-    double without = 0;
+  void stoppedRunsCountAsLowerBounds() {
+    Estimator ofCompleteRuns = new Estimator(1_000, 1_000);
+    double sumWithStopped = 0;
+    double sumOfComplete = 0;
     for (int i = 0; i < 900; i++) {
       double whole = 60 * logNormal(random, 0.5);
       double stop = 20 + 100 * random.nextDouble();
@@ -106,21 +137,21 @@
           Runs.of("job-" + i, 0, "class", "m-" + i % 50, 60, Math.min(whole, stop), whole <= stop);
       estimator.observe(run);
       if (run.complete()) {
-        untold.observe(run);
+        ofCompleteRuns.observe(run);
       }
-      told += i >= 100 ? ask(estimator, "class", 60).medianMicros() / 1e6 : 0;
-      without += i >= 100 ? ask(untold, "class", 60).medianMicros() / 1e6 : 0;
+      sumWithStopped += i >= 100 ? ask(estimator, "class", 60).medianMicros() / 1e6 : 0;
+      sumOfComplete += i >= 100 ? ask(ofCompleteRuns, "class", 60).medianMicros() / 1e6 : 0;
     }
-    assertTrue(without / 800 < 53, "nothing to correct: " + without / 800);
+    assertTrue(sumOfComplete / 800 < 53, "nothing to correct: " + sumOfComplete / 800);
     assertEquals(
         60,
-        told / 800,
+        sumWithStopped / 800,
         3,
-        "the mean of the medians, " + without / 800 + " without what was stopped");
+        "the mean of the medians, " + sumOfComplete / 800 + " without what was stopped");
   }
 
   @Test
-  void tasksOfAGangCountAsOneRun() {
+  void tasksOfOneGangAttemptCountAsOneRun() {
     for (int job = 0; job < 10; job++) {
       for (int task = 0; task < 50; task++) {
         TaskRun one =
@@ -142,7 +173,7 @@
 
   /** The tasks of one job are more alike than its class is. */
   @Test
-  void siblingsSayMost() {
+  void tasksOfTheSameJobWeighMost() {
     for (int i = 0; i < 50; i++) {
       estimator.observe(Runs.of("class", 60, 60 * logNormal(random, 0.6)));
     }
@@ -150,16 +181,14 @@
       estimator.observe(
           Runs.of("array", task, "class", "m-" + task, 60, 200 * logNormal(random, 0.02), true));
     }
-    Estimate estimate =
-        estimator.estimate(
-            new EstimateQuery(Runs.profile("array", "class"), 60 * SECOND, "", 0, 0.8));
+    Estimate estimate = estimator.estimate(query("array", "", 0));
     assertNear(200, estimate.medianMicros(), 1.1);
     assertEquals(Level.JOB, estimate.level());
   }
 
-  /** Guesses were half of the truth and are twice it from one job to the next. */
+  /** Owners' estimates were half of the truth and are twice it from one job to the next. */
   @Test
-  void followsGuessesThatTurn() {
+  void followsOwnerEstimatesThatChangeAtOnce() {
     for (int i = 0; i < 200; i++) {
       double size = logNormal(random, 1);
       estimator.observe(Runs.of("class", 30 * size, 60 * size * logNormal(random, 0.1)));
@@ -174,28 +203,14 @@
   }
 
   @Test
-  void typesOfMachinesDifferInSpeed() {
+  void machineTypesHaveSpeedFactors() {
     for (int i = 0; i < 1_200; i++) {
       TaskRun run = Runs.of("class", 60, (i % 2 == 0 ? 60 : 120) * logNormal(random, 0.05));
-      estimator.observe(
-          new TaskRun(
-              run.profile(),
-              0,
-              run.attempt(),
-              i % 2 == 0 ? "fast" : "slow",
-              "m-" + i % 40,
-              run.ownerEstimateMicros(),
-              run.durationMicros(),
-              true));
+      estimator.observe(onMachine(run, i % 2 == 0 ? "fast" : "slow", "m-" + i % 40));
     }
-    EstimateQuery any = new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 0, 0.8);
-    assertNear(85, estimator.estimate(any).medianMicros(), 1.15);
-    EstimateQuery fast =
-        new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "fast", 0, 0.8);
-    EstimateQuery slow =
-        new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "slow", 0, 0.8);
-    assertNear(60, estimator.estimate(fast).medianMicros(), 1.15);
-    assertNear(120, estimator.estimate(slow).medianMicros(), 1.15);
+    assertNear(85, estimator.estimate(query("new", "", 0)).medianMicros(), 1.15);
+    assertNear(60, estimator.estimate(query("new", "fast", 0)).medianMicros(), 1.15);
+    assertNear(120, estimator.estimate(query("new", "slow", 0)).medianMicros(), 1.15);
   }
 
   /**
@@ -203,19 +218,10 @@
    * themselves.
    */
   @Test
-  void typesOfOneSpeedAreNotToldApart() {
+  void machineTypesOfOneSpeedHaveNoFactor() {
     for (int i = 0; i < 3_000; i++) {
       TaskRun run = Runs.of("class-" + i % 3, 60, 60 * Math.pow(1 - random.nextDouble(), -1 / 1.5));
-      estimator.observe(
-          new TaskRun(
-              run.profile(),
-              0,
-              run.attempt(),
-              "type-" + i % 2,
-              "m-" + i % 40,
-              run.ownerEstimateMicros(),
-              run.durationMicros(),
-              true));
+      estimator.observe(onMachine(run, "type-" + i % 2, "m-" + i % 40));
       if (i >= 1_000 && i % 50 == 0) {
         String why =
             estimator.explain(
@@ -226,61 +232,77 @@
     }
   }
 
-  /** Of what runs already, what has ended sooner says nothing. */
+  /** Runs that ended sooner say nothing about a task that is still running. */
   @Test
-  void whatRunsAlreadyIsEstimatedByWhatTakesLonger() {
+  void runningTaskIsEstimatedByRunsThatTakeLonger() {
     for (int i = 0; i < 200; i++) {
       estimator.observe(Runs.of("class", 60, (i % 2 == 0 ? 20 : 100) * logNormal(random, 0.05)));
     }
-    Estimate running =
-        estimator.estimate(
-            new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 40 * SECOND, 0.8));
+    Estimate running = estimator.estimate(query("new", "", 40 * SECOND));
     assertNear(100, running.medianMicros(), 1.25);
     assertTrue(running.lowMicros() >= 40 * SECOND);
-    Estimate beyondAll =
-        estimator.estimate(
-            new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 5_000 * SECOND, 0.8));
+  }
+
+  @Test
+  void taskThatRunsForLongerThanAllOthersIsExpectedToRunOn() {
+    for (int i = 0; i < 200; i++) {
+      estimator.observe(Runs.of("class", 60, (i % 2 == 0 ? 20 : 100) * logNormal(random, 0.05)));
+    }
+    Estimate beyondAll = estimator.estimate(query("new", "", 5_000 * SECOND));
     assertTrue(beyondAll.medianMicros() >= 5_000 * SECOND);
   }
 
   @ParameterizedTest
   @CsvSource({"60, 0", "60, -5", "-1, 60", "60, 9e9", "9e9, 60"})
-  void absurdRunsAreRefused(double guessS, double tookS) {
-    assertFalse(estimator.observe(Runs.of("class", guessS, tookS)));
+  void implausibleRunsAreRefused(double ownerEstimateS, double durationS) {
+    assertFalse(estimator.observe(Runs.of("class", ownerEstimateS, durationS)));
     assertEquals(0, estimator.size());
     assertNear(60, ask(estimator, "class", 60).medianMicros(), 1.05);
   }
 
   /** Each run is of a class of its own. */
   @Test
-  void memoryIsBoundedWhateverComes() {
+  void memoryIsBoundedByTheNumberOfProfiles() {
+    System.gc();
+    long before = usedBytes();
+    observeClassesOfOneRun(100_000);
     System.gc();
-    long before = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    for (int i = 0; i < 100_000; i++) {
+    long grown = usedBytes() - before;
+    assertTrue(grown < 24_000_000, "100,000 classes take " + grown + " bytes");
+  }
+
+  private static long usedBytes() {
+    return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+  }
+
+  private void observeClassesOfOneRun(int classes) {
+    for (int i = 0; i < classes; i++) {
       estimator.observe(Runs.of("class-" + i, 60, 60 * logNormal(random, 1)));
       assertTrue(estimator.size() <= 1_000);
     }
-    System.gc();
-    long grown = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory() - before;
-    assertTrue(grown < 24_000_000, "100,000 classes take " + grown + " bytes");
-    // What is used is kept: what all have in common has been used each time.
+  }
+
+  /** What all classes have in common has been used each time. */
+  @Test
+  void leastRecentlyUsedProfilesAreForgotten() {
+    observeClassesOfOneRun(100_000);
     assertEquals(Level.ALL, ask(estimator, "class-0", 60).level());
     assertEquals(
         Level.WORK, ask(estimator, "class-99999", 60).runs() > 0 ? Level.WORK : Level.NONE);
   }
 
-  /** Noise as it comes: of 2,000 estimates, bounds hold the share that they promise. */
+  /** Over 2,000 estimates of classes with little and with much noise. */
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 0.8, 0.95})
-  void boundsHoldWhatTheyPromise(double share) {
-    int held = 0;
+  void intervalsHaveTheCoverageThatTheyPromise(double coverage) {
+    int contained = 0;
     for (int i = 0; i < 2_500; i++) {
       double noise = i % 3 == 0 ? 0.6 : 0.1;
       TaskRun run = Runs.of("class-" + i % 3, 60, 60 * logNormal(random, noise));
       Estimate estimate =
           estimator.estimate(
-              new EstimateQuery(run.profile(), run.ownerEstimateMicros(), "", 0, share));
-      held +=
+              new EstimateQuery(run.profile(), run.ownerEstimateMicros(), "", 0, coverage));
+      contained +=
           i >= 500
                   && run.durationMicros() >= estimate.lowMicros()
                   && run.durationMicros() <= estimate.highMicros()
@@ -288,28 +310,33 @@
               : 0;
       estimator.observe(run);
     }
-    assertEquals(share, held / 2_000.0, 0.03);
+    assertEquals(coverage, contained / 2_000.0, 0.03);
   }
 
   @Test
-  void saysWhy() {
+  void explanationNamesTheLevelsThatApply() {
+    observeEqualRuns();
+    TaskProfile ofOtherTeam = new TaskProfile("new", "class", "basso", "img", Resources.NONE);
+    String text = estimator.explain(new EstimateQuery(ofOtherTeam, 60 * SECOND, "", 0, 0.8));
+    assertTrue(
+        text.contains("; class: ") && text.contains("; all: ") && !text.contains("; team: "), text);
+    assertTrue(estimator.explain(query("new", "", 0)).contains("; work: "));
+  }
+
+  @Test
+  void explanationSaysWhatTheIntervalGoesBy() {
+    observeEqualRuns();
+    TaskProfile ofOtherTeam = new TaskProfile("new", "class", "basso", "img", Resources.NONE);
+    String uncalibrated =
+        estimator.explain(new EstimateQuery(ofOtherTeam, 60 * SECOND, "", 0, 0.8));
+    assertTrue(uncalibrated.contains("bounds as it is spread"), uncalibrated);
+    String calibrated = estimator.explain(query("new", "", 0));
+    assertTrue(calibrated.contains("such estimates held"), calibrated);
+  }
+
+  private void observeEqualRuns() {
     for (int i = 0; i < 40; i++) {
       estimator.observe(Runs.of("class", 60, 60));
     }
-    String other =
-        estimator.explain(
-            new EstimateQuery(
-                new TaskProfile("new", "class", "basso", "img", Resources.NONE),
-                60 * SECOND,
-                "",
-                0,
-                0.8));
-    assertTrue(
-        other.contains("; class: ") && other.contains("; all: ") && !other.contains("; team: "),
-        other);
-    assertTrue(other.contains("bounds as it is spread"), other);
-    String same =
-        estimator.explain(new EstimateQuery(Runs.profile("new", "class"), 60 * SECOND, "", 0, 0.8));
-    assertTrue(same.contains("; work: ") && same.contains("such estimates held"), same);
   }
 }
--- a/src/test/java/madderrudder/estimates/Runs.java
+++ b/src/test/java/madderrudder/estimates/Runs.java
@@ -14,8 +14,8 @@
     return new TaskProfile(job, jobClass, "alto", "img", new Resources(4_000, 0, 8_000));
   }
 
-  static TaskRun of(String jobClass, double guessS, double tookS) {
-    return of("job-" + ++last, 0, jobClass, "m", guessS, tookS, true);
+  static TaskRun of(String jobClass, double ownerEstimateS, double durationS) {
+    return of("job-" + ++last, 0, jobClass, "m", ownerEstimateS, durationS, true);
   }
 
   static TaskRun of(
@@ -23,8 +23,8 @@
       int task,
       String jobClass,
       String machine,
-      double guessS,
-      double tookS,
+      double ownerEstimateS,
+      double durationS,
       boolean complete) {
     return new TaskRun(
         profile(job, jobClass),
@@ -32,14 +32,15 @@
         ++last,
         "",
         machine,
-        Math.round(guessS * SECOND),
-        Math.round(tookS * SECOND),
+        Math.round(ownerEstimateS * SECOND),
+        Math.round(durationS * SECOND),
         complete);
   }
 
-  static Estimate ask(Estimator estimator, String jobClass, double guessS) {
+  static Estimate ask(Estimator estimator, String jobClass, double ownerEstimateS) {
     return estimator.estimate(
-        new EstimateQuery(profile("new", jobClass), Math.round(guessS * SECOND), "", 0, 0.8));
+        new EstimateQuery(
+            profile("new", jobClass), Math.round(ownerEstimateS * SECOND), "", 0, 0.8));
   }
 
   static double logNormal(RandomGenerator random, double deviation) {
