--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -19,6 +19,8 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.OrphanTask;
+import madderrudder.coordination.state.TaskAttempt;
 import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.protocol.Heartbeat;
@@ -142,7 +144,7 @@
       // The answer to a report before carried this term's token, and did not reach it.
       expectAcknowledgementUnlessSeen(machine, report, machine.lastHeardMicros);
     }
-    if (machine.acknowledges(report.token())) {
+    if (machine.recordAcknowledgement(report.token())) {
       LOG.debug("answers reach {}", machine.id);
     }
     boolean first = !machine.reported;
@@ -235,9 +237,9 @@
   /** Follows the states of the tasks that the worker has; true if room came free. */
   private boolean apply(Machine machine, Heartbeat report, long now) {
     boolean room = !machine.orphanTasks.isEmpty();
-    List<Machine.OrphanTask> orphanTasks = List.of();
+    List<OrphanTask> orphanTasks = List.of();
     for (TaskStatus task : report.tasks()) {
-      Machine.TaskAttempt key = new Machine.TaskAttempt(task.task(), task.attempt());
+      TaskAttempt key = new TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(key);
       if (assignment != null) {
         assignment.reportedSeq = report.seq();
@@ -254,7 +256,7 @@
       }
     }
     if (room || !orphanTasks.isEmpty()) {
-      term.cluster.orphanTasks(machine, orphanTasks);
+      term.cluster.replaceOrphanTasks(machine, orphanTasks);
     }
     return room;
   }
@@ -281,9 +283,9 @@
     return verdict == Verdict.RECORD_DONE || verdict == Verdict.RECORD_EXIT;
   }
 
-  private Machine.OrphanTask stray(Machine.TaskAttempt key) {
+  private OrphanTask stray(TaskAttempt key) {
     Job job = term.cluster.jobs.get(key.task().job());
-    return new Machine.OrphanTask(
+    return new OrphanTask(
         key, job == null ? "" : job.spec.team(), job == null ? Resources.NONE : job.spec.perTask());
   }
 
@@ -316,8 +318,8 @@
           assignment.machine.spot ? "spot" : assignment.machine.owned ? "owned" : "steady",
           assignment.waitedMicros / 1000,
           (assignment.durableMicros - assignment.placedMicros) / 1000,
-          (assignment.toldMicros - assignment.durableMicros) / 1000,
-          (now - assignment.toldMicros) / 1000,
+          (assignment.startSentMicros - assignment.durableMicros) / 1000,
+          (now - assignment.startSentMicros) / 1000,
           assignment.hadImage ? "" : ", no image");
     }
   }
@@ -391,7 +393,7 @@
               assignment.job.spec.estimateMicros(),
               now - assignment.runningMicros,
               complete);
-      term.cluster.runTimes.ran(run);
+      term.cluster.runTimes.observe(run);
       term.history.add(term.scheduler.wallMicros(), run);
     }
   }
@@ -515,8 +517,7 @@
   private List<WorkerCommand> stops(Machine machine, Heartbeat report) {
     List<WorkerCommand> stops = new ArrayList<>();
     for (TaskStatus task : report.tasks()) {
-      Assignment assignment =
-          machine.assignments.get(new Machine.TaskAttempt(task.task(), task.attempt()));
+      Assignment assignment = machine.assignments.get(new TaskAttempt(task.task(), task.attempt()));
       if (task.phase() != Phase.EXITED && assignment == null) {
         stops.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
       } else if (task.phase() != Phase.EXITED && wish(assignment) == DesiredState.REMOVE) {
@@ -542,7 +543,7 @@
     List<WorkerCommand> orders = new ArrayList<>();
     boolean raiseToken = false;
     for (TaskStatus task : report.tasks()) {
-      Machine.TaskAttempt key = new Machine.TaskAttempt(task.task(), task.attempt());
+      TaskAttempt key = new TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(key);
       if (assignment == null) {
         switch (unrecorded(task).verdict()) {
@@ -563,7 +564,7 @@
       if (orders.size() < MOST_ORDERS && startable(assignment, finding)) {
         orders.add(WorkerCommand.start(assignment.task, assignment.attempt));
         if (!assignment.startSent) {
-          assignment.toldMicros = now;
+          assignment.startSentMicros = now;
         }
         assignment.startSent = true;
         assignment.startSeq = report.seq();
@@ -647,7 +648,7 @@
     long token = token(machine, machine.token);
     for (Assignment start : starts) {
       start.startSent = true;
-      start.toldMicros = now;
+      start.startSentMicros = now;
       start.directToken = token;
       machine.directToken = token;
     }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -13,7 +13,7 @@
 import madderrudder.coordination.heartbeat.HeartbeatHandler;
 import madderrudder.coordination.membership.TermAcknowledgements;
 import madderrudder.coordination.policy.SafetyBounds;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.registry.JobRegistry;
 import madderrudder.coordination.registry.LeaderDependencies;
 import madderrudder.coordination.registry.LeaderTerm;
@@ -24,7 +24,7 @@
 import madderrudder.coordination.scheduling.Placement;
 import madderrudder.coordination.scheduling.Placer;
 import madderrudder.coordination.scheduling.Preemption;
-import madderrudder.coordination.scheduling.RecallDrain;
+import madderrudder.coordination.scheduling.SpotReclaimDrain;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.ClusterSummary;
 import madderrudder.coordination.state.Job;
@@ -93,7 +93,7 @@
   /** Since when workers can have been answered with what is recorded. */
   private long readyMicros;
 
-  private Confidence confidence = Confidence.FULL;
+  private ClusterCoverage confidence = ClusterCoverage.FULL;
   private long heldBack;
 
   /** The jobs that lay within a guarantee when this leader took over. */
@@ -165,11 +165,11 @@
     term.every(SUMMARY_MICROS, this::summarise);
   }
 
-  private Confidence assess() {
-    return Confidence.of(
+  private ClusterCoverage assess() {
+    return ClusterCoverage.of(
         term.cluster,
         term.scheduler.nowMicros() - readyMicros,
-        Confidence.patienceMicros(term.deployment.workers(), dependencies.others().size() + 1),
+        ClusterCoverage.patienceMicros(term.deployment.workers(), dependencies.others().size() + 1),
         term.scheduler.wallMicros());
   }
 
@@ -273,7 +273,8 @@
     }
     long from =
         Math.min(
-            term.cluster.settledMicros(jobs.knownUpToMicros()), term.election.leaseEndMicros());
+            term.cluster.cancellationsSettledMicros(jobs.knownUpToMicros()),
+            term.election.leaseEndMicros());
     return Math.max(0, from + term.safety.answerMicros() - term.scheduler.nowMicros());
   }
 
@@ -426,7 +427,7 @@
     }
     long now = term.scheduler.nowMicros();
     // A gang goes as a whole: its other tasks are told in the same round, and so can save together.
-    RecallDrain.plan(term.cluster, now).forEach(machines::evict);
+    SpotReclaimDrain.plan(term.cluster, now).forEach(machines::evict);
     heartbeats.sweepGangs();
     look();
     Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence);
@@ -510,9 +511,10 @@
   }
 
   private static void writeShares(
-      JsonGenerator out, String name, Map<String, Confidence.Count> shares) throws IOException {
+      JsonGenerator out, String name, Map<String, ClusterCoverage.Count> shares)
+      throws IOException {
     out.writeObjectFieldStart(name);
-    for (Map.Entry<String, Confidence.Count> one : shares.entrySet()) {
+    for (Map.Entry<String, ClusterCoverage.Count> one : shares.entrySet()) {
       out.writeNumberField(one.getKey(), one.getValue().share());
     }
     out.writeEndObject();
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
@@ -1,10 +1,10 @@
 package madderrudder.coordination.reconciliation;
 
 /**
- * What follows for a machine, and why.
+ * What follows for a machine, and why; {@code docs/cold-start.md} has the table.
  *
  * @param verdict what is to be done
- * @param reason why, in words for the log
+ * @param reason why, for the log
  */
 public record MachineDecision(Verdict verdict, String reason) {
   /** What is to be done with a machine. */
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
@@ -5,7 +5,7 @@
  * the table.
  *
  * @param verdict what is to be done
- * @param reason why, in words for the log
+ * @param reason why, for the log
  */
 public record TaskDecision(Verdict verdict, String reason) {
   /** What is to be done with an attempt on a machine. */
@@ -22,7 +22,10 @@
     RECORD_DONE,
     /** It has exited and its record goes. */
     RECORD_EXIT,
-    /** It is surely not there, nor can it come: its record goes, and it may be placed anew. */
+    /**
+     * It is certainly not there and cannot start any more: its record goes, and it may be placed
+     * anew.
+     */
     GONE,
     /** The worker is told to forget what has exited. */
     FORGET
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -100,7 +100,7 @@
   }
 
   @Override
-  public void ran(TaskRun run) {
+  public void observe(TaskRun run) {
     if (estimator.observe(run)) {
       pages.changed(run.profile());
     }
@@ -133,12 +133,12 @@
   }
 
   @Override
-  public long mostMicros(Job job) {
+  public long upperBoundMicros(Job job) {
     return of(job).highMicros();
   }
 
   @Override
-  public long leftMicros(Assignment assignment, long nowMicros) {
+  public long remainingMicros(Assignment assignment, long nowMicros) {
     long ran = RunTimes.ranMicros(assignment, nowMicros);
     JobSpec spec = assignment.job.spec;
     long whole =
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -14,6 +14,7 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.LogReference;
 import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.TaskAttempt;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.Keys;
@@ -123,7 +124,7 @@
       Assignment assignment =
           machine == null
               ? null
-              : machine.assignments.get(new Machine.TaskAttempt(entry.task(), entry.attempt()));
+              : machine.assignments.get(new TaskAttempt(entry.task(), entry.attempt()));
       if (assignment != null) {
         page.placed.add(assignment);
         assignment.logReference = page;
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -80,7 +80,7 @@
     assignment.waitedMicros = assignment.placedMicros - job.waitingSinceMicros(task);
     term.metrics.record(Timing.PLACING, assignment.waitedMicros);
     assignment.hadImage = machine.hasImage(job.spec.image());
-    term.cluster.hold(assignment);
+    term.cluster.addAssignment(assignment);
     log.placed(assignment);
     return assignment;
   }
@@ -139,7 +139,7 @@
     if (job == null || job.done.get(entry.task().index())) {
       assignment.evicting = true;
     }
-    term.cluster.hold(assignment);
+    term.cluster.addAssignment(assignment);
     if (job != null && job.spec.kind() == JobKind.GANG) {
       job.gangAttempt = Math.max(job.gangAttempt, assignment.attempt);
     }
@@ -189,7 +189,7 @@
 
   public void releaseAll(Machine machine) {
     List.copyOf(machine.assignments.values()).forEach(this::release);
-    term.cluster.orphanTasks(machine, List.of());
+    term.cluster.replaceOrphanTasks(machine, List.of());
   }
 
   /** Its worker has begun a new session: what this leader has placed there is released. */
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import madderrudder.coordination.cloud.CloudClient;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.reconciliation.MachineDecision;
 import madderrudder.coordination.reconciliation.MachineFacts;
 import madderrudder.coordination.reconciliation.MachineFacts.Listed;
@@ -22,6 +22,7 @@
 import madderrudder.coordination.registry.StoredStateReader;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.scheduling.ScaleOutPlanner;
+import madderrudder.coordination.state.CapacityPool;
 import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Machine;
 import madderrudder.coordination.state.ScaleOutRequest;
@@ -115,7 +116,7 @@
 
   /** A machine has reported for the first time. */
   public void machineUp(Machine machine) {
-    poolLimits.booted(machine.capacityPool());
+    poolLimits.recordBoot(machine.capacityPool());
   }
 
   public int budgetLeft() {
@@ -144,7 +145,7 @@
             demand,
             nowMicros,
             poll ? budgetLeft() : 0,
-            shelf -> asked(shelf) ? 0 : poolLimits.most(shelf, nowMicros),
+            shelf -> asked(shelf) ? 0 : poolLimits.requestLimit(shelf, nowMicros),
             underWay);
     for (ScaleOutRequest rental : wanted) {
       begin(rental);
@@ -152,7 +153,7 @@
   }
 
   /** One request at a time for what may run out, so that its answer is known before the next. */
-  private boolean asked(ScaleOutRequest.CapacityPool shelf) {
+  private boolean asked(CapacityPool shelf) {
     return open.values().stream()
         .anyMatch(
             r ->
@@ -211,13 +212,13 @@
   }
 
   private void answered(RentalRecord record, HttpResponse response) {
-    ScaleOutRequest.CapacityPool shelf =
-        new ScaleOutRequest.CapacityPool(record.type(), record.zone(), record.spot());
+    CapacityPool shelf = new CapacityPool(record.type(), record.zone(), record.spot());
     if (response.ok()) {
       try {
         List<String> machineIds = CloudCodec.readRented(response.body());
         LOG.info("rented {} for {}", machineIds, record.request());
-        poolLimits.answered(shelf, record.count(), machineIds.size(), term.scheduler.nowMicros());
+        poolLimits.recordAnswer(
+            shelf, record.count(), machineIds.size(), term.scheduler.nowMicros());
         settle(record, machineIds);
         return;
       } catch (MalformedMessageException e) {
@@ -226,12 +227,12 @@
     } else if (response.status() == 503
         && new String(response.body(), StandardCharsets.UTF_8).contains("no capacity")) {
       LOG.info("no capacity for {}", record.request());
-      poolLimits.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
+      poolLimits.recordAnswer(shelf, record.count(), 0, term.scheduler.nowMicros());
       settle(record, List.of());
       return;
     } else if (response.status() == 400) {
       LOG.error("the cloud calls {} malformed", record.request());
-      poolLimits.answered(shelf, record.count(), 0, term.scheduler.nowMicros());
+      poolLimits.recordAnswer(shelf, record.count(), 0, term.scheduler.nowMicros());
       settle(record, List.of());
       return;
     }
@@ -260,7 +261,7 @@
    * Squares log, list and reports: gives back what nobody needs and what does not work, and lets go
    * of what is gone.
    */
-  public void reconcileMachines(long nowMicros, Confidence confidence) {
+  public void reconcileMachines(long nowMicros, ClusterCoverage confidence) {
     // An outage of the store that outlasts leases empties all machines, and has them unheard, since
     // their reports are not
     // answered. They once went back during it, and those who had waited through it waited for boots
@@ -288,7 +289,7 @@
           && (!idle || confidence.suffices())) {
         // One that an earlier leader has rented may have come up, and died since.
         if (machine.booting() && !machine.inherited) {
-          poolLimits.bootFailed(machine.capacityPool(), nowMicros);
+          poolLimits.recordBootFailure(machine.capacityPool(), nowMicros);
         }
         machines.retire(machine, finding.reason());
       } else if (finding.verdict() == MachineDecision.Verdict.GONE) {
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Job;
 import madderrudder.protocol.JobKind;
@@ -16,33 +16,44 @@
 import madderrudder.protocol.Resources;
 
 /**
- * Which jobs lie within a guarantee, and which wait for room, in the order in which they shall get
- * it; whether some work that must start promptly may not use cheap machines; and how good the
- * picture is that this is read from.
+ * What is to be scheduled in a round.
+ *
+ * @param guaranteed the jobs that lie within their team's guarantee
+ * @param waiting the jobs with waiting tasks, in the order in which they are to get capacity
+ * @param promptNeedsSteady whether some work that must start promptly may not use spot instances
+ * @param coverage how much of the cluster this leader has heard from
  */
 public record Demand(
-    Set<Job> guaranteed, List<Job> waiting, boolean promptNeedsSteady, Confidence confidence) {
+    Set<Job> guaranteed, List<Job> waiting, boolean promptNeedsSteady, ClusterCoverage coverage) {
+  /** When a job without a deadline counts as due. */
   private static final long NO_DEADLINE_MICROS = 120_000_000;
 
   /**
-   * A job of which nothing has begun for so long is overlooked, and moves ahead by a step each so
-   * often. The users want even the largest to begin within four minutes; with three times due at
-   * the most it is ahead of its equals after three.
+   * A job of which nothing has begun for so long is starved, and moves ahead by a step each {@link
+   * #STEP_MICROS}. The users want even the largest to begin within four minutes; with three
+   * deadlines at the most it is ahead of its equals after three minutes.
    */
-  private static final long OVERLOOKED_MICROS = 90_000_000;
+  private static final long STARVED_MICROS = 90_000_000;
 
   private static final long STEP_MICROS = 30_000_000;
 
-  /** Of what nothing is stopped for. */
+  private static final int PRODUCTION_RANK = 0;
+  private static final int GUARANTEED_RANK = 1;
+
+  /** The rank of jobs for which nothing is preempted. */
   private static final int LAST_RANK = 2;
 
-  /** With all there is heard. */
+  /** The demand as seen by a leader that has heard all machines. */
   static Demand of(Cluster cluster, long wallMicros) {
-    return of(cluster, wallMicros, Confidence.FULL);
+    return of(cluster, wallMicros, ClusterCoverage.FULL);
   }
 
-  /** {@code confidence}: in the picture that decisions are made on. */
-  public static Demand of(Cluster cluster, long wallMicros, Confidence confidence) {
+  /**
+   * The demand of the cluster's jobs.
+   *
+   * @param coverage how much of the cluster this leader has heard from
+   */
+  public static Demand of(Cluster cluster, long wallMicros, ClusterCoverage coverage) {
     Set<Job> guaranteed = guaranteed(cluster);
     boolean needsSteady =
         cluster.jobs.values().stream()
@@ -50,11 +61,10 @@
                 job ->
                     !job.spec.spotAllowed()
                         && cluster.deployment.objectives().wantsPromptStart(job.spec));
-    return new Demand(
-        guaranteed, waiting(cluster, guaranteed, wallMicros), needsSteady, confidence);
+    return new Demand(guaranteed, waiting(cluster, guaranteed, wallMicros), needsSteady, coverage);
   }
 
-  /** No task that waits takes less of anything. */
+  /** The least of each resource that any waiting task needs. */
   Resources leastPerTask() {
     return waiting.stream()
         .map(job -> job.spec.perTask())
@@ -62,7 +72,7 @@
         .orElse(Resources.NONE);
   }
 
-  /** Each fits into its team's guarantee together with the team's earlier unfinished jobs. */
+  /** The jobs that fit into their team's guarantee with the team's earlier unfinished jobs. */
   private static Set<Job> guaranteed(Cluster cluster) {
     Map<String, Resources> demand = new HashMap<>();
     List<Job> byAge = new ArrayList<>(cluster.jobs.values());
@@ -80,75 +90,81 @@
   }
 
   /**
-   * Production, then what lies within a guarantee, then by priority. A gang that is wanted promptly
-   * counts as if it lay within one for the order, not for stopping: room for one comes free rarely,
-   * and bulk work within guarantees would take each piece of it first. What may be stopped for a
-   * job always comes after it here, so room made by stopping never goes back to what was stopped.
+   * Orders the waiting jobs: production, then what lies within a guarantee, then by priority. A
+   * gang that is wanted promptly counts as if it lay within one for the order, not for preemption:
+   * capacity for a gang comes free rarely, and bulk work within guarantees would take each piece of
+   * it first. What may be stopped for a job always comes after it here, so that capacity freed by
+   * preemption never goes back to what was stopped.
    *
    * <p>Among equals the one due first, as long as it can still be in time: with too much to do,
-   * working on what is late already would make everything late in turn. Whatever can't be in time,
-   * the largest jobs above all, once came last for as long as others came that could: what is
-   * overlooked moves ahead until it has begun. Among what lies within no guarantee, and so stops
-   * nothing and may be stopped, it then comes before higher priorities too.
+   * working on what is late already would make everything late in turn. Jobs that cannot be in
+   * time, the largest above all, once came last for as long as others came that could: a starved
+   * job moves ahead until it has begun. Among the jobs within no guarantee, which stop nothing and
+   * may be stopped, it then comes before higher priorities too.
    */
   private static List<Job> waiting(Cluster cluster, Set<Job> guaranteed, long wallMicros) {
-    Map<Job, Due> dues = new HashMap<>();
+    Map<Job, Deadline> deadlines = new HashMap<>();
     List<Job> waiting = new ArrayList<>();
     for (Job job : cluster.jobs.values()) {
       if (!job.ended && job.nextWaiting(0) >= 0) {
         waiting.add(job);
-        dues.put(job, due(cluster, job, wallMicros));
+        deadlines.put(job, deadline(cluster, job, wallMicros));
       }
     }
-    ToIntFunction<Job> rank =
-        job ->
-            job.spec.priority() == Priority.PRODUCTION
-                ? 0
-                : guaranteed.contains(job) || prompt(cluster, job) ? 1 : LAST_RANK;
+    ToIntFunction<Job> rank = job -> rank(cluster, guaranteed, job);
     waiting.sort(
         Comparator.comparingInt(rank)
             .thenComparing(
-                job -> rank.applyAsInt(job) < LAST_RANK || overlooked(job, wallMicros) == 0)
+                job -> rank.applyAsInt(job) < LAST_RANK || starvedSteps(job, wallMicros) == 0)
             .thenComparing(job -> job.spec.priority())
             .thenComparing(job -> !guaranteed.contains(job))
-            .thenComparing(dues::get));
+            .thenComparing(deadlines::get));
     return waiting;
   }
 
-  /** By how many steps the job moves ahead. */
-  private static int overlooked(Job job, long wallMicros) {
-    long waited = wallMicros - job.acceptedWallMicros - OVERLOOKED_MICROS;
-    return waited < 0 || job.hasBegun()
-        ? 0
-        : 1 + (int) Math.min(waited / STEP_MICROS, Integer.MAX_VALUE - 1);
+  private static int rank(Cluster cluster, Set<Job> guaranteed, Job job) {
+    if (job.spec.priority() == Priority.PRODUCTION) {
+      return PRODUCTION_RANK;
+    }
+    return guaranteed.contains(job) || promptGang(cluster, job) ? GUARANTEED_RANK : LAST_RANK;
+  }
+
+  /** By how many steps a starved job moves ahead; 0 if it is not starved. */
+  private static int starvedSteps(Job job, long wallMicros) {
+    long starvedMicros = wallMicros - job.acceptedWallMicros - STARVED_MICROS;
+    if (starvedMicros < 0 || job.hasBegun()) {
+      return 0;
+    }
+    return 1 + (int) Math.min(starvedMicros / STEP_MICROS, Integer.MAX_VALUE - 1);
   }
 
-  private static boolean prompt(Cluster cluster, Job job) {
+  private static boolean promptGang(Cluster cluster, Job job) {
     return job.spec.kind() == JobKind.GANG
         && cluster.deployment.objectives().wantsPromptStart(job.spec);
   }
 
-  /** The soonest time due that can still be met, and how many are missed already. */
-  private record Due(int missed, long atWallMicros) implements Comparable<Due> {
+  /** The soonest deadline that can still be met, and how many are missed already. */
+  private record Deadline(int missed, long wallMicros) implements Comparable<Deadline> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(Deadline other) {
       int byMissed = Integer.compare(missed, other.missed);
-      return byMissed != 0 ? byMissed : Long.compare(atWallMicros, other.atWallMicros);
+      return byMissed != 0 ? byMissed : Long.compare(wallMicros, other.wallMicros);
     }
   }
 
-  private static Due due(Cluster cluster, Job job, long wallMicros) {
+  private static Deadline deadline(Cluster cluster, Job job, long nowWallMicros) {
     List<Long> dues = cluster.deployment.objectives().dueMicros(job.spec);
     if (dues.isEmpty()) {
-      return new Due(0, job.acceptedWallMicros + NO_DEADLINE_MICROS);
+      return new Deadline(0, job.acceptedWallMicros + NO_DEADLINE_MICROS);
     }
-    long doneAt = wallMicros + cluster.runTimes.expectedMicros(job);
+    long endMicros = nowWallMicros + cluster.runTimes.expectedMicros(job);
     for (int missed = 0; missed < dues.size(); missed++) {
-      long at = job.acceptedWallMicros + dues.get(missed);
-      if (doneAt <= at) {
-        return new Due(missed, at);
+      long dueMicros = job.acceptedWallMicros + dues.get(missed);
+      if (endMicros <= dueMicros) {
+        return new Deadline(missed, dueMicros);
       }
     }
-    return new Due(Math.max(0, dues.size() - overlooked(job, wallMicros)), job.acceptedWallMicros);
+    int missed = Math.max(0, dues.size() - starvedSteps(job, nowWallMicros));
+    return new Deadline(missed, job.acceptedWallMicros);
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -14,48 +14,54 @@
 import madderrudder.protocol.Resources;
 
 /**
- * Decides which waiting tasks go where: free owned room first, and rented room once a task has
- * waited the threshold or when no owned machine could ever take it. A pure function of what it is
- * given.
+ * Decides which waiting tasks go to which machines (bin packing): to free owned machines first, and
+ * to rented ones once a task has waited the policy's threshold or when no owned machine could ever
+ * take it. A pure function of what it is given.
  *
- * <p>The machines with room are looked at once for each job, not for each task: the tasks of a job
- * are alike, so the best machine for the next one is found in a queue.
+ * <p>The machines with free capacity are looked at once for each job, not for each task: the tasks
+ * of a job are alike, so that the best machine for the next one is found in a priority queue.
  */
 public final class Placer {
   /**
-   * What another replica on the machine weighs, in seconds of fetching: of the same job, of any.
-   * One machine's end should take few replicas with it, since they are missing for a whole lease;
-   * but a fetch costs every replica its time, so that a handful of neighbours weighs less than a
-   * common image.
+   * The cost of another replica on the machine, of the same job and of any, in seconds of fetching
+   * an image. The end of one machine should take few replicas with it, since they are missing for a
+   * whole lease; but a fetch costs every replica its time, so that a handful of neighbours weighs
+   * less than a common image.
    */
   private static final double SAME_JOB_S = 0.6;
 
   private static final double NEIGHBOUR_S = 0.15;
+
+  /** The cost of a rented machine: above all others, so that owned ones always go first. */
   private static final double RENTED_S = 1000;
+
+  /** The cost of a steady machine for work that may use spot instances. */
   private static final double STEADY_S = 2;
 
   /**
-   * Users count a job that has waited for 90 s beside room as neglected; a change of leader and a
-   * few rounds come in between.
+   * For how long headroom is withheld from a task. Users count a job that has waited for 90 s
+   * beside free capacity as neglected; a failover and a few rounds come in between.
    */
-  private static final long MOST_HELD_BACK_MICROS = 60_000_000;
+  private static final long MOST_WITHHELD_MICROS = 60_000_000;
 
-  /**
-   * A round places this many tasks at most, so that it stays short; what is left comes in the next.
-   */
+  /** The most placements of a round, so that it stays short; what is left comes in the next. */
   private static final int MOST_PLACEMENTS = 400;
 
+  private final PlanningRound round;
   private final Cluster cluster;
-  private final OperatorPolicy policy;
   private final long nowMicros;
   private final List<Placement> placements = new ArrayList<>();
-  private final Demand demand;
   private final List<Machine> usable = new ArrayList<>();
-  private final List<Machine> open = new ArrayList<>();
+
+  /** Usable machines with capacity for the smallest task that waits. */
+  private final List<Machine> withCapacity = new ArrayList<>();
+
+  /** Usable machines on which capacity is about to come free. */
   private final List<Machine> freeing = new ArrayList<>();
-  private final long keptMilliCpus;
+
+  private final long headroomMilliCpus;
   private long freeMilliCpus;
-  private RoundUsage room;
+  private RoundUsage usage;
 
   /** A machine that could take the next task of a job, and at what cost. */
   private record Candidate(Machine machine, double cost) implements Comparable<Candidate> {
@@ -65,41 +71,50 @@
     }
   }
 
-  private Placer(Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
-    this.cluster = cluster;
-    this.policy = policy;
-    this.demand = demand;
-    this.nowMicros = nowMicros;
-    room = new RoundUsage(cluster);
-    Resources least = demand.leastPerTask();
-    boolean gangWaits = demand.waiting().stream().anyMatch(job -> job.spec.kind() == JobKind.GANG);
-    long all = 0;
+  private Placer(PlanningRound round) {
+    this.round = round;
+    cluster = round.cluster();
+    nowMicros = round.nowMicros();
+    usage = new RoundUsage(cluster);
+    Resources smallest = round.demand().leastPerTask();
+    boolean gangWaits =
+        round.demand().waiting().stream().anyMatch(job -> job.spec.kind() == JobKind.GANG);
+    long totalMilliCpus = 0;
     for (Machine machine : cluster.machines.values()) {
-      if (machine.usable(nowMicros, cluster.deployment.workers().reportMicros())) {
-        all += machine.type.capacity().milliCpus();
+      if (round.usable(machine)) {
+        totalMilliCpus += machine.type.capacity().milliCpus();
         freeMilliCpus += machine.free().milliCpus();
         if (machine.reclaimMicros < 0) {
-          usable.add(machine);
-          if (machine.stopping() || (gangWaits && endsSoon(machine))) {
-            freeing.add(machine);
-          }
-          // A machine whose scarcest resource is used up takes nothing, however much is left of the
-          // others.
-          if (least.fits(machine.free())) {
-            open.add(machine);
-          }
+          addUsable(machine, smallest, gangWaits);
         }
       }
     }
-    keptMilliCpus = cluster.rentingTooSlow() ? (long) (all * policy.headroom()) : 0;
+    headroomMilliCpus =
+        cluster.scaleOutTooSlow() ? (long) (totalMilliCpus * round.policy().headroom()) : 0;
+  }
+
+  private void addUsable(Machine machine, Resources smallest, boolean gangWaits) {
+    usable.add(machine);
+    if (machine.stopping() || (gangWaits && endsSoon(machine))) {
+      freeing.add(machine);
+    }
+    // A machine whose scarcest resource is used up takes nothing, however much is left of the
+    // others.
+    if (smallest.fits(machine.free())) {
+      withCapacity.add(machine);
+    }
   }
 
+  private boolean endsSoon(Machine machine) {
+    return machine.assignments.values().stream().anyMatch(a -> cluster.endsSoon(a, nowMicros));
+  }
+
+  /** The placements of a round, in the order in which jobs are to get capacity. */
   public static List<Placement> plan(
       Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
-    Placer placer = new Placer(cluster, policy, demand, nowMicros);
+    Placer placer = new Placer(new PlanningRound(cluster, policy, demand, nowMicros));
     for (Job job : demand.waiting()) {
-      if ((placer.open.isEmpty() && placer.freeing.isEmpty())
-          || placer.placements.size() >= MOST_PLACEMENTS) {
+      if (placer.done()) {
         break;
       }
       if (job.spec.kind() == JobKind.GANG) {
@@ -111,52 +126,50 @@
     return placer.placements;
   }
 
-  private boolean endsSoon(Machine machine) {
-    return machine.assignments.values().stream().anyMatch(a -> cluster.endsSoon(a, nowMicros));
+  private boolean done() {
+    return (withCapacity.isEmpty() && freeing.isEmpty()) || placements.size() >= MOST_PLACEMENTS;
   }
 
   private void planTasks(Job job) {
     PriorityQueue<Candidate> candidates = candidates(job);
-    boolean ownedFits = cluster.ownedCouldFit(job, nowMicros);
+    boolean ownedFits = round.ownedCouldFit(job);
     for (int task = job.nextWaiting(0);
         task >= 0 && !candidates.isEmpty() && placements.size() < MOST_PLACEMENTS;
         task = job.nextWaiting(task + 1)) {
       if (!startable(job, task)) {
         continue;
       }
-      if (!room.teamAllows(job) || eatsHeadroom(job, task)) {
+      if (!usage.teamAllows(job) || needsHeadroom(job, task)) {
         return;
       }
-      if (place(job, task, candidates, !ownedFits || waited(job, task), 0) && job.failing()) {
+      boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
+      if (place(job, task, candidates, rentedAllowed, 0) && job.failing()) {
         return;
       }
     }
   }
 
   private boolean startable(Job job, int task) {
-    return job.ready(task, nowMicros) && !cluster.orphaned(job.spec.id(), task);
-  }
-
-  private boolean waited(Job job, int task) {
-    return nowMicros - job.waitingSinceMicros(task) >= policy.thresholdMicros();
+    return job.ready(task, nowMicros) && !cluster.hasOrphan(job.spec.id(), task);
   }
 
   /**
-   * Room for work that must start sooner than a machine boots; what is ordinary rents instead.
-   * Where nothing can be had it once waited beside that room for as long as the shortage lasted.
+   * Whether the task would use up the headroom, which is for work that must start sooner than a
+   * machine boots; ordinary work scales out instead. Where no machine was to be had, ordinary work
+   * once waited beside the headroom for as long as the shortage lasted.
    */
-  private boolean eatsHeadroom(Job job, int task) {
+  private boolean needsHeadroom(Job job, int task) {
     return Priority.HIGH.above(job.spec.priority())
-        && !demand.guaranteed().contains(job)
-        && nowMicros - job.waitingSinceMicros(task) < MOST_HELD_BACK_MICROS
-        && freeMilliCpus - job.spec.perTask().milliCpus() < keptMilliCpus;
+        && !round.guaranteed(job)
+        && nowMicros - job.waitingSinceMicros(task) < MOST_WITHHELD_MICROS
+        && freeMilliCpus - job.spec.perTask().milliCpus() < headroomMilliCpus;
   }
 
   /**
-   * All tasks or none; a gang that still gathers gets what it lacks, under the attempt it has. What
-   * there is for one that lacks room is kept for it in this round, with what is about to come free:
-   * whatever comes after it would otherwise refill, task by task, each whole machine that it waits
-   * for.
+   * Places all tasks of a gang or none; a gang that still gathers gets what it lacks, under the
+   * attempt number it has. If there is not enough capacity, what there is is reserved for it in
+   * this round, with what is about to come free: the jobs after it would otherwise refill, task by
+   * task, each whole machine that it waits for.
    */
   private void planGang(Job job) {
     if (!job.gangAcceptsPlacement()) {
@@ -164,52 +177,61 @@
     }
     PriorityQueue<Candidate> candidates = candidates(job);
     if (candidates.isEmpty()) {
-      keep(job, List.of());
+      reserveFor(job, List.of());
       return;
     }
-    RoundUsage before = room.copy();
+    RoundUsage usageBefore = usage.copy();
     long freeBefore = freeMilliCpus;
-    int placed = placements.size();
-    boolean ownedFits = cluster.ownedCouldFit(job, nowMicros);
+    int placedBefore = placements.size();
+    boolean ownedFits = round.ownedCouldFit(job);
     for (int task = job.nextWaiting(0); task >= 0; task = job.nextWaiting(task + 1)) {
-      boolean may = startable(job, task) && room.teamAllows(job);
-      if (!may || !place(job, task, candidates, !ownedFits || waited(job, task), job.gangAttempt)) {
-        List<Placement> found = placements.subList(placed, placements.size());
-        room = before;
+      boolean allowed = startable(job, task) && usage.teamAllows(job);
+      if (!allowed || !placeMember(job, task, candidates, ownedFits)) {
+        List<Placement> partial = placements.subList(placedBefore, placements.size());
+        usage = usageBefore;
         freeMilliCpus = freeBefore;
-        if (may) {
-          keep(job, found);
+        if (allowed) {
+          reserveFor(job, partial);
         }
-        found.clear();
+        partial.clear();
         return;
       }
     }
   }
 
-  /** Nothing is kept for a gang that these machines could not hold even if they were empty. */
-  private void keep(Job job, List<Placement> found) {
-    if ((found.isEmpty() && freeing.isEmpty()) || !cluster.couldHold(job, usable)) {
+  private boolean placeMember(
+      Job job, int task, PriorityQueue<Candidate> candidates, boolean ownedFits) {
+    boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
+    return place(job, task, candidates, rentedAllowed, job.gangAttempt);
+  }
+
+  /**
+   * Reserves the machines of a gang's partial placement, and machines that are about to come free
+   * for its other tasks. Nothing is reserved for a gang that does not fit even on empty machines.
+   */
+  private void reserveFor(Job job, List<Placement> partial) {
+    if ((partial.isEmpty() && freeing.isEmpty()) || !cluster.couldFitGang(job, usable)) {
       return;
     }
-    int lacking = job.waitingCount() - found.size();
-    found.forEach(placement -> room.keep(placement.machine()));
+    int missing = job.waitingCount() - partial.size();
+    partial.forEach(placement -> usage.reserve(placement.machine()));
     for (Machine machine : freeing) {
-      if (lacking > 0
-          && !room.kept(machine)
+      if (missing > 0
+          && !usage.reserved(machine)
           && cluster.allowed(job, machine)
           && job.spec.perTask().fits(cluster.freeSoon(machine, nowMicros))) {
-        room.keep(machine);
-        lacking--;
+        usage.reserve(machine);
+        missing--;
       }
     }
   }
 
-  /** The machines that could take a task of the job now, owned ones first. */
+  /** The machines that could take a task of the job now, cheapest first. */
   private PriorityQueue<Candidate> candidates(Job job) {
     PriorityQueue<Candidate> candidates = new PriorityQueue<>();
-    for (Machine machine : open) {
+    for (Machine machine : withCapacity) {
       if (fits(job, machine)
-          && !machine.atTaskLimit(room.added(job, machine))
+          && !machine.atTaskLimit(usage.added(job, machine))
           && cluster.allowed(job, machine)
           && (!job.failedOn(machine.id, nowMicros) || job.failing())) {
         candidates.add(new Candidate(machine, cost(job, machine)));
@@ -219,29 +241,30 @@
   }
 
   private boolean fits(Job job, Machine machine) {
-    return job.spec.perTask().fits(room.free(machine));
+    return job.spec.perTask().fits(usage.free(machine));
   }
 
   /**
-   * False if no machine takes the task; a machine stays a candidate for as long as another task
-   * fits.
+   * Places the task on the cheapest candidate, which stays one for as long as another task fits.
+   *
+   * @return false if no machine takes the task
    */
   private boolean place(
-      Job job, int task, PriorityQueue<Candidate> candidates, boolean rentedToo, long attempt) {
+      Job job, int task, PriorityQueue<Candidate> candidates, boolean rentedAllowed, long attempt) {
     while (!candidates.isEmpty()) {
       Machine machine = candidates.peek().machine();
-      if (!machine.owned && !rentedToo) {
+      if (!machine.owned && !rentedAllowed) {
         return false;
       }
       candidates.poll();
-      // Within a round the zones a job may use only become fewer.
-      if (!room.zoneAllows(job, machine.zone)) {
+      // Within a round the zones that a job may use only become fewer.
+      if (!usage.zoneAllows(job, machine.zone)) {
         continue;
       }
-      room.take(job, machine);
+      usage.take(job, machine);
       freeMilliCpus -= job.spec.perTask().milliCpus();
       placements.add(new Placement(job, task, machine, attempt));
-      if (fits(job, machine) && !machine.atTaskLimit(room.added(job, machine))) {
+      if (fits(job, machine) && !machine.atTaskLimit(usage.added(job, machine))) {
         candidates.add(new Candidate(machine, cost(job, machine)));
       }
       return true;
@@ -249,20 +272,20 @@
     return false;
   }
 
-  /** Seconds of fetching, and a little for what fits badly; owned room always goes first. */
+  /** Seconds of fetching the image, and a little for what fits badly; owned machines go first. */
   private double cost(Job job, Machine machine) {
     JobSpec spec = job.spec;
     double cost = machine.owned ? 0 : RENTED_S;
     if (!machine.hasImage(spec.image())) {
       cost += spec.imageGb() / machine.type.fetchGbPerS();
     }
-    long left = room.free(machine).milliCpus() - spec.perTask().milliCpus();
+    long left = usage.free(machine).milliCpus() - spec.perTask().milliCpus();
     cost += (double) left / Math.max(1, machine.type.capacity().milliCpus());
     if (spec.spotAllowed() && !machine.spot) {
       cost += STEADY_S;
     }
     if (spec.kind() == JobKind.SERVICE) {
-      cost += room.added(job, machine) * SAME_JOB_S;
+      cost += usage.added(job, machine) * SAME_JOB_S;
       for (Assignment assignment : machine.assignments.values()) {
         if (assignment.job != null && assignment.job.spec.kind() == JobKind.SERVICE) {
           cost += assignment.job == job ? SAME_JOB_S : NEIGHBOUR_S;
--- a/src/main/java/madderrudder/coordination/state/Assignment.java
+++ b/src/main/java/madderrudder/coordination/state/Assignment.java
@@ -4,61 +4,93 @@
 import madderrudder.protocol.TaskId;
 import madderrudder.protocol.TaskStatus.Phase;
 
-/** A task that is, or may be, on a machine under one attempt number. */
+/**
+ * A task that is, or may be, on a machine under one attempt number. Times are in microseconds of
+ * the leader's monotonic clock. Confined to the event loop thread.
+ */
 public final class Assignment {
-  private static final long NOT_SENT = -1;
+  private static final long NONE = -1;
 
+  /** The task. */
   public final TaskId task;
+
+  /** Its attempt number. */
   public final long attempt;
+
+  /** The machine that it is, or may be, on. */
   public final Machine machine;
-  private final Machine.TaskAttempt key;
+
+  private final TaskAttempt key;
+
+  /** The team of its job. */
   public final String team;
+
+  /** What it uses. */
   public final Resources resources;
 
-  /** Null when the job is over and its description gone. */
+  /** Its job; null when the job is over and its description gone. */
   public final Job job;
 
-  /** Written by an earlier leader, whose commands may still be on the way to the worker. */
+  /** Placed by an earlier leader, whose commands may still be on their way to the worker. */
   public final boolean inherited;
 
-  /** The page of the log that names it, once one does. */
+  /** The segment of the log that names it; null before there is one. */
   public LogReference logReference;
 
-  /** A page that names this task is durable, so it may be started. */
+  /** A log segment that names this task is durable, so that it may be started. */
   public boolean durable;
 
-  /** The task shall not run here (any more). */
+  /** The task must not run here, or no longer. */
   public boolean evicting;
 
-  /** Completed, and kept until that is durable. */
+  /** It has completed, and is kept until that is durable. */
   public boolean completed;
 
   /**
-   * The highest token of a direct start: that, or a copy, may arrive until the worker has seen a
-   * higher one.
+   * The highest fencing token of a start command sent to it directly; -1 for none. That command, or
+   * a copy of it, may arrive until the worker has seen a higher token.
    */
-  public long directToken = NOT_SENT;
+  public long directToken = NONE;
 
+  /** A command to start it was sent. */
   public boolean startSent;
 
-  /** The answer to the report with this sequence number carried the start. */
-  public long startSeq = -1;
+  /** The sequence number of the heartbeat whose answer carried the start; -1 for none. */
+  public long startSeq = NONE;
+
+  /** The last heartbeat of this session that named the task; -1 for none. */
+  public long reportedSeq = NONE;
 
-  /** The last report of this session that named the task. */
-  public long reportedSeq = -1;
+  /** When a stop was last sent; -1 for never. */
+  public long stopSentMicros = NONE;
 
-  public long stopSentMicros = -1;
+  /** The phase that the worker last reported; null before it has reported the task. */
   public Phase phase;
+
+  /** When this leader placed it, or learned of it. */
   public long placedMicros;
 
-  /** How long the task had waited when it was placed, and whether the machine had its image. */
+  /** How long the task had waited when it was placed. */
   public long waitedMicros;
 
+  /** Whether the machine had its image when it was placed. */
   public boolean hadImage;
+
+  /** When its record became durable. */
   public long durableMicros;
-  public long toldMicros;
-  public long runningMicros = -1;
 
+  /** When its start was last sent. */
+  public long startSentMicros;
+
+  /** When it was first reported as running; -1 before. */
+  public long runningMicros = NONE;
+
+  /**
+   * Makes an assignment that is not yet counted anywhere: see {@link Cluster#addAssignment}.
+   *
+   * @param job its job, or null if the job is over
+   * @param inherited whether an earlier leader placed it
+   */
   public Assignment(
       TaskId task,
       long attempt,
@@ -71,7 +103,7 @@
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    key = new Machine.TaskAttempt(task, attempt);
+    key = new TaskAttempt(task, attempt);
     this.team = team;
     this.resources = resources;
     this.job = job;
@@ -79,24 +111,25 @@
     this.placedMicros = nowMicros;
   }
 
-  public Machine.TaskAttempt key() {
+  /** The task and its attempt number. */
+  public TaskAttempt key() {
     return key;
   }
 
-  /** Its worker refused the direct start for good, or it never left. */
+  /** Records that its worker refused the direct start for good, or that it was never sent. */
   public void startRefused() {
-    directToken = NOT_SENT;
+    directToken = NONE;
     startSent = false;
   }
 
   /**
-   * The worker's session has ended: what its reports said is over, and no start given in it can
-   * arrive any more.
+   * Records that the worker's session has ended: its heartbeats no longer count, and no start given
+   * in it can arrive any more.
    */
   public void endSession() {
-    reportedSeq = -1;
-    startSeq = -1;
-    directToken = NOT_SENT;
+    reportedSeq = NONE;
+    startSeq = NONE;
+    directToken = NONE;
     startSent = false;
   }
 
--- /dev/null
+++ b/src/main/java/madderrudder/coordination/state/CapacityPool.java
@@ -0,0 +1,10 @@
+package madderrudder.coordination.state;
+
+/**
+ * A pool of machines that the cloud may run out of.
+ *
+ * @param type the name of the machine type
+ * @param zone the zone
+ * @param spot whether the machines are spot instances
+ */
+public record CapacityPool(String type, String zone, boolean spot) {}
--- a/src/main/java/madderrudder/coordination/state/CapacityPoolLimits.java
+++ b/src/main/java/madderrudder/coordination/state/CapacityPoolLimits.java
@@ -2,75 +2,85 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import madderrudder.coordination.state.ScaleOutRequest.CapacityPool;
 
 /**
- * How many machines of each type, zone and kind are worth asking for, judged by what came of the
- * last requests and boots. Each machine asked for is reserved on the budget whether it comes or not
- * (the source's §3: refused rentals stay counted), so that asking in full for what is not there
- * once used up the budget of a whole day's peak: after a refusal one machine is asked for, and
+ * Limits how many machines are requested from each capacity pool, judged by the outcome of the last
+ * requests and boots. Each requested machine is reserved on the budget whether it comes or not
+ * (refused requests stay counted), so that requests in full for machines that were not to be had
+ * once used up the budget of a whole day's peak. After a refusal one machine is requested, and
  * several times as many after each request that was filled.
+ *
+ * <p>Confined to the event loop thread.
  */
 public final class CapacityPoolLimits {
-  /** The cloud lets this many machines of one kind be rented by one request. */
+  /** The cloud accepts at most this many machines in one request. */
   public static final int MOST_PER_REQUEST = 50;
 
-  /** An empty shelf, or one whose machines do not come up, is left alone for so long. */
-  private static final long EMPTY_MICROS = 20_000_000;
+  /** For how long a pool that is exhausted, or whose machines fail to boot, is left alone. */
+  private static final long PAUSE_MICROS = 20_000_000;
 
-  /** One boot in fifty fails by itself; so many in a row do not. */
+  /** One boot in fifty fails by chance; this many in a row do not. */
   private static final int FAILED_BOOTS = 3;
 
-  private static final int LONGEST_PAUSE = 4;
+  /** The longest pause after failed boots, in multiples of {@link #PAUSE_MICROS}. */
+  private static final int MOST_PAUSES = 4;
 
   /**
-   * From one to what one request may ask for within three: with two calls a second for eight
-   * shelves, twice as many took half a minute.
+   * Grows from one machine to a full request within three requests: with two calls a second for
+   * eight pools, doubling took half a minute.
    */
   private static final int GROWTH = 8;
 
-  private final Map<CapacityPool, State> states = new HashMap<>();
+  private final Map<CapacityPool, PoolState> states = new HashMap<>();
 
-  /** What is known of one shelf. */
-  private static final class State {
-    int most = MOST_PER_REQUEST;
-    long emptyUntilMicros = Long.MIN_VALUE;
+  /** The limit of one pool. */
+  private static final class PoolState {
+    int requestLimit = MOST_PER_REQUEST;
+    long pausedUntilMicros = Long.MIN_VALUE;
     int failedBoots;
   }
 
-  private State state(CapacityPool shelf) {
-    return states.computeIfAbsent(shelf, s -> new State());
+  /** Makes limits that allow full requests from each pool. */
+  public CapacityPoolLimits() {}
+
+  private PoolState state(CapacityPool pool) {
+    return states.computeIfAbsent(pool, p -> new PoolState());
   }
 
-  /** How many are worth asking for now; 0 for none. */
-  public int most(CapacityPool shelf, long nowMicros) {
-    State state = states.get(shelf);
-    return state == null ? MOST_PER_REQUEST : state.emptyUntilMicros > nowMicros ? 0 : state.most;
+  /** How many machines are worth requesting from the pool now; 0 for none. */
+  public int requestLimit(CapacityPool pool, long nowMicros) {
+    PoolState state = states.get(pool);
+    if (state == null) {
+      return MOST_PER_REQUEST;
+    }
+    return state.pausedUntilMicros > nowMicros ? 0 : state.requestLimit;
   }
 
-  /** So many were asked for, and so many came. */
-  public void answered(CapacityPool shelf, int asked, int came, long nowMicros) {
-    State state = state(shelf);
-    if (came < asked) {
-      state.most = Math.max(1, came / 2);
-      state.emptyUntilMicros = nowMicros + EMPTY_MICROS;
+  /** Records that a request for {@code requested} machines was filled with {@code granted}. */
+  public void recordAnswer(CapacityPool pool, int requested, int granted, long nowMicros) {
+    PoolState state = state(pool);
+    if (granted < requested) {
+      state.requestLimit = Math.max(1, granted / 2);
+      state.pausedUntilMicros = nowMicros + PAUSE_MICROS;
     } else {
-      state.most = Math.min(MOST_PER_REQUEST, Math.max(state.most, GROWTH * came));
+      state.requestLimit =
+          Math.min(MOST_PER_REQUEST, Math.max(state.requestLimit, GROWTH * granted));
     }
   }
 
-  /** A machine of the shelf has come up. */
-  public void booted(CapacityPool shelf) {
-    state(shelf).failedBoots = 0;
+  /** Records that a machine of the pool has booted. */
+  public void recordBoot(CapacityPool pool) {
+    state(pool).failedBoots = 0;
   }
 
-  /** A machine of the shelf has not come up by far. */
-  public void bootFailed(CapacityPool shelf, long nowMicros) {
-    State state = state(shelf);
+  /** Records that a machine of the pool has not booted within a generous time. */
+  public void recordBootFailure(CapacityPool pool, long nowMicros) {
+    PoolState state = state(pool);
     if (++state.failedBoots >= FAILED_BOOTS) {
-      state.most = 1;
-      int pause = Math.min(LONGEST_PAUSE, state.failedBoots - FAILED_BOOTS + 1);
-      state.emptyUntilMicros = Math.max(state.emptyUntilMicros, nowMicros + pause * EMPTY_MICROS);
+      state.requestLimit = 1;
+      int pauses = Math.min(MOST_PAUSES, state.failedBoots - FAILED_BOOTS + 1);
+      state.pausedUntilMicros =
+          Math.max(state.pausedUntilMicros, nowMicros + pauses * PAUSE_MICROS);
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/state/ClusterSummary.java
+++ b/src/main/java/madderrudder/coordination/state/ClusterSummary.java
@@ -4,7 +4,7 @@
 import java.util.StringJoiner;
 import java.util.TreeMap;
 
-/** A line for the log that tells operators what each kind of machine is doing. */
+/** Sums up the machines of one kind for the line of the log that operators read. */
 public final class ClusterSummary {
   private int machines;
   private int booting;
@@ -14,27 +14,34 @@
 
   private ClusterSummary() {}
 
+  /** One line that says of each kind of machine how many there are and how busy they are. */
   public static String of(Cluster cluster) {
-    Map<String, ClusterSummary> kinds = new TreeMap<>();
+    Map<String, ClusterSummary> summaries = new TreeMap<>();
     for (Machine machine : cluster.machines.values()) {
-      String kind =
-          machine.type.name() + (machine.owned ? " owned" : machine.spot ? " spot" : " steady");
-      kinds.computeIfAbsent(kind, k -> new ClusterSummary()).add(machine);
+      String kind = machine.type.name() + " " + ownership(machine);
+      summaries.computeIfAbsent(kind, k -> new ClusterSummary()).add(machine);
     }
     StringJoiner line = new StringJoiner(", ");
-    kinds.forEach((kind, sum) -> line.add(kind + " " + sum));
+    summaries.forEach((kind, summary) -> line.add(kind + " " + summary));
     return line.toString();
   }
 
+  private static String ownership(Machine machine) {
+    if (machine.owned) {
+      return "owned";
+    }
+    return machine.spot ? "spot" : "steady";
+  }
+
   private void add(Machine machine) {
     machines++;
     if (machine.booting()) {
       booting++;
-    } else {
-      empty += machine.empty() ? 1 : 0;
-      usedMilliCpus += machine.used.milliCpus();
-      milliCpus += machine.type.capacity().milliCpus();
+      return;
     }
+    empty += machine.empty() ? 1 : 0;
+    usedMilliCpus += machine.used.milliCpus();
+    milliCpus += machine.type.capacity().milliCpus();
   }
 
   @Override
--- a/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
@@ -4,14 +4,17 @@
 import madderrudder.estimates.TaskRun;
 
 /**
- * The owners' guesses, which are often wrong, on some days mostly one way: what tasks of a class
- * took corrects them.
+ * Run times taken from the estimates that owners give with their jobs. These are often wrong, on
+ * some days mostly in one direction, so that each is corrected by what tasks of its class took.
  */
 public final class EstimatedRunTimes implements RunTimes {
   private final ClassRatios ratios = new ClassRatios();
 
+  /** Makes run times that rely on the owners' estimates until tasks have been observed. */
+  public EstimatedRunTimes() {}
+
   @Override
-  public void ran(TaskRun run) {
+  public void observe(TaskRun run) {
     ratios.observe(run);
   }
 
@@ -21,13 +24,16 @@
   }
 
   @Override
-  public long mostMicros(Job job) {
+  public long upperBoundMicros(Job job) {
     return expectedMicros(job);
   }
 
-  /** Of one that runs for longer than expected nothing is known. */
+  /**
+   * A task that has run for longer than expected is taken to run as long again: nothing better is
+   * known of it.
+   */
   @Override
-  public long leftMicros(Assignment assignment, long nowMicros) {
+  public long remainingMicros(Assignment assignment, long nowMicros) {
     long expected = expectedMicros(assignment.job);
     long ran = RunTimes.ranMicros(assignment, nowMicros);
     return ran < expected ? expected - ran : ran;
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -9,112 +9,111 @@
 import madderrudder.estimates.TaskProfile;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
-import madderrudder.protocol.JobState;
 
-/** A job in the leader's picture: which tasks are done, which are held on machines, which wait. */
+/**
+ * A job in the leader's view: which of its tasks are done, which are assigned to machines, and
+ * which wait. Times are in microseconds, of the leader's monotonic clock unless the name says wall.
+ * Confined to the event loop thread.
+ */
 public final class Job {
-  private static final long BACKOFF_MICROS = 1_000_000;
-  private static final long MOST_BACKOFF_MICROS = 60_000_000;
-  private static final int FAULTY_AFTER = 4;
-  private static final long ELSEWHERE_MICROS = 60_000_000;
-
-  /**
-   * After a change of leader; long enough that the jobs with a mistake in them are no burst beside
-   * what is to be caught up with.
-   */
-  private static final long FOUND_BACKOFF_MICROS = 10_000_000;
-
+  /** What its owner submitted. */
   public final JobSpec spec;
+
+  /** The quota of its team. */
   public final TeamQuota team;
 
-  /** The version of its key; 0 until known. */
+  /** The version of its key in the store; 0 until known. */
   public final long version;
 
+  /** When its submission was accepted. */
   public final long acceptedWallMicros;
-  final long seenMicros;
+
+  private final long firstSeenMicros;
+
+  /** The tasks that have completed. */
   public final BitSet done = new BitSet();
 
   /** Chunks of progress that the store lacks. */
   public final BitSet unwritten = new BitSet();
 
+  /** Its tasks that are, or may be, on machines. Changed by the cluster alone. */
   public final Set<Assignment> assignments = new LinkedHashSet<>();
 
-  /** Set when the job is over for its user; its tasks must go. */
+  /** The job is over for its user; its tasks must go. */
   public boolean ended;
 
-  /** The attempt that a gang's tasks share. */
+  /** The attempt number that the tasks of a gang share; 0 while none is assigned. */
   public long gangAttempt;
 
+  /** Some task of the gang has run under the present attempt. */
   public boolean gangStarted;
 
   /**
-   * Found by this leader when it took over: what its tasks have saved under earlier ones is not
-   * known.
+   * Accepted before this leader took over, so that it is not known what its tasks have checkpointed
+   * under earlier leaders.
    */
   public boolean inherited;
 
-  /** What its tasks have in common with others. */
+  /** What its tasks have in common with those of other jobs. */
   public final TaskProfile profile;
 
-  /** What its tasks are expected to take, when that was last asked. */
+  /** The run time expected of its tasks when that was last asked; null before. */
   public RunTimes.Expected expected;
 
-  /** Tasks that have run under an earlier attempt, and may have saved their progress. */
-  private final BitSet begun = new BitSet();
-
-  private final BitSet held = new BitSet();
-
-  /** How often a task is held: while an old attempt lingers, more than once. */
-  private final Map<Integer, Integer> holds = new HashMap<>();
+  /** Tasks that have run under an earlier attempt, and may have saved a checkpoint. */
+  private final BitSet ranBefore = new BitSet();
 
-  private final Map<String, Integer> inZones = new HashMap<>();
-  private final Map<Integer, Long> waitSince = new HashMap<>();
-  private final Map<Integer, Long> notBefore = new HashMap<>();
-  private final Map<Integer, Integer> errors = new HashMap<>();
+  private final BitSet assigned = new BitSet();
 
-  /** The machines on which tasks of it have failed under this leader, and when last. */
-  private final Map<String, Long> failedOn = new HashMap<>();
+  /** How many assignments a task has: more than one while an old attempt lingers. */
+  private final Map<Integer, Integer> assignmentsOfTask = new HashMap<>();
 
+  private final Map<String, Integer> assignmentsInZone = new HashMap<>();
+  private final Map<Integer, Long> waitingSinceMicros = new HashMap<>();
+  private final RetryBackoff backoff = new RetryBackoff();
   private int completions;
 
-  /** Errors since it was found faulty, under this leader and earlier ones. */
-  private int faults;
-
-  private boolean markFailing;
-  private long probeAtMicros = Long.MIN_VALUE;
-
+  /**
+   * Makes a job none of whose tasks is assigned or done.
+   *
+   * @param version the version of its key in the store; 0 if not known yet
+   * @param nowMicros since when its tasks wait, as far as this leader knows
+   */
   public Job(JobSpec spec, TeamQuota team, long version, long acceptedWallMicros, long nowMicros) {
     this.spec = spec;
     this.team = team;
     this.version = version;
     this.acceptedWallMicros = acceptedWallMicros;
-    this.seenMicros = nowMicros;
+    this.firstSeenMicros = nowMicros;
     profile =
         new TaskProfile(spec.id(), spec.jobClass(), spec.team(), spec.image(), spec.perTask());
   }
 
   /** To be called by the cluster alone, which keeps its own totals beside these. */
-  void hold(Assignment assignment) {
+  void addAssignment(Assignment assignment) {
     if (assignments.add(assignment)) {
-      holds.merge(assignment.task.index(), 1, Integer::sum);
-      held.set(assignment.task.index());
-      inZones.merge(assignment.machine.zone, 1, Integer::sum);
+      assignmentsOfTask.merge(assignment.task.index(), 1, Integer::sum);
+      assigned.set(assignment.task.index());
+      assignmentsInZone.merge(assignment.machine.zone, 1, Integer::sum);
     }
   }
 
-  void release(Assignment assignment, long nowMicros) {
+  /** To be called by the cluster alone. */
+  void removeAssignment(Assignment assignment, long nowMicros) {
     if (!assignments.remove(assignment)) {
       return;
     }
-    inZones.computeIfPresent(
+    assignmentsInZone.computeIfPresent(
         assignment.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
     int index = assignment.task.index();
     if (assignment.runningMicros >= 0) {
-      begun.set(index);
+      ranBefore.set(index);
     }
-    if (holds.computeIfPresent(index, (task, count) -> count == 1 ? null : count - 1) == null) {
-      held.clear(index);
-      waitSince.put(index, nowMicros);
+    Integer left =
+        assignmentsOfTask.computeIfPresent(index, (task, count) -> count == 1 ? null : count - 1);
+    if (left == null) {
+      assigned.clear(index);
+      waitingSinceMicros.put(index, nowMicros);
     }
     if (assignments.isEmpty()) {
       gangAttempt = 0;
@@ -123,8 +122,8 @@
   }
 
   /**
-   * A gang may be placed, or what it lacks while it gathers. One that ran, or is being stopped,
-   * first has to go as a whole.
+   * Whether the gang may be placed, or the tasks that it lacks while it gathers. A gang that has
+   * run, or is being stopped, first has to go as a whole.
    */
   public boolean gangAcceptsPlacement() {
     return assignments.isEmpty()
@@ -134,132 +133,135 @@
             && assignments.stream().noneMatch(a -> a.evicting || a.completed));
   }
 
-  /** Of a gang that an earlier leader has placed it is known only then whether it has run. */
+  /**
+   * Whether all machines of a gang's tasks have been heard. Only then is it known of a gang that an
+   * earlier leader placed whether it has run.
+   */
   public boolean gangMachinesHeard() {
     return assignments.stream()
         .allMatch(a -> !a.inherited || a.machine.reported || a.machine.leaseExpired);
   }
 
-  /** The first task from the index on that is neither done nor held, or -1. */
+  /** The first task from the index on that is neither done nor assigned, or -1. */
   public int nextWaiting(int from) {
     int index = from;
     while (index < spec.tasks()) {
-      int free = held.nextClearBit(index);
-      index = done.nextClearBit(free);
-      if (index == free) {
+      int unassigned = assigned.nextClearBit(index);
+      index = done.nextClearBit(unassigned);
+      if (index == unassigned) {
         return index < spec.tasks() ? index : -1;
       }
     }
     return -1;
   }
 
-  /** Some task of it is or was somewhere, as far as this leader knows. */
+  /** Whether some task of it is or was on a machine, as far as this leader knows. */
   public boolean hasBegun() {
-    return !assignments.isEmpty() || !done.isEmpty() || !begun.isEmpty();
+    return !assignments.isEmpty() || !done.isEmpty() || !ranBefore.isEmpty();
   }
 
+  /** How many of its tasks are neither done nor assigned. */
   public int waitingCount() {
     BitSet taken = (BitSet) done.clone();
-    taken.or(held);
+    taken.or(assigned);
     return spec.tasks() - taken.cardinality();
   }
 
+  /** How many of its tasks are not done. */
   public int remainingTasks() {
     return spec.tasks() - done.cardinality();
   }
 
+  /** Whether all its tasks are done; never so for a service. */
   public boolean complete() {
     return spec.kind() != JobKind.SERVICE && remainingTasks() == 0;
   }
 
+  /** Since when the task has been waiting, as far as this leader knows. */
   public long waitingSinceMicros(int task) {
-    return waitSince.getOrDefault(task, seenMicros);
+    return waitingSinceMicros.getOrDefault(task, firstSeenMicros);
   }
 
   /**
-   * Not yet, where it was refused or failed lately; of a job with a mistake one task is tried at a
-   * time.
+   * Whether the task may be started now: not shortly after it was refused or failed, and of a
+   * failing job one task at a time.
    */
   public boolean ready(int task, long nowMicros) {
-    return nowMicros >= notBefore.getOrDefault(task, Long.MIN_VALUE)
-        && (!failing() || (assignments.isEmpty() && nowMicros >= probeAtMicros));
+    return backoff.taskReady(task, nowMicros)
+        && (!failing() || (assignments.isEmpty() && backoff.probeDue(nowMicros)));
   }
 
+  /** Records that a task has completed under this leader. */
   public void completed() {
     completions++;
   }
 
-  /** A refused start is tried again a little later. */
+  /** Records that a worker refused to start the task, which is tried again a little later. */
   public void refused(int task, long nowMicros) {
-    notBefore.put(task, nowMicros + BACKOFF_MICROS);
+    backoff.refused(task, nowMicros);
   }
 
   /**
-   * A failed task waits a little longer each time. Once the job is found faulty it waits as a
-   * whole, twice as long after each further task that failed: with each of three hundred tasks
-   * waiting on its own account, a job with a mistake once took five starts a second for as long as
-   * its user let it.
+   * Records that the task has failed on the machine, so that it waits a little before the next try.
+   * Once the job is found to be failing it waits as a whole, twice as long after each further
+   * failure: with each of three hundred tasks waiting on its own account, a job with a mistake once
+   * took five starts a second for as long as its user let it.
    */
   public void failed(int task, String machine, long nowMicros) {
-    int count = errors.merge(task, 1, Integer::sum);
-    failedOn.put(machine, nowMicros);
-    notBefore.put(task, nowMicros + Math.min(2, count) * BACKOFF_MICROS);
+    backoff.failed(task, machine, nowMicros);
     if (failing()) {
-      faults++;
-      probeAtMicros =
-          nowMicros + Math.min(MOST_BACKOFF_MICROS, BACKOFF_MICROS << Math.min(faults, 10));
+      backoff.delayProbe(nowMicros);
     }
   }
 
   /**
-   * A task of it has failed there lately; for good it would have nowhere to go once it had failed
-   * everywhere.
+   * Whether a task of it has failed on the machine lately. Not for good: a job that had failed on
+   * each machine would have nowhere to go.
    */
   public boolean failedOn(String machine, long nowMicros) {
-    Long at = failedOn.get(machine);
-    return at != null && nowMicros - at < ELSEWHERE_MICROS;
+    return backoff.failedLatelyOn(machine, nowMicros);
   }
 
   /** The machines on which tasks of it have failed under this leader. */
   public Set<String> failedOn() {
-    return failedOn.keySet();
+    return backoff.machinesFailedOn();
   }
 
   /**
-   * It failed on several machines and never completed a task: not worth renting for, nor stopping
-   * anything.
+   * Whether it has failed on several machines and never completed a task: such a job is not worth
+   * scaling out or preempting for.
    */
   public boolean failing() {
-    return completions == 0 && done.isEmpty() && (markFailing || failedOn.size() >= FAULTY_AFTER);
+    return completions == 0 && done.isEmpty() && backoff.blamesJob();
   }
 
   /**
-   * Earlier leaders have found it faulty; it is tried soon, one task at first, as it is by the one
-   * that found it.
+   * Records that earlier leaders have found it to be failing. It is tried again soon, one task at
+   * first, as under the leader that found it.
    */
   public void markFailing(long nowMicros) {
-    markFailing = true;
-    faults = Math.max(faults, FAULTY_AFTER);
-    probeAtMicros = nowMicros + FOUND_BACKOFF_MICROS;
+    backoff.markFailing(nowMicros);
   }
 
-  int inZone(String zone) {
-    return inZones.getOrDefault(zone, 0);
+  int assignmentsInZone(String zone) {
+    return assignmentsInZone.getOrDefault(zone, 0);
   }
 
   /** No task of the job may be in any other zone. */
   boolean onlyIn(String zone) {
-    return inZones.isEmpty() || (inZones.size() == 1 && inZones.containsKey(zone));
+    return assignmentsInZone.isEmpty()
+        || (assignmentsInZone.size() == 1 && assignmentsInZone.containsKey(zone));
   }
 
   /**
-   * The task's attempt may have gone on from what an earlier one saved, so that it did not run the
-   * whole.
+   * Whether the task's attempt may have resumed from a checkpoint of an earlier one, so that its
+   * run time is not that of a whole run.
    */
   public boolean mayHaveResumed(int task) {
-    return spec.checkpointMicros() > 0 && (inherited || begun.get(task));
+    return spec.checkpointMicros() > 0 && (inherited || ranBefore.get(task));
   }
 
+  /** How many of its tasks run, wait for their gang or save a checkpoint. */
   public int runningCount() {
     int count = 0;
     for (Assignment assignment : assignments) {
@@ -269,8 +271,4 @@
     }
     return count;
   }
-
-  JobState state() {
-    return runningCount() > 0 ? JobState.RUNNING : JobState.PENDING;
-  }
 }
--- a/src/main/java/madderrudder/coordination/state/LogReference.java
+++ b/src/main/java/madderrudder/coordination/state/LogReference.java
@@ -1,4 +1,4 @@
 package madderrudder.coordination.state;
 
-/** Where the store names a machine or a task. */
+/** The place in the store's log that names a machine or a task. */
 public interface LogReference {}
--- a/src/main/java/madderrudder/coordination/state/RunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/RunTimes.java
@@ -3,27 +3,32 @@
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.TaskRun;
 
-/** What the planner takes the run times of tasks to be. */
+/** The run times of tasks that planning reckons with. Confined to the event loop thread. */
 public interface RunTimes {
-  /** What a job was expected to take, and when that was asked. */
+  /**
+   * The run time that was expected of a job's tasks.
+   *
+   * @param estimate the estimate
+   * @param askedMicros when it was made
+   */
   record Expected(Estimate estimate, long askedMicros) {}
 
-  /** A task has run. */
-  void ran(TaskRun run);
+  /** Learns from a task that has run. */
+  void observe(TaskRun run);
 
-  /** How long a task of the job takes: as likely less as more. */
+  /** The median run time of a task of the job, in microseconds. */
   long expectedMicros(Job job);
 
-  /** How long a task of the job takes at most, but for few. */
-  long mostMicros(Job job);
+  /** The run time that few tasks of the job exceed, in microseconds. */
+  long upperBoundMicros(Job job);
 
-  /** How long it is expected to run still. */
-  long leftMicros(Assignment assignment, long nowMicros);
+  /** The time that the task is expected to run still, in microseconds. */
+  long remainingMicros(Assignment assignment, long nowMicros);
 
-  /** Whether it is nearly sure to end within the time by itself. */
+  /** Whether the task is nearly certain to end by itself within the time. */
   boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros);
 
-  /** For how long it runs already, as far as is known here. */
+  /** The time that the task has run, as far as this leader knows; 0 if it does not run yet. */
   static long ranMicros(Assignment assignment, long nowMicros) {
     return assignment.runningMicros < 0 ? 0 : nowMicros - assignment.runningMicros;
   }
--- a/src/test/java/madderrudder/coordination/reconciliation/ConfidenceTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ClusterCoverageTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ConfidenceTest {
+class ClusterCoverageTest {
   private static final long SECOND = 1_000_000;
   private static final long PATIENCE = 8 * SECOND;
   private static final MachineType TYPE =
@@ -96,10 +96,10 @@
   void aJobWaitsForTheMachinesThatItMayUse(int east, int west, boolean inEast, boolean anywhere) {
     zone("east", east);
     zone("west", west);
-    Confidence confidence = Confidence.of(cluster, SECOND, PATIENCE, 100 * SECOND);
-    assertEquals(inEast, confidence.suffices(job("east")));
-    assertEquals(anywhere, confidence.suffices(job(null)));
-    assertEquals((east + west) / 40.0, confidence.share());
+    ClusterCoverage coverage = ClusterCoverage.of(cluster, SECOND, PATIENCE, 100 * SECOND);
+    assertEquals(inEast, coverage.suffices(job("east")));
+    assertEquals(anywhere, coverage.suffices(job(null)));
+    assertEquals((east + west) / 40.0, coverage.share());
   }
 
   @Test
@@ -107,9 +107,9 @@
     zone("east", 5);
     zone("west", 5);
     Machine unheard = cluster.machines.get("west19");
-    Confidence early = Confidence.of(cluster, PATIENCE, PATIENCE, 100 * SECOND);
+    ClusterCoverage early = ClusterCoverage.of(cluster, PATIENCE, PATIENCE, 100 * SECOND);
     assertTrue(early.awaits(unheard) && !early.misses(unheard) && !early.suffices());
-    Confidence late = Confidence.of(cluster, PATIENCE + 1, PATIENCE, 100 * SECOND);
+    ClusterCoverage late = ClusterCoverage.of(cluster, PATIENCE + 1, PATIENCE, 100 * SECOND);
     assertTrue(
         !late.awaits(unheard)
             && late.misses(unheard)
@@ -123,7 +123,7 @@
   @Test
   void onlyWhatWasUpIsExpected() {
     zone("east", 0);
-    assertTrue(Confidence.of(cluster, 0, PATIENCE, 15 * SECOND).complete());
-    assertEquals(0, Confidence.of(cluster, 0, PATIENCE, 21 * SECOND).share());
+    assertTrue(ClusterCoverage.of(cluster, 0, PATIENCE, 15 * SECOND).complete());
+    assertEquals(0, ClusterCoverage.of(cluster, 0, PATIENCE, 21 * SECOND).share());
   }
 }
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -169,13 +169,19 @@
     List<List<String>> rows = table("Tasks");
     Set<List<String>> used = new HashSet<>();
     for (RecordOwner record : RecordOwner.values()) {
-      for (DesiredState wish : DesiredState.values()) {
-        for (ReportedState told : ReportedState.values()) {
+      for (DesiredState desired : DesiredState.values()) {
+        for (ReportedState reported : ReportedState.values()) {
           for (int bits = 0; bits < 8; bits++) {
-            for (GangState mates : GangState.values()) {
+            for (GangState gangState : GangState.values()) {
               TaskFacts facts =
                   new TaskFacts(
-                      record, wish, told, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0, mates);
+                      record,
+                      desired,
+                      reported,
+                      (bits & 1) > 0,
+                      (bits & 2) > 0,
+                      (bits & 4) > 0,
+                      gangState);
               TaskDecision finding = TaskReconciler.of(facts);
               agrees(
                   rows,
@@ -183,12 +189,12 @@
                   finding.verdict().name(),
                   finding.reason(),
                   record,
-                  wish,
-                  told,
+                  desired,
+                  reported,
                   facts.mayCome(),
                   facts.seen(),
                   facts.durable(),
-                  mates);
+                  gangState);
             }
           }
         }
@@ -226,7 +232,7 @@
                 listed,
                 worker,
                 facts.empty(),
-                facts.most(),
+                facts.mostAlike(),
                 (bits & 16) > 0);
           }
         }
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningTest.java
@@ -15,13 +15,16 @@
 import madderrudder.coordination.policy.ServiceLevelObjectives;
 import madderrudder.coordination.policy.TeamQuota;
 import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.CapacityPool;
 import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.EstimatedRunTimes;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.OrphanTask;
 import madderrudder.coordination.state.RunTimes;
 import madderrudder.coordination.state.ScaleOutRequest;
+import madderrudder.coordination.state.TaskAttempt;
 import madderrudder.estimates.TaskRun;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
@@ -82,7 +85,7 @@
   /** Knows that tasks take between 10 and 40 s, mostly 20, and which end within the next second. */
   private record KnownRunTimes(Set<Assignment> ending) implements RunTimes {
     @Override
-    public void ran(TaskRun run) {
+    public void observe(TaskRun run) {
       throw new AssertionError("planning does not learn");
     }
 
@@ -92,12 +95,12 @@
     }
 
     @Override
-    public long mostMicros(Job job) {
+    public long upperBoundMicros(Job job) {
       return 40 * SECOND;
     }
 
     @Override
-    public long leftMicros(Assignment assignment, long nowMicros) {
+    public long remainingMicros(Assignment assignment, long nowMicros) {
       return 20 * SECOND - RunTimes.ranMicros(assignment, nowMicros);
     }
 
@@ -213,7 +216,7 @@
             0);
     assignment.durable = true;
     assignment.phase = Phase.RUNNING;
-    cluster.hold(assignment);
+    cluster.addAssignment(assignment);
     return assignment;
   }
 
@@ -233,23 +236,21 @@
     Job job = job("req-1", "canto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
     Assignment first = put(job, 0, machine);
     Assignment second = put(job, 1, machine);
-    assertEquals(100, cluster.settledMicros(100));
+    assertEquals(100, cluster.cancellationsSettledMicros(100));
     cluster.markCancelled(first, 40);
     cluster.markCancelled(second, 60);
     cluster.markCancelled(first, 70);
-    assertEquals(40, cluster.settledMicros(100));
+    assertEquals(40, cluster.cancellationsSettledMicros(100));
     cluster.release(first, 0);
-    assertEquals(60, cluster.settledMicros(100));
+    assertEquals(60, cluster.cancellationsSettledMicros(100));
     cluster.complete(second);
-    assertEquals(100, cluster.settledMicros(100));
-    cluster.orphanTasks(
+    assertEquals(100, cluster.cancellationsSettledMicros(100));
+    cluster.replaceOrphanTasks(
         machine,
-        List.of(
-            new Machine.OrphanTask(
-                new Machine.TaskAttempt(new TaskId("req-9", 0), 1), "", Resources.NONE)));
-    assertEquals(Cluster.LONG_AGO, cluster.settledMicros(100));
-    cluster.orphanTasks(machine, List.of());
-    assertEquals(100, cluster.settledMicros(100));
+        List.of(new OrphanTask(new TaskAttempt(new TaskId("req-9", 0), 1), "", Resources.NONE)));
+    assertEquals(Cluster.LONG_AGO, cluster.cancellationsSettledMicros(100));
+    cluster.replaceOrphanTasks(machine, List.of());
+    assertEquals(100, cluster.cancellationsSettledMicros(100));
   }
 
   @Test
@@ -537,10 +538,10 @@
     nearlyDone.runningMicros = 0;
     elsewhere.runningMicros = 10 * SECOND;
     replica.runningMicros = 0;
-    assertEquals(List.of(), RecallDrain.plan(cluster, 20 * SECOND));
+    assertEquals(List.of(), SpotReclaimDrain.plan(cluster, 20 * SECOND));
     // Tasks of this class take 30 s; the cloud takes the machine in 15 s.
     going.reclaimMicros = 35 * SECOND;
-    assertEquals(List.of(young), RecallDrain.plan(cluster, 20 * SECOND));
+    assertEquals(List.of(young), SpotReclaimDrain.plan(cluster, 20 * SECOND));
   }
 
   /** Counts how often the planners look at a machine for a job. */
@@ -598,7 +599,7 @@
               first,
               false,
               0);
-      large.hold(assignment);
+      large.addAssignment(assignment);
       placed.add(assignment);
     }
     assertEquals(3_000, large.usage().get("alto").milliCpus());
@@ -663,7 +664,7 @@
       machine.reported = true;
       hasty.add(machine);
     }
-    hasty.hold(
+    hasty.addAssignment(
         new Assignment(
             new TaskId("req-2", 0),
             1,
@@ -728,7 +729,7 @@
     assertEquals(List.of(late, fresh), Demand.of(wanted, 200 * SECOND).waiting());
     // Tasks turn out to take half as long as estimated: the first can be in time after all.
     for (int i = 0; i < 200; i++) {
-      wanted.runTimes.ran(
+      wanted.runTimes.observe(
           new TaskRun(late.profile, i, i, "", "", late.spec.estimateMicros(), 15 * SECOND, true));
     }
     assertEquals(List.of(late, fresh), Demand.of(wanted, 30 * SECOND + 1).waiting());
@@ -815,29 +816,29 @@
    */
   @Test
   void emptyShelvesAndFailingBootsAreAskedLess() {
-    CapacityPoolLimits shelves = new CapacityPoolLimits();
-    ScaleOutRequest.CapacityPool shelf = new ScaleOutRequest.CapacityPool("box", "east", true);
-    assertEquals(50, shelves.most(shelf, 0));
-    shelves.answered(shelf, 50, 0, 0);
-    assertEquals(0, shelves.most(shelf, 19 * SECOND));
-    assertEquals(1, shelves.most(shelf, 20 * SECOND));
+    CapacityPoolLimits limits = new CapacityPoolLimits();
+    CapacityPool pool = new CapacityPool("box", "east", true);
+    assertEquals(50, limits.requestLimit(pool, 0));
+    limits.recordAnswer(pool, 50, 0, 0);
+    assertEquals(0, limits.requestLimit(pool, 19 * SECOND));
+    assertEquals(1, limits.requestLimit(pool, 20 * SECOND));
     int asked = 0;
     long now = 20 * SECOND;
-    for (int most = 1; most < 50; most = shelves.most(shelf, now)) {
-      shelves.answered(shelf, most, most, now);
+    for (int most = 1; most < 50; most = limits.requestLimit(pool, now)) {
+      limits.recordAnswer(pool, most, most, now);
       asked++;
     }
     assertEquals(2, asked);
     for (int i = 0; i < 2; i++) {
-      shelves.bootFailed(shelf, now);
+      limits.recordBootFailure(pool, now);
     }
-    assertEquals(50, shelves.most(shelf, now));
-    shelves.bootFailed(shelf, now);
-    assertEquals(0, shelves.most(shelf, now));
-    assertEquals(1, shelves.most(shelf, now + 20 * SECOND));
-    shelves.booted(shelf);
-    shelves.bootFailed(shelf, now);
-    assertEquals(1, shelves.most(shelf, now + 20 * SECOND));
+    assertEquals(50, limits.requestLimit(pool, now));
+    limits.recordBootFailure(pool, now);
+    assertEquals(0, limits.requestLimit(pool, now));
+    assertEquals(1, limits.requestLimit(pool, now + 20 * SECOND));
+    limits.recordBoot(pool);
+    limits.recordBootFailure(pool, now);
+    assertEquals(1, limits.requestLimit(pool, now + 20 * SECOND));
   }
 
   @Test
