--- /dev/null
+++ b/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
@@ -0,0 +1,34 @@
+package madderrudder.coordination.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import madderrudder.coordination.state.Assignment;
+import madderrudder.coordination.state.Job;
+import madderrudder.coordination.state.Machine;
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.Priority;
+import org.junit.jupiter.api.Test;
+
+/** What is stopped on machines that the cloud reclaims. */
+class SpotReclaimDrainTest extends PlanningFixture {
+  /** Tasks on a machine that was taken away were started again only once its lease was over. */
+  @Test
+  void tasksThatCannotEndBeforeTheReclaimAreStopped() {
+    Machine going = machine("m-0", "east", false);
+    Job batch = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
+    Assignment young = put(batch, 0, going);
+    Assignment nearlyDone = put(batch, 1, going);
+    Assignment replica =
+        put(job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, going);
+    Assignment elsewhere = put(batch, 2, machine("m-1", "east", false));
+    young.runningMicros = 10 * SECOND;
+    nearlyDone.runningMicros = 0;
+    elsewhere.runningMicros = 10 * SECOND;
+    replica.runningMicros = 0;
+    assertEquals(List.of(), SpotReclaimDrain.plan(cluster, 20 * SECOND));
+    // Tasks of this class take 30 s; the cloud takes the machine in 15 s.
+    going.reclaimMicros = 35 * SECOND;
+    assertEquals(List.of(young), SpotReclaimDrain.plan(cluster, 20 * SECOND));
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/coordination/state/ClusterTest.java
@@ -0,0 +1,42 @@
+package madderrudder.coordination.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import madderrudder.coordination.scheduling.PlanningFixture;
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.Priority;
+import madderrudder.protocol.Resources;
+import madderrudder.protocol.TaskId;
+import org.junit.jupiter.api.Test;
+
+/** Totals that the cluster keeps. */
+class ClusterTest extends PlanningFixture {
+  /**
+   * What others may be let answer counts from before the oldest cancellation that may not have come
+   * through everywhere: a deputy that hears the leader, whose worker can't, would keep a cancelled
+   * task alive for ever.
+   */
+  @Test
+  void cancellationsAreSettledOnceNoTaskOfTheirJobsMayBeLeft() {
+    Machine machine = machine("m-0", "east", true);
+    Job job = job("req-1", "canto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
+    Assignment first = put(job, 0, machine);
+    Assignment second = put(job, 1, machine);
+    assertEquals(100, cluster.cancellationsSettledMicros(100));
+    cluster.markCancelled(first, 40);
+    cluster.markCancelled(second, 60);
+    cluster.markCancelled(first, 70);
+    assertEquals(40, cluster.cancellationsSettledMicros(100));
+    cluster.release(first, 0);
+    assertEquals(60, cluster.cancellationsSettledMicros(100));
+    cluster.complete(second);
+    assertEquals(100, cluster.cancellationsSettledMicros(100));
+    cluster.replaceOrphanTasks(
+        machine,
+        List.of(new OrphanTask(new TaskAttempt(new TaskId("req-9", 0), 1), "", Resources.NONE)));
+    assertEquals(Cluster.LONG_AGO, cluster.cancellationsSettledMicros(100));
+    cluster.replaceOrphanTasks(machine, List.of());
+    assertEquals(100, cluster.cancellationsSettledMicros(100));
+  }
+}
