--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -25,7 +25,7 @@
       new TaskDecision(Verdict.KEEP, "no record names it there, and it is not there");
   private static final TaskDecision EXIT_RECORDED =
       new TaskDecision(Verdict.FORGET, "it has exited, and that is recorded");
-  private static final TaskDecision KEPT =
+  private static final TaskDecision KEEP_UNTIL_DURABLE =
       new TaskDecision(Verdict.AWAIT, "it is kept until its completion is durable");
   private static final TaskDecision COMPLETED =
       new TaskDecision(Verdict.RECORD_DONE, "it has completed");
@@ -61,7 +61,7 @@
       return unrecorded(facts);
     }
     if (facts.desired() == DesiredState.KEEP_COMPLETED) {
-      return KEPT;
+      return KEEP_UNTIL_DURABLE;
     }
     return switch (facts.reported()) {
       case UNREPORTED -> NOT_HEARD;
--- a/src/main/java/madderrudder/coordination/scheduling/SpotReclaimDrain.java
+++ b/src/main/java/madderrudder/coordination/scheduling/SpotReclaimDrain.java
@@ -10,7 +10,7 @@
 /**
  * Decides what is stopped on machines that the cloud is about to reclaim: tasks that are not
  * expected to end in time. Left there they would be lost as well, and could not be started
- * elsewhere before the lease of the machine has expired; a gang that is told in time saves a
+ * elsewhere before the lease of the machine has expired; a gang that is stopped in time saves a
  * checkpoint. A pure function of what it is given.
  */
 public final class SpotReclaimDrain {
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -38,7 +38,7 @@
   /** The machine types by name, as the cloud describes them; empty until known. */
   public Map<String, MachineType> types = Map.of();
 
-  // Kept up to date with every change: computed on demand they would cost more with each task and
+  // Updated with every change: computed on demand they would cost more with each task and
   // machine there is.
   private final Set<Machine> owned = new LinkedHashSet<>();
   private final Map<String, Resources> usage = new HashMap<>();
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -7,6 +7,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import madderrudder.coordination.reconciliation.ReconciliationModelState.Report;
+import madderrudder.coordination.reconciliation.ReconciliationModelState.Start;
+import madderrudder.coordination.reconciliation.ReconciliationModelState.TaskRecord;
 import madderrudder.coordination.reconciliation.TaskFacts.DesiredState;
 import madderrudder.coordination.reconciliation.TaskFacts.GangState;
 import madderrudder.coordination.reconciliation.TaskFacts.RecordOwner;
@@ -20,9 +23,9 @@
  * taken for granted here: {@code DelegationModel} explores that.
  */
 final class ReconciliationModel {
-  private static final int MACHINES = 2;
+  private static final int MACHINES = ReconciliationModelState.MACHINES;
   private static final int NONE = 0;
-  private static final int HELD = 1;
+  private static final int PRESENT = 1;
   private static final int DONE = 2;
   private static final int EXITED = 3;
 
@@ -57,182 +60,10 @@
     this.fault = fault;
   }
 
-  /** A leader's record of a task. */
-  private static final class Placed implements Cloneable {
-    int machine = -1;
-    int attempt;
-    boolean inherited;
-    boolean durable;
-    boolean seen;
-    int direct = -1;
-    boolean unwanted;
-    boolean kept;
-    int startSeq = -1;
-    int reportedSeq = -1;
-
-    @Override
-    public Placed clone() {
-      try {
-        return (Placed) super.clone();
-      } catch (CloneNotSupportedException e) {
-        throw new AssertionError(e);
-      }
-    }
-
-    String key() {
-      return machine < 0
-          ? "-"
-          : machine
-              + "."
-              + attempt
-              + (inherited ? "i" : "")
-              + (durable ? "d" : "")
-              + (seen ? "s" : "")
-              + direct
-              + (unwanted ? "u" : "")
-              + (kept ? "k" : "")
-              + startSeq
-              + ","
-              + reportedSeq;
-    }
-  }
-
-  /** A report on its way: machine, session, seq, token, and state and attempt of each task. */
-  private record Report(
-      int machine, int session, int seq, int token, int[] states, int[] attempts) {
-    String key() {
-      return machine
-          + ","
-          + session
-          + ","
-          + seq
-          + ","
-          + token
-          + Arrays.toString(states)
-          + Arrays.toString(attempts);
-    }
-  }
-
-  /** A direct start on its way. */
-  private record Start(int machine, int token, int session, int task, int attempt) {}
-
   private static int firstToken(int term) {
     return 100 * term;
   }
 
-  private static final class State {
-    final int tasks;
-    int term = 1;
-    int attempts;
-    boolean preempted;
-    int copies;
-    int exits;
-    // The store.
-    int[] logMachine;
-    int[] logAttempt;
-    boolean[] logDone;
-    // The leader.
-    Placed[] placed;
-    boolean[] done;
-    boolean[] reported = new boolean[MACHINES];
-    int[] session = new int[MACHINES];
-    int[] seq = {-1, -1};
-    int[] token = new int[MACHINES];
-    int[] given = new int[MACHINES];
-    boolean[][] stray;
-    int[] base = new int[MACHINES];
-    // Workers.
-    int[] wSession = new int[MACHINES];
-    int[] wSeq = new int[MACHINES];
-    int[] wToken = new int[MACHINES];
-    int[][] wState;
-    int[][] wAttempt;
-    // On the way.
-    Deque<Report> reports = new ArrayDeque<>();
-    Deque<Start> starts = new ArrayDeque<>();
-    String broken;
-
-    State(int tasks) {
-      this.tasks = tasks;
-      logMachine = new int[tasks];
-      Arrays.fill(logMachine, -1);
-      logAttempt = new int[tasks];
-      logDone = new boolean[tasks];
-      placed = new Placed[tasks];
-      Arrays.setAll(placed, t -> new Placed());
-      done = new boolean[tasks];
-      stray = new boolean[MACHINES][tasks];
-      wState = new int[MACHINES][tasks];
-      wAttempt = new int[MACHINES][tasks];
-    }
-
-    State copy() {
-      State c = new State(tasks);
-      c.term = term;
-      c.attempts = attempts;
-      c.preempted = preempted;
-      c.copies = copies;
-      c.exits = exits;
-      c.given = given.clone();
-      c.logMachine = logMachine.clone();
-      c.logAttempt = logAttempt.clone();
-      c.logDone = logDone.clone();
-      for (int t = 0; t < tasks; t++) {
-        c.placed[t] = placed[t].clone();
-      }
-      c.done = done.clone();
-      c.reported = reported.clone();
-      c.session = session.clone();
-      c.seq = seq.clone();
-      c.token = token.clone();
-      c.base = base.clone();
-      c.wSession = wSession.clone();
-      c.wSeq = wSeq.clone();
-      c.wToken = wToken.clone();
-      for (int m = 0; m < MACHINES; m++) {
-        c.stray[m] = stray[m].clone();
-        c.wState[m] = wState[m].clone();
-        c.wAttempt[m] = wAttempt[m].clone();
-      }
-      c.reports = new ArrayDeque<>(reports);
-      c.starts = new ArrayDeque<>(starts);
-      return c;
-    }
-
-    String key() {
-      StringBuilder key = new StringBuilder();
-      key.append(term)
-          .append(attempts)
-          .append(',')
-          .append(copies)
-          .append(exits)
-          .append(Arrays.toString(given))
-          .append(preempted ? "p" : "")
-          .append(Arrays.toString(logMachine))
-          .append(Arrays.toString(logAttempt))
-          .append(Arrays.toString(logDone))
-          .append(Arrays.toString(done));
-      for (Placed one : placed) {
-        key.append(one.key()).append(';');
-      }
-      key.append(Arrays.toString(reported))
-          .append(Arrays.toString(session))
-          .append(Arrays.toString(seq))
-          .append(Arrays.toString(token))
-          .append(Arrays.deepToString(stray))
-          .append(Arrays.toString(base))
-          .append(Arrays.toString(wSession))
-          .append(Arrays.toString(wSeq))
-          .append(Arrays.toString(wToken))
-          .append(Arrays.deepToString(wState))
-          .append(Arrays.deepToString(wAttempt));
-      // In no order: what is on its way may arrive in any.
-      reports.stream().map(Report::key).sorted().forEach(key::append);
-      starts.stream().map(Start::toString).sorted().forEach(key::append);
-      return key.toString();
-    }
-  }
-
   int explored() {
     return explored;
   }
@@ -243,14 +74,14 @@
    */
   String explore() {
     Set<String> known = new HashSet<>();
-    Deque<State> open = new ArrayDeque<>();
-    State first = new State(bounds.tasks());
+    Deque<ReconciliationModelState> open = new ArrayDeque<>();
+    ReconciliationModelState first = new ReconciliationModelState(bounds.tasks());
     known.add(first.key());
     open.add(first);
     while (!open.isEmpty() && known.size() < bounds.states()) {
-      State state = open.poll();
+      ReconciliationModelState state = open.poll();
       explored++;
-      for (State next : after(state)) {
+      for (ReconciliationModelState next : after(state)) {
         if (next.broken != null) {
           return next.broken;
         }
@@ -269,9 +100,9 @@
   String walk(long seed, int courses, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
     for (int course = 0; course < courses; course++) {
-      State state = new State(bounds.tasks());
+      ReconciliationModelState state = new ReconciliationModelState(bounds.tasks());
       for (int step = 0; step < steps; step++) {
-        List<State> next = List.copyOf(after(state));
+        List<ReconciliationModelState> next = List.copyOf(after(state));
         if (next.isEmpty()) {
           break;
         }
@@ -285,90 +116,93 @@
     return null;
   }
 
-  private Deque<State> after(State s) {
-    Deque<State> next = new ArrayDeque<>();
+  private Deque<ReconciliationModelState> after(ReconciliationModelState s) {
+    Deque<ReconciliationModelState> next = new ArrayDeque<>();
     for (int m = 0; m < MACHINES; m++) {
       reportSent(s, m, next);
-      leaseEnds(s, m, next);
-      lapseLearned(s, m, next);
+      leaseExpires(s, m, next);
+      leaseExpiryLearned(s, m, next);
       for (int t = 0; t < bounds.tasks(); t++) {
-        place(s, m, t, next);
-        ends(s, m, t, DONE, next);
-        ends(s, m, t, EXITED, next);
+        taskPlaced(s, m, t, next);
+        taskEnds(s, m, t, DONE, next);
+        taskEnds(s, m, t, EXITED, next);
       }
     }
     for (int t = 0; t < bounds.tasks(); t++) {
-      pushed(s, t, next);
+      directStartSent(s, t, next);
       durable(s, t, next);
       doneDurable(s, t, next);
       endFlushed(s, t, next);
       preempted(s, t, next);
     }
     for (Report report : s.reports) {
-      taken(s, report, true, false, next);
-      taken(s, report, false, false, next);
+      reportTaken(s, report, true, false, next);
+      reportTaken(s, report, false, false, next);
       if (s.copies < bounds.copies()) {
-        taken(s, report, true, true, next);
+        reportTaken(s, report, true, true, next);
       }
     }
     for (Start start : s.starts) {
-      arrives(s, start, false, next);
+      directStartArrives(s, start, false, next);
       if (s.copies < bounds.copies()) {
-        arrives(s, start, true, next);
+        directStartArrives(s, start, true, next);
       }
     }
     crash(s, next);
     return next;
   }
 
-  private void reportSent(State s, int m, Deque<State> next) {
-    if (s.wSeq[m] < bounds.reports() && s.reports.size() < bounds.heldReports()) {
-      State c = s.copy();
-      c.wSeq[m]++;
+  private void reportSent(ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
+    if (s.workerSeq[m] < bounds.reports() && s.reports.size() < bounds.heldReports()) {
+      ReconciliationModelState c = s.copy();
+      c.workerSeq[m]++;
       c.reports.add(
           new Report(
               m,
-              c.wSession[m],
-              c.wSeq[m],
-              c.wToken[m],
-              c.wState[m].clone(),
-              c.wAttempt[m].clone()));
+              c.workerSession[m],
+              c.workerSeq[m],
+              c.workerToken[m],
+              c.workerState[m].clone(),
+              c.workerAttempt[m].clone()));
       next.add(c);
     }
   }
 
-  private void leaseEnds(State s, int m, Deque<State> next) {
-    if (s.wSession[m] < bounds.sessions()) {
-      State c = s.copy();
-      c.wSession[m]++;
-      Arrays.fill(c.wState[m], NONE);
+  private void leaseExpires(
+      ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
+    if (s.workerSession[m] < bounds.sessions()) {
+      ReconciliationModelState c = s.copy();
+      c.workerSession[m]++;
+      Arrays.fill(c.workerState[m], NONE);
       next.add(c);
     }
   }
 
   /** The leader has waited for longer than any lease lasts. */
-  private void lapseLearned(State s, int m, Deque<State> next) {
-    if (s.wSession[m] > s.base[m]) {
-      State c = s.copy();
-      c.base[m] = c.wSession[m];
+  private void leaseExpiryLearned(
+      ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
+    if (s.workerSession[m] > s.lastCountedSession[m]) {
+      ReconciliationModelState c = s.copy();
+      c.lastCountedSession[m] = c.workerSession[m];
       for (int t = 0; t < bounds.tasks(); t++) {
         if (c.placed[t].machine == m) {
-          c.placed[t] = new Placed();
+          c.placed[t] = new TaskRecord();
         }
-        c.stray[m][t] = false;
+        c.orphaned[m][t] = false;
       }
       next.add(c);
     }
   }
 
-  private void place(State s, int m, int t, Deque<State> next) {
-    boolean orphaned = s.stray[0][t] || s.stray[1][t];
+  private void taskPlaced(
+      ReconciliationModelState s, int m, int t, Deque<ReconciliationModelState> next) {
+    boolean orphaned = s.orphaned[0][t] || s.orphaned[1][t];
     if (s.placed[t].machine < 0
         && !s.done[t]
         && s.reported[m]
         && s.attempts < bounds.attempts()
         && !orphaned) {
-      State c = s.copy();
+      ReconciliationModelState c = s.copy();
       c.placed[t].machine = m;
       c.placed[t].attempt = 10 * c.term + ++c.attempts;
       next.add(c);
@@ -376,10 +210,10 @@
   }
 
   /** Written together with the end of whatever was placed before. */
-  private void durable(State s, int t, Deque<State> next) {
-    Placed placed = s.placed[t];
+  private void durable(ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
+    TaskRecord placed = s.placed[t];
     if (placed.machine >= 0 && !placed.durable && !placed.inherited) {
-      State c = s.copy();
+      ReconciliationModelState c = s.copy();
       c.placed[t].durable = true;
       c.logMachine[t] = placed.machine;
       c.logAttempt[t] = placed.attempt;
@@ -387,89 +221,101 @@
     }
   }
 
-  private void endFlushed(State s, int t, Deque<State> next) {
+  private void endFlushed(ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
     if (s.placed[t].machine < 0 && s.logMachine[t] >= 0) {
-      State c = s.copy();
+      ReconciliationModelState c = s.copy();
       c.logMachine[t] = -1;
       c.logAttempt[t] = 0;
       next.add(c);
     }
   }
 
-  private void preempted(State s, int t, Deque<State> next) {
-    if (!s.preempted && s.placed[t].machine >= 0 && !s.placed[t].unwanted) {
-      State c = s.copy();
+  private void preempted(ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
+    if (!s.preempted && s.placed[t].machine >= 0 && !s.placed[t].evicting) {
+      ReconciliationModelState c = s.copy();
       c.preempted = true;
-      c.placed[t].unwanted = true;
+      c.placed[t].evicting = true;
       next.add(c);
     }
   }
 
   /** A task completes, or fails. */
-  private void ends(State s, int m, int t, int how, Deque<State> next) {
-    if (s.wState[m][t] == HELD && (how == DONE || s.exits < bounds.exits())) {
-      State c = s.copy();
-      c.wState[m][t] = how;
-      c.exits += how == EXITED ? 1 : 0;
+  private void taskEnds(
+      ReconciliationModelState s, int m, int t, int phase, Deque<ReconciliationModelState> next) {
+    if (s.workerState[m][t] == PRESENT && (phase == DONE || s.exits < bounds.exits())) {
+      ReconciliationModelState c = s.copy();
+      c.workerState[m][t] = phase;
+      c.exits += phase == EXITED ? 1 : 0;
       next.add(c);
     }
   }
 
-  private void doneDurable(State s, int t, Deque<State> next) {
-    if (s.placed[t].kept) {
-      State c = s.copy();
+  private void doneDurable(
+      ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
+    if (s.placed[t].keepCompleted) {
+      ReconciliationModelState c = s.copy();
       c.logDone[t] = true;
-      c.placed[t] = new Placed();
+      c.placed[t] = new TaskRecord();
       next.add(c);
     }
   }
 
   /** The leader ends, and the next reads what the store has. */
-  private void crash(State s, Deque<State> next) {
+  private void crash(ReconciliationModelState s, Deque<ReconciliationModelState> next) {
     if (s.term < bounds.terms()) {
-      State c = s.copy();
+      ReconciliationModelState c = s.copy();
       c.term++;
       c.attempts = 0;
       c.seq = new int[] {-1, -1};
       c.reported = new boolean[MACHINES];
-      c.given = new int[MACHINES];
-      c.stray = new boolean[MACHINES][bounds.tasks()];
-      c.base = c.wSession.clone();
+      c.issuedToken = new int[MACHINES];
+      c.orphaned = new boolean[MACHINES][bounds.tasks()];
+      c.lastCountedSession = c.workerSession.clone();
       for (int t = 0; t < bounds.tasks(); t++) {
         c.done[t] = c.logDone[t];
-        c.placed[t] = new Placed();
+        c.placed[t] = new TaskRecord();
         if (c.logMachine[t] >= 0) {
           c.placed[t].machine = c.logMachine[t];
           c.placed[t].attempt = c.logAttempt[t];
           c.placed[t].inherited = true;
           c.placed[t].durable = true;
-          c.placed[t].unwanted = c.done[t];
+          c.placed[t].evicting = c.done[t];
         }
       }
       next.add(c);
     }
   }
 
-  private TaskDecision finding(State s, int t) {
-    Placed placed = s.placed[t];
+  private static ReportedState reportedState(ReconciliationModelState s, TaskRecord placed) {
+    if (!s.reported[placed.machine]) {
+      return ReportedState.UNREPORTED;
+    }
+    return placed.reportedSeq == s.seq[placed.machine]
+        ? ReportedState.PRESENT
+        : ReportedState.ABSENT;
+  }
+
+  private static DesiredState desiredState(TaskRecord placed) {
+    if (placed.keepCompleted) {
+      return DesiredState.KEEP_COMPLETED;
+    }
+    return placed.evicting ? DesiredState.REMOVE : DesiredState.RUN;
+  }
+
+  private TaskDecision decision(ReconciliationModelState s, int t) {
+    TaskRecord placed = s.placed[t];
     int m = placed.machine;
     boolean mayCome =
-        (placed.direct >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED)
+        (placed.directToken >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED)
             || placed.startSeq >= s.seq[m]
             || (placed.inherited
                 && s.token[m] < firstToken(s.term)
                 && fault != Fault.TOKEN_IGNORED);
-    ReportedState told =
-        !s.reported[m]
-            ? ReportedState.UNREPORTED
-            : placed.reportedSeq == s.seq[m] ? ReportedState.PRESENT : ReportedState.ABSENT;
     return TaskReconciler.of(
         new TaskFacts(
             placed.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
-            placed.kept
-                ? DesiredState.KEEP_COMPLETED
-                : placed.unwanted ? DesiredState.REMOVE : DesiredState.RUN,
-            told,
+            desiredState(placed),
+            reportedState(s, placed),
             mayCome,
             placed.seen,
             placed.durable,
@@ -480,10 +326,15 @@
    * The leader takes a report, of which another copy may come later; its answer arrives, or does
    * not.
    */
-  private void taken(State s, Report report, boolean answered, boolean again, Deque<State> next) {
+  private void reportTaken(
+      ReconciliationModelState s,
+      Report report,
+      boolean answered,
+      boolean asCopy,
+      Deque<ReconciliationModelState> next) {
     int m = report.machine();
-    State c = s.copy();
-    if (again) {
+    ReconciliationModelState c = s.copy();
+    if (asCopy) {
       c.copies++;
     } else {
       c.reports.remove(report);
@@ -498,33 +349,33 @@
       newSession(c, m);
     }
     // Whether or not its answer arrives, the leader counts the worker's lease from now on.
-    c.base[m] = c.wSession[m];
+    c.lastCountedSession[m] = c.workerSession[m];
     c.reported[m] = true;
     c.session[m] = report.session();
     c.seq[m] = report.seq();
     c.token[m] = report.token();
     for (int t = 0; t < bounds.tasks(); t++) {
-      Placed placed = c.placed[t];
+      TaskRecord placed = c.placed[t];
       boolean named = placed.machine == m && placed.attempt == report.attempts()[t];
-      c.stray[m][t] = !named && report.states()[t] == HELD;
+      c.orphaned[m][t] = !named && report.states()[t] == PRESENT;
       if (named && report.states()[t] != NONE) {
         placed.reportedSeq = report.seq();
         if (report.states()[t] == EXITED) {
           if (exit(c, t).verdict() == TaskDecision.Verdict.RECORD_EXIT) {
-            c.placed[t] = new Placed();
+            c.placed[t] = new TaskRecord();
           }
           continue;
         }
         placed.seen = true;
-        if (report.states()[t] == DONE && !placed.kept) {
-          placed.kept = true;
+        if (report.states()[t] == DONE && !placed.keepCompleted) {
+          placed.keepCompleted = true;
           c.done[t] = true;
         }
       }
     }
     for (int t = 0; t < bounds.tasks(); t++) {
-      if (c.placed[t].machine == m && finding(c, t).verdict() == TaskDecision.Verdict.GONE) {
-        c.placed[t] = new Placed();
+      if (c.placed[t].machine == m && decision(c, t).verdict() == TaskDecision.Verdict.GONE) {
+        c.placed[t] = new TaskRecord();
       }
     }
     if (answered) {
@@ -532,20 +383,20 @@
     } else {
       // What it would have carried counts as sent.
       for (int t = 0; t < bounds.tasks(); t++) {
-        if (c.placed[t].machine == m && finding(c, t).verdict() == TaskDecision.Verdict.START) {
+        if (c.placed[t].machine == m && decision(c, t).verdict() == TaskDecision.Verdict.START) {
           c.placed[t].startSeq = report.seq();
         }
       }
     }
   }
 
-  private TaskDecision exit(State s, int t) {
-    Placed placed = s.placed[t];
+  private TaskDecision exit(ReconciliationModelState s, int t) {
+    TaskRecord placed = s.placed[t];
     boolean mayCome = placed.inherited && s.token[placed.machine] < firstToken(s.term);
     return TaskReconciler.of(
         new TaskFacts(
             placed.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
-            placed.unwanted ? DesiredState.REMOVE : DesiredState.RUN,
+            placed.evicting ? DesiredState.REMOVE : DesiredState.RUN,
             ReportedState.EXITED,
             mayCome,
             true,
@@ -553,18 +404,18 @@
             GangState.GATHERING));
   }
 
-  private void newSession(State c, int m) {
+  private void newSession(ReconciliationModelState c, int m) {
     for (int t = 0; t < bounds.tasks(); t++) {
-      Placed placed = c.placed[t];
+      TaskRecord placed = c.placed[t];
       if (placed.machine != m) {
         continue;
       }
       if (!placed.inherited) {
-        c.placed[t] = new Placed();
+        c.placed[t] = new TaskRecord();
       } else {
         placed.reportedSeq = -1;
         placed.startSeq = -1;
-        placed.direct = -1;
+        placed.directToken = -1;
       }
     }
   }
@@ -573,46 +424,53 @@
    * A direct start of this term that its worker may still obey makes way before anything is
    * forgotten or waited for.
    */
-  private int tokenFor(State c, Report report) {
+  private int tokenFor(ReconciliationModelState c, Report report) {
     int m = report.machine();
-    c.given[m] =
+    c.issuedToken[m] =
         Math.max(
-            c.given[m], Math.max(firstToken(c.term), c.token[m] / 100 == c.term ? c.token[m] : 0));
+            c.issuedToken[m],
+            Math.max(firstToken(c.term), c.token[m] / 100 == c.term ? c.token[m] : 0));
     boolean raise = false;
     for (int t = 0; t < bounds.tasks(); t++) {
       boolean named = c.placed[t].machine == m && c.placed[t].attempt == report.attempts()[t];
       raise |= !named && (report.states()[t] == DONE || report.states()[t] == EXITED);
       raise |=
           c.placed[t].machine == m
-              && c.placed[t].direct >= c.token[m]
-              && finding(c, t).verdict() == TaskDecision.Verdict.AWAIT;
+              && c.placed[t].directToken >= c.token[m]
+              && decision(c, t).verdict() == TaskDecision.Verdict.AWAIT;
     }
-    if (raise && fault != Fault.TOKEN_NOT_RAISED && c.given[m] < firstToken(c.term) + 3) {
-      c.given[m]++;
+    if (raise && fault != Fault.TOKEN_NOT_RAISED && c.issuedToken[m] < firstToken(c.term) + 3) {
+      c.issuedToken[m]++;
     }
-    return c.given[m];
+    return c.issuedToken[m];
+  }
+
+  private static ReportedState reportedStateOfOrphan(int state) {
+    return switch (state) {
+      case DONE -> ReportedState.COMPLETED;
+      case EXITED -> ReportedState.EXITED;
+      default -> ReportedState.PRESENT;
+    };
   }
 
-  private void answer(State c, Report report) {
+  private void answer(ReconciliationModelState c, Report report) {
     int m = report.machine();
     int token = tokenFor(c, report);
     boolean heeded =
-        c.wSeq[m] == report.seq() && c.wSession[m] == report.session() && c.wToken[m] <= token;
-    c.wToken[m] = heeded ? token : c.wToken[m];
+        c.workerSeq[m] == report.seq()
+            && c.workerSession[m] == report.session()
+            && c.workerToken[m] <= token;
+    c.workerToken[m] = heeded ? token : c.workerToken[m];
     for (int t = 0; t < bounds.tasks(); t++) {
-      Placed placed = c.placed[t];
+      TaskRecord placed = c.placed[t];
       boolean named = placed.machine == m && placed.attempt == report.attempts()[t];
       if (report.states()[t] != NONE && !named) {
-        ReportedState told =
-            report.states()[t] == DONE
-                ? ReportedState.COMPLETED
-                : report.states()[t] == EXITED ? ReportedState.EXITED : ReportedState.PRESENT;
         TaskDecision.Verdict verdict =
             TaskReconciler.of(
                     new TaskFacts(
                         RecordOwner.NONE,
                         DesiredState.REMOVE,
-                        told,
+                        reportedStateOfOrphan(report.states()[t]),
                         false,
                         true,
                         true,
@@ -620,15 +478,16 @@
                 .verdict();
         boolean forgets = verdict == TaskDecision.Verdict.FORGET;
         if (heeded
-            && c.wAttempt[m][t] == report.attempts()[t]
-            && (forgets || (verdict == TaskDecision.Verdict.STOP && c.wState[m][t] == HELD))) {
-          c.wState[m][t] = NONE;
+            && c.workerAttempt[m][t] == report.attempts()[t]
+            && (forgets
+                || (verdict == TaskDecision.Verdict.STOP && c.workerState[m][t] == PRESENT))) {
+          c.workerState[m][t] = NONE;
         }
       }
       if (placed.machine != m) {
         continue;
       }
-      TaskDecision.Verdict verdict = finding(c, t).verdict();
+      TaskDecision.Verdict verdict = decision(c, t).verdict();
       if (verdict == TaskDecision.Verdict.START) {
         placed.startSeq = report.seq();
         if (heeded) {
@@ -636,12 +495,12 @@
         }
       } else if (verdict == TaskDecision.Verdict.STOP
           && heeded
-          && c.wAttempt[m][t] == placed.attempt
-          && c.wState[m][t] == HELD) {
-        c.wState[m][t] = NONE;
+          && c.workerAttempt[m][t] == placed.attempt
+          && c.workerState[m][t] == PRESENT) {
+        c.workerState[m][t] = NONE;
       }
-      if (fault == Fault.DONE_FORGOTTEN && placed.kept && heeded) {
-        c.wState[m][t] = NONE;
+      if (fault == Fault.DONE_FORGOTTEN && placed.keepCompleted && heeded) {
+        c.workerState[m][t] = NONE;
       }
     }
     lostDone(c);
@@ -651,34 +510,35 @@
    * A completed task must be kept by its worker or by the store; here it is lost only by the end of
    * a lease.
    */
-  private void lostDone(State c) {
+  private void lostDone(ReconciliationModelState c) {
     for (int t = 0; t < bounds.tasks(); t++) {
-      Placed placed = c.placed[t];
-      if (placed.kept
+      TaskRecord placed = c.placed[t];
+      if (placed.keepCompleted
           && !c.logDone[t]
-          && c.wSession[placed.machine] == c.session[placed.machine]
-          && c.wState[placed.machine][t] != DONE
+          && c.workerSession[placed.machine] == c.session[placed.machine]
+          && c.workerState[placed.machine][t] != DONE
           && placed.reportedSeq == c.seq[placed.machine]) {
         c.broken = "a completed task is kept nowhere";
       }
     }
   }
 
-  private void pushed(State s, int t, Deque<State> next) {
-    Placed placed = s.placed[t];
+  private void directStartSent(
+      ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
+    TaskRecord placed = s.placed[t];
     if (placed.machine >= 0
-        && placed.direct < 0
+        && placed.directToken < 0
         && placed.startSeq < 0
         && s.starts.size() < bounds.heldStarts()
-        && finding(s, t).verdict() == TaskDecision.Verdict.START) {
-      State c = s.copy();
+        && decision(s, t).verdict() == TaskDecision.Verdict.START) {
+      ReconciliationModelState c = s.copy();
       int m = placed.machine;
-      c.given[m] =
+      c.issuedToken[m] =
           Math.max(
-              c.given[m],
+              c.issuedToken[m],
               Math.max(firstToken(c.term), c.token[m] / 100 == c.term ? c.token[m] : 0));
-      c.placed[t].direct = c.given[m];
-      c.starts.add(new Start(m, c.given[m], c.session[m], t, placed.attempt));
+      c.placed[t].directToken = c.issuedToken[m];
+      c.starts.add(new Start(m, c.issuedToken[m], c.session[m], t, placed.attempt));
       next.add(c);
     }
   }
@@ -687,48 +547,55 @@
    * A direct start, or a copy, is executed or refused, and answered with the worker's state; its
    * leader takes that, or never hears it.
    */
-  private void arrives(State s, Start start, boolean again, Deque<State> next) {
+  private void directStartArrives(
+      ReconciliationModelState s,
+      Start start,
+      boolean asCopy,
+      Deque<ReconciliationModelState> next) {
     int m = start.machine();
     int t = start.task();
-    State c = s.copy();
-    if (again) {
+    ReconciliationModelState c = s.copy();
+    if (asCopy) {
       c.copies++;
     } else {
       c.starts.remove(start);
     }
-    c.wSeq[m]++;
-    boolean executed = c.wToken[m] <= start.token() && c.wSession[m] == start.session();
+    c.workerSeq[m]++;
+    boolean executed = c.workerToken[m] <= start.token() && c.workerSession[m] == start.session();
     if (executed) {
-      c.wToken[m] = start.token();
+      c.workerToken[m] = start.token();
       begin(c, m, t, start.attempt());
     }
     next.add(c);
-    Placed placed = c.placed[t];
+    TaskRecord placed = c.placed[t];
     if (c.term == start.token() / 100 && placed.machine == m && placed.attempt == start.attempt()) {
-      State told = c.copy();
-      placed = told.placed[t];
-      placed.direct = executed ? placed.direct : -1;
-      if (executed && told.session[m] == start.session() && told.wSeq[m] > told.seq[m]) {
-        told.seq[m] = told.wSeq[m];
-        placed.startSeq = Math.max(placed.startSeq, told.seq[m]);
-        told.token[m] = Math.max(told.token[m], told.wToken[m]);
-        if (told.wState[m][t] == HELD && told.wAttempt[m][t] == placed.attempt) {
-          placed.reportedSeq = told.seq[m];
+      ReconciliationModelState answered = c.copy();
+      placed = answered.placed[t];
+      placed.directToken = executed ? placed.directToken : -1;
+      if (executed
+          && answered.session[m] == start.session()
+          && answered.workerSeq[m] > answered.seq[m]) {
+        answered.seq[m] = answered.workerSeq[m];
+        placed.startSeq = Math.max(placed.startSeq, answered.seq[m]);
+        answered.token[m] = Math.max(answered.token[m], answered.workerToken[m]);
+        if (answered.workerState[m][t] == PRESENT
+            && answered.workerAttempt[m][t] == placed.attempt) {
+          placed.reportedSeq = answered.seq[m];
           placed.seen = true;
         }
       }
-      next.add(told);
+      next.add(answered);
     }
   }
 
-  private void begin(State c, int m, int t, int attempt) {
-    if (c.wState[m][t] != NONE) {
+  private void begin(ReconciliationModelState c, int m, int t, int attempt) {
+    if (c.workerState[m][t] != NONE) {
       return;
     }
-    c.wState[m][t] = HELD;
-    c.wAttempt[m][t] = attempt;
+    c.workerState[m][t] = PRESENT;
+    c.workerAttempt[m][t] = attempt;
     for (int other = 0; other < MACHINES; other++) {
-      if (other != m && c.wState[other][t] == HELD) {
+      if (other != m && c.workerState[other][t] == PRESENT) {
         c.broken = "ran_twice";
       }
     }
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -182,12 +182,12 @@
                       (bits & 2) > 0,
                       (bits & 4) > 0,
                       gangState);
-              TaskDecision finding = TaskReconciler.of(facts);
+              TaskDecision decision = TaskReconciler.of(facts);
               agrees(
                   rows,
                   used,
-                  finding.verdict().name(),
-                  finding.reason(),
+                  decision.verdict().name(),
+                  decision.reason(),
                   record,
                   desired,
                   reported,
@@ -220,12 +220,12 @@
                     worker,
                     (bits & 4) > 0,
                     (bits & 8) > 0);
-            MachineDecision finding = MachineReconciler.of(facts, (bits & 16) > 0);
+            MachineDecision decision = MachineReconciler.of(facts, (bits & 16) > 0);
             agrees(
                 rows,
                 used,
-                finding.verdict().name(),
-                finding.reason(),
+                decision.verdict().name(),
+                decision.reason(),
                 recorded,
                 facts.owned(),
                 facts.returning(),
