--- a/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
@@ -9,6 +9,7 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.TaskAttempt;
 import madderrudder.protocol.Heartbeat;
 import madderrudder.protocol.TaskStatus;
 import madderrudder.protocol.TaskStatus.Phase;
@@ -174,7 +175,7 @@
     return WorkerCommand.stop(assignment.task, assignment.attempt, graceMicros);
   }
 
-  private static Machine.TaskAttempt attemptOf(TaskStatus task) {
-    return new Machine.TaskAttempt(task.task(), task.attempt());
+  private static TaskAttempt attemptOf(TaskStatus task) {
+    return new TaskAttempt(task.task(), task.attempt());
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -107,7 +107,7 @@
       // The answer to an earlier heartbeat carried this term's token, and did not reach the worker.
       expectAcknowledgementUnlessSeen(machine, heartbeat, machine.lastHeardMicros);
     }
-    if (machine.acknowledges(heartbeat.token())) {
+    if (machine.recordAcknowledgement(heartbeat.token())) {
       LOG.debug("answers reach {}", machine.id);
     }
   }
--- a/src/main/java/madderrudder/coordination/heartbeat/SentCommands.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/SentCommands.java
@@ -27,7 +27,7 @@
     }
     for (Assignment start : plan.starts()) {
       if (!start.startSent) {
-        start.toldMicros = nowMicros;
+        start.startSentMicros = nowMicros;
       }
       start.startSent = true;
       start.startSeq = heartbeatSeq;
@@ -48,7 +48,7 @@
   static void noteDirectStarts(Machine machine, CommandPlan plan, long token, long nowMicros) {
     for (Assignment start : plan.starts()) {
       start.startSent = true;
-      start.toldMicros = nowMicros;
+      start.startSentMicros = nowMicros;
       start.directToken = token;
       machine.directToken = token;
     }
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
@@ -129,7 +129,7 @@
             assignment.job.spec.estimateMicros(),
             nowMicros - assignment.runningMicros,
             complete);
-    term.cluster.runTimes.ran(run);
+    term.cluster.runTimes.observe(run);
     term.history.add(term.scheduler.wallMicros(), run);
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
@@ -8,6 +8,8 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.OrphanTask;
+import madderrudder.coordination.state.TaskAttempt;
 import madderrudder.metrics.Metrics.Timing;
 import madderrudder.protocol.Heartbeat;
 import madderrudder.protocol.Resources;
@@ -39,9 +41,9 @@
   /** Applies the status of each task in the report; true if capacity may have become free. */
   boolean applyStatuses(Machine machine, Heartbeat report, long nowMicros) {
     boolean freed = !machine.orphanTasks.isEmpty();
-    List<Machine.OrphanTask> orphanTasks = new ArrayList<>();
+    List<OrphanTask> orphanTasks = new ArrayList<>();
     for (TaskStatus task : report.tasks()) {
-      Machine.TaskAttempt attempt = new Machine.TaskAttempt(task.task(), task.attempt());
+      TaskAttempt attempt = new TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(attempt);
       if (assignment != null) {
         assignment.reportedSeq = report.seq();
@@ -51,7 +53,7 @@
       }
     }
     if (freed || !orphanTasks.isEmpty()) {
-      term.cluster.orphanTasks(machine, orphanTasks);
+      term.cluster.replaceOrphanTasks(machine, orphanTasks);
     }
     return freed;
   }
@@ -117,8 +119,8 @@
           purchaseKind(assignment.machine),
           assignment.waitedMicros / 1000,
           (assignment.durableMicros - assignment.placedMicros) / 1000,
-          (assignment.toldMicros - assignment.durableMicros) / 1000,
-          (nowMicros - assignment.toldMicros) / 1000,
+          (assignment.startSentMicros - assignment.durableMicros) / 1000,
+          (nowMicros - assignment.startSentMicros) / 1000,
           assignment.hadImage ? "" : ", image was not cached");
     }
   }
@@ -130,10 +132,10 @@
     return machine.owned ? "owned" : "on-demand";
   }
 
-  private Machine.OrphanTask orphanTask(Machine.TaskAttempt attempt) {
+  private OrphanTask orphanTask(TaskAttempt attempt) {
     Job job = term.cluster.jobs.get(attempt.task().job());
     return job == null
-        ? new Machine.OrphanTask(attempt, "", Resources.NONE)
-        : new Machine.OrphanTask(attempt, job.spec.team(), job.spec.perTask());
+        ? new OrphanTask(attempt, "", Resources.NONE)
+        : new OrphanTask(attempt, job.spec.team(), job.spec.perTask());
   }
 }
--- a/src/main/java/madderrudder/coordination/leader/ConfidenceTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/ConfidenceTracker.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.leader;
 
 import java.util.Set;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.state.Job;
@@ -23,7 +23,7 @@
   /** Since when workers are answered by what is recorded. */
   private long readyMicros;
 
-  private Confidence confidence = Confidence.FULL;
+  private ClusterCoverage confidence = ClusterCoverage.FULL;
 
   /** The jobs that were within their teams' guarantees when this leader took over. */
   private Set<Job> guaranteed = Set.of();
@@ -35,7 +35,7 @@
    */
   ConfidenceTracker(LeaderTerm term, int members) {
     this.term = term;
-    patienceMicros = Confidence.patienceMicros(term.deployment.workers(), members);
+    patienceMicros = ClusterCoverage.patienceMicros(term.deployment.workers(), members);
     beginMicros = term.scheduler.nowMicros();
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** The confidence as last assessed; full before {@link #begin}. */
-  Confidence confidence() {
+  ClusterCoverage confidence() {
     return confidence;
   }
 
@@ -96,8 +96,8 @@
         && !guaranteed.contains(job);
   }
 
-  private Confidence assess() {
-    return Confidence.of(
+  private ClusterCoverage assess() {
+    return ClusterCoverage.of(
         term.cluster,
         term.scheduler.nowMicros() - readyMicros,
         patienceMicros,
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -40,8 +40,9 @@
     if (!term.policy.delegation()) {
       return 0;
     }
-    long settledMicros = term.cluster.settledMicros(jobs.knownUpToMicros());
-    long fromMicros = Math.min(settledMicros, term.election.leaseEndMicros());
+    long cancellationsSettledMicros =
+        term.cluster.cancellationsSettledMicros(jobs.knownUpToMicros());
+    long fromMicros = Math.min(cancellationsSettledMicros, term.election.leaseEndMicros());
     return Math.max(0, fromMicros + term.safety.answerMicros() - term.scheduler.nowMicros());
   }
 
--- a/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
+++ b/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.function.Predicate;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.scaleout.ScaleOutController;
 import madderrudder.coordination.state.ClusterSummary;
@@ -69,7 +69,7 @@
     writeConfidence(out, confidence.confidence());
   }
 
-  private void writeConfidence(JsonGenerator out, Confidence now) throws IOException {
+  private void writeConfidence(JsonGenerator out, ClusterCoverage now) throws IOException {
     out.writeObjectFieldStart("heard");
     out.writeNumberField("share", now.share());
     out.writeBooleanField("overdue", now.overdue());
@@ -81,9 +81,10 @@
   }
 
   private static void writeShares(
-      JsonGenerator out, String name, Map<String, Confidence.Count> shares) throws IOException {
+      JsonGenerator out, String name, Map<String, ClusterCoverage.Count> shares)
+      throws IOException {
     out.writeObjectFieldStart(name);
-    for (Map.Entry<String, Confidence.Count> share : shares.entrySet()) {
+    for (Map.Entry<String, ClusterCoverage.Count> share : shares.entrySet()) {
       out.writeNumberField(share.getKey(), share.getValue().share());
     }
     out.writeEndObject();
--- a/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
+++ b/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 import madderrudder.coordination.heartbeat.HeartbeatHandler;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
 import madderrudder.coordination.scaleout.ScaleOutController;
@@ -10,7 +10,7 @@
 import madderrudder.coordination.scheduling.Placement;
 import madderrudder.coordination.scheduling.Placer;
 import madderrudder.coordination.scheduling.Preemption;
-import madderrudder.coordination.scheduling.RecallDrain;
+import madderrudder.coordination.scheduling.SpotReclaimDrain;
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Job;
 import madderrudder.metrics.Metrics.Timing;
@@ -87,7 +87,7 @@
     long nowMicros = term.scheduler.nowMicros();
     // A gang goes as a whole: its other tasks are stopped in the same round, so that they can write
     // their checkpoints together.
-    RecallDrain.plan(term.cluster, nowMicros).forEach(machines::evict);
+    SpotReclaimDrain.plan(term.cluster, nowMicros).forEach(machines::evict);
     evictBrokenGangs();
     confidence.refresh();
     Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence.confidence());
@@ -124,7 +124,7 @@
         || (gang.gangStarted && gang.nextWaiting(0) >= 0);
   }
 
-  private static long countHeldBack(Demand demand, Confidence confidence) {
+  private static long countHeldBack(Demand demand, ClusterCoverage confidence) {
     return confidence.complete()
         ? 0
         : demand.waiting().stream().filter(job -> !confidence.suffices(job)).count();
--- a/src/main/java/madderrudder/coordination/leader/StateLoader.java
+++ b/src/main/java/madderrudder/coordination/leader/StateLoader.java
@@ -7,7 +7,6 @@
 import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.registry.StoredStateReader;
 import madderrudder.coordination.scaleout.ScaleOutController;
-import madderrudder.persistence.Keys;
 import madderrudder.protocol.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -48,8 +47,7 @@
     StoredStateReader.read(term, found -> loadWhenCatalogKnown(found, readMicros, onLoaded));
   }
 
-  private void loadWhenCatalogKnown(
-      StoredState found, long readMicros, Runnable onLoaded) {
+  private void loadWhenCatalogKnown(StoredState found, long readMicros, Runnable onLoaded) {
     if (!catalog.known()) {
       term.after(CATALOG_RETRY_MICROS, () -> loadWhenCatalogKnown(found, readMicros, onLoaded));
       return;
@@ -65,8 +63,7 @@
     onLoaded.run();
   }
 
-  private void loadAll(StoredState found, long readMicros)
-      throws MalformedMessageException {
+  private void loadAll(StoredState found, long readMicros) throws MalformedMessageException {
     jobs.load(found, readMicros);
     machines.load(found.logSegments());
     term.cluster.machines.values().forEach(delegation::allowForEarlierLeader);
--- a/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
+++ b/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
@@ -1,10 +1,10 @@
 package madderrudder.coordination.membership;
 
 import java.util.List;
-import madderrudder.persistence.TermKey;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
+import madderrudder.persistence.TermKey;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -104,7 +104,7 @@
   }
 
   @Override
-  public void ran(TaskRun run) {
+  public void observe(TaskRun run) {
     if (estimator.observe(run)) {
       pages.changed(run.profile());
     }
@@ -140,12 +140,12 @@
   }
 
   @Override
-  public long mostMicros(Job job) {
+  public long upperBoundMicros(Job job) {
     return estimateOf(job).highMicros();
   }
 
   @Override
-  public long leftMicros(Assignment assignment, long nowMicros) {
+  public long remainingMicros(Assignment assignment, long nowMicros) {
     long ranMicros = RunTimes.ranMicros(assignment, nowMicros);
     Job job = assignment.job;
     String machineType = assignment.machine.type.name();
--- a/src/main/java/madderrudder/coordination/registry/SegmentedLog.java
+++ b/src/main/java/madderrudder/coordination/registry/SegmentedLog.java
@@ -10,6 +10,7 @@
 import madderrudder.coordination.state.Assignment;
 import madderrudder.coordination.state.Cluster;
 import madderrudder.coordination.state.Machine;
+import madderrudder.coordination.state.TaskAttempt;
 import madderrudder.persistence.LogSegment;
 import madderrudder.protocol.StoreCodec.Write;
 
@@ -91,8 +92,7 @@
     if (machine == null) {
       return;
     }
-    Assignment assignment =
-        machine.assignments.get(new Machine.TaskAttempt(entry.task(), entry.attempt()));
+    Assignment assignment = machine.assignments.get(new TaskAttempt(entry.task(), entry.attempt()));
     if (assignment != null) {
       segment.placed.add(assignment);
       assignment.logReference = segment;
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.scaleout;
 
 import java.util.List;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.reconciliation.MachineDecision;
 import madderrudder.coordination.reconciliation.MachineFacts;
 import madderrudder.coordination.reconciliation.MachineFacts.Listed;
@@ -48,7 +48,7 @@
   }
 
   /** Decides on each machine and acts on it. */
-  void run(long nowMicros, Confidence confidence) {
+  void run(long nowMicros, ClusterCoverage confidence) {
     boolean mayRetire = placingLongEnough(nowMicros);
     boolean mostSilent = mostAreSilent();
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
@@ -104,7 +104,7 @@
   private void retire(Machine machine, String reason, long nowMicros) {
     // A machine that an earlier leader rented may have come up and failed since.
     if (machine.booting() && !machine.inherited) {
-      poolLimits.bootFailed(machine.capacityPool(), nowMicros);
+      poolLimits.recordBootFailure(machine.capacityPool(), nowMicros);
     }
     machines.retire(machine, reason);
   }
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -13,7 +13,6 @@
 import madderrudder.persistence.RentalRecord;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec.Item;
 import madderrudder.protocol.StoreCodec.Write;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -9,6 +9,7 @@
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
 import madderrudder.coordination.registry.StoredState;
+import madderrudder.coordination.state.CapacityPool;
 import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Machine;
 import madderrudder.coordination.state.ScaleOutRequest;
@@ -85,12 +86,12 @@
   }
 
   /** Whether a request of this type, zone and kind is open. */
-  boolean anyOpenFor(ScaleOutRequest.CapacityPool pool) {
+  boolean anyOpenFor(CapacityPool pool) {
     return openRequests.values().stream().anyMatch(rental -> pool(rental).equals(pool));
   }
 
-  private static ScaleOutRequest.CapacityPool pool(RentalRecord rental) {
-    return new ScaleOutRequest.CapacityPool(rental.type(), rental.zone(), rental.spot());
+  private static CapacityPool pool(RentalRecord rental) {
+    return new CapacityPool(rental.type(), rental.zone(), rental.spot());
   }
 
   private ScaleOutRequest request(RentalRecord rental) {
@@ -171,7 +172,7 @@
 
   /** The outcome is known: adds the rented machines, and drops the intent. */
   private void complete(RentalRecord rental, List<String> machineIds) {
-    poolLimits.answered(
+    poolLimits.recordAnswer(
         pool(rental), rental.count(), machineIds.size(), term.scheduler.nowMicros());
     openRequests.remove(rental.request());
     for (String machineId : machineIds) {
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -2,12 +2,13 @@
 
 import java.util.List;
 import madderrudder.coordination.cloud.CloudClient;
-import madderrudder.coordination.reconciliation.Confidence;
+import madderrudder.coordination.reconciliation.ClusterCoverage;
 import madderrudder.coordination.registry.LeaderTerm;
 import madderrudder.coordination.registry.MachineRegistry;
 import madderrudder.coordination.registry.StoredState;
 import madderrudder.coordination.scheduling.Demand;
 import madderrudder.coordination.scheduling.ScaleOutPlanner;
+import madderrudder.coordination.state.CapacityPool;
 import madderrudder.coordination.state.CapacityPoolLimits;
 import madderrudder.coordination.state.Machine;
 import madderrudder.coordination.state.ScaleOutRequest;
@@ -72,7 +73,7 @@
 
   /** Tells that a machine has sent its first heartbeat. */
   public void machineUp(Machine machine) {
-    poolLimits.booted(machine.capacityPool());
+    poolLimits.recordBoot(machine.capacityPool());
   }
 
   /** How many machines may still be rented against the budget now. */
@@ -114,8 +115,8 @@
   }
 
   /** One request per pool at a time, so that its outcome is known before the next one. */
-  private int mostPerRequest(ScaleOutRequest.CapacityPool pool, long nowMicros) {
-    return requests.anyOpenFor(pool) ? 0 : poolLimits.most(pool, nowMicros);
+  private int mostPerRequest(CapacityPool pool, long nowMicros) {
+    return requests.anyOpenFor(pool) ? 0 : poolLimits.requestLimit(pool, nowMicros);
   }
 
   /**
@@ -125,7 +126,7 @@
    * @param nowMicros the time on the scheduler's clock
    * @param confidence how much of the cluster has been heard in this term
    */
-  public void reconcileMachines(long nowMicros, Confidence confidence) {
+  public void reconcileMachines(long nowMicros, ClusterCoverage confidence) {
     reconciliation.run(nowMicros, confidence);
   }
 }
--- a/src/test/java/madderrudder/coordination/heartbeat/SentCommandsTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/SentCommandsTest.java
@@ -38,7 +38,7 @@
   void aRepeatedStartKeepsTheTimeOfTheFirst() {
     SentCommands.noteAnswer(machine, start, SEQ, SECOND);
     SentCommands.noteAnswer(machine, start, SEQ + 1, 2 * SECOND);
-    assertEquals(SECOND, assignment.toldMicros);
+    assertEquals(SECOND, assignment.startSentMicros);
     assertEquals(SEQ + 1, assignment.startSeq);
   }
 
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -169,26 +169,32 @@
     List<List<String>> rows = table("Tasks");
     Set<List<String>> used = new HashSet<>();
     for (RecordOwner record : RecordOwner.values()) {
-      for (DesiredState wish : DesiredState.values()) {
-        for (ReportedState told : ReportedState.values()) {
+      for (DesiredState desired : DesiredState.values()) {
+        for (ReportedState reported : ReportedState.values()) {
           for (int bits = 0; bits < 8; bits++) {
-            for (GangState mates : GangState.values()) {
+            for (GangState gangState : GangState.values()) {
               TaskFacts facts =
                   new TaskFacts(
-                      record, wish, told, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0, mates);
-              TaskDecision finding = TaskReconciler.of(facts);
+                      record,
+                      desired,
+                      reported,
+                      (bits & 1) > 0,
+                      (bits & 2) > 0,
+                      (bits & 4) > 0,
+                      gangState);
+              TaskDecision decision = TaskReconciler.of(facts);
               agrees(
                   rows,
                   used,
-                  finding.verdict().name(),
-                  finding.reason(),
+                  decision.verdict().name(),
+                  decision.reason(),
                   record,
-                  wish,
-                  told,
+                  desired,
+                  reported,
                   facts.mayCome(),
                   facts.seen(),
                   facts.durable(),
-                  mates);
+                  gangState);
             }
           }
         }
@@ -214,19 +220,19 @@
                     worker,
                     (bits & 4) > 0,
                     (bits & 8) > 0);
-            MachineDecision finding = MachineReconciler.of(facts, (bits & 16) > 0);
+            MachineDecision decision = MachineReconciler.of(facts, (bits & 16) > 0);
             agrees(
                 rows,
                 used,
-                finding.verdict().name(),
-                finding.reason(),
+                decision.verdict().name(),
+                decision.reason(),
                 recorded,
                 facts.owned(),
                 facts.returning(),
                 listed,
                 worker,
                 facts.empty(),
-                facts.most(),
+                facts.mostAlike(),
                 (bits & 16) > 0);
           }
         }
--- a/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
+++ b/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
@@ -51,7 +51,7 @@
     TaskId task = new TaskId("req-1", nextTask++);
     Assignment assignment =
         new Assignment(task, 1, machine, "alto", Resources.of(1, 0, 1), null, false, 0);
-    cluster.hold(assignment);
+    cluster.addAssignment(assignment);
     log.pending().placed.add(assignment);
     return assignment;
   }
