--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -19,8 +19,8 @@
  * A job of one or two tasks, two machines and leaders that follow one another, each ending at any
  * step: every course of events, with reports and direct starts that are held for as long as it
  * pleases, and come again as copies. What a leader concludes is asked of the very {@link
- * TaskReconciler} that the service uses. That a leader takes a lease for ended only once it has is
- * taken for granted here: {@code DelegationModel} explores that.
+ * TaskReconciler} that the service uses. That a leader takes a lease for expired only once it has
+ * is taken for granted here: {@code DelegationModel} explores that.
  */
 final class ReconciliationModel {
   private static final int MACHINES = ReconciliationModelState.MACHINES;
--- a/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
@@ -17,8 +17,8 @@
 /** The order in which waiting jobs get capacity. */
 class DemandTest extends PlanningFixture {
   /**
-   * While gangs came several times as often, bulk work within guarantees took all room before those
-   * beyond.
+   * While gangs came several times as often, bulk work within guarantees took all capacity before
+   * gangs beyond.
    */
   @Test
   void aPromptGangComesBeforeLowerWorkWithinGuarantees() {
@@ -61,9 +61,9 @@
   }
 
   /**
-   * What can't be in time comes last, and once did so for as long as others came that could: by and
-   * by it moves ahead of all others that lie within no guarantee, and back to its place once it has
-   * begun.
+   * A job that cannot be in time comes last, and once did so for as long as others came that could.
+   * It now moves ahead step by step of all others within no guarantee, and back to its place once
+   * it has begun.
    */
   @Test
   void aStarvedJobMovesAheadUntilItHasBegun() {
--- a/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Where waits are wanted shorter than a boot, ordinary work leaves a share of the room to what is
+   * Where starts are wanted sooner than a machine boots, ordinary work leaves headroom to what is
    * urgent.
    */
   @Test
@@ -68,7 +68,8 @@
     hasty.jobs.put("req-2", job("req-2", "basso", JobKind.ARRAY, Priority.HIGH, 4, 2, false));
     assertEquals(4, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), SECOND).size());
     hasty.jobs.remove("req-2");
-    // Where nothing can be rented it once waited beside that room for ever; nobody is to do so for
+    // Where nothing could be rented it once waited beside the headroom for ever; nobody is to do so
+    // for
     // 90 s.
     assertEquals(2, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), 59 * SECOND).size());
     assertEquals(4, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), 70 * SECOND).size());
@@ -76,7 +77,7 @@
 
   /**
    * A machine on which tasks of two jobs failed is passed over, for less than the 90 s that nobody
-   * is to wait beside its room.
+   * is to wait beside free capacity.
    */
   @Test
   void aCordonedMachineIsPassedOverForAMinute() {
@@ -126,7 +127,8 @@
     Job small = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 1, false);
     Assignment going = put(small, 0, partly);
     Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
-    // Until the other machine is being emptied for it, the gang lacks one; the free one is kept.
+    // Until the other machine is being emptied for it, the gang lacks one; the free one is
+    // reserved.
     assertEquals(
         List.of(partly, partly, partly),
         Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND).stream()
@@ -142,7 +144,7 @@
   }
 
   /**
-   * Room that comes free by itself is kept for a gang that lacks it, as room that is being made is.
+   * Capacity that comes free by itself is reserved for a gang, as capacity freed by preemption is.
    */
   @Test
   void capacityThatComesFreeIsReservedForAGang() {
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
@@ -84,7 +84,7 @@
 
   /**
    * A mistake in a job costs next to nothing: no rental, and one task at a time, each later than
-   * the one before. Its three hundred tasks once were tried each on its own account.
+   * the one before. Its three hundred tasks were once tried each on its own account.
    */
   @Test
   void aJobThatFailsEverywhereCostsNextToNothing() {
--- a/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
@@ -33,7 +33,8 @@
   }
 
   /**
-   * Room made by stopping must not go back to what was stopped: that once spun thousands of starts.
+   * Capacity freed by preemption must not go back to what was preempted: that once caused thousands
+   * of starts in a loop.
    */
   @Test
   void preemptedWorkComesAfterWhatItWasPreemptedFor() {
@@ -69,13 +70,14 @@
     assertEquals(1, Preemption.plan(known, POLICY, Demand.of(known, 0), SECOND).size());
     ending.add(one);
     assertEquals(Set.of(), Preemption.plan(known, POLICY, Demand.of(known, 0), SECOND));
-    // It frees room for one task only.
+    // The task that ends frees capacity for one task only.
     known.jobs.put("req-3", job("req-3", "canto", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false));
     assertEquals(Set.of(other), Preemption.plan(known, POLICY, Demand.of(known, 0), SECOND));
   }
 
   /**
-   * A held task may not use rented room yet: stopping work there for it once went on without end.
+   * A task below the threshold may not use rented machines yet: preempting there for it once went
+   * on without end.
    */
   @Test
   void nothingIsPreemptedWhereTheTaskMayNotGoYet() {
@@ -91,7 +93,7 @@
     assertEquals(1, Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 21 * SECOND).size());
   }
 
-  /** All the room that a gang lacks is made, where least is lost, or none. */
+  /** All that a gang lacks is freed, where least is lost, or nothing. */
   @Test
   void preemptionForAGangFreesAllItNeedsOrNothing() {
     Machine light = machine("m-0", "east", true);
--- a/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
@@ -52,7 +52,8 @@
   }
 
   /**
-   * Production that may not use cheap machines starts at once only in steady room, free or made.
+   * Production that may not use spot instances starts at once only on steady machines, in free
+   * capacity or by preemption.
    */
   @Test
   void ordinaryWorkRentsSteadyMachinesUntilProductionHasItsHeadroom() {
@@ -142,7 +143,7 @@
     silent.lastHeardMicros = 0;
     List<ScaleOutRequest> rented = scaleOut(later, 10);
     assertEquals(1, rented.stream().mapToInt(ScaleOutRequest::count).sum());
-    // What is on its way counts as room, so that nothing is rented twice.
+    // What is on its way counts as capacity, so that nothing is rented twice.
     assertEquals(
         List.of(),
         ScaleOutPlanner.plan(
@@ -153,7 +154,7 @@
   }
 
   /**
-   * What boots for far longer than its type takes is no room any more; what it is replaced by is.
+   * A machine that boots for far longer than its type takes no longer counts; its replacement does.
    */
   @Test
   void aBootThatIsFarTooLateIsNotCountedAsCapacity() {
--- a/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
@@ -12,7 +12,7 @@
 
 /** What is stopped on machines that the cloud reclaims. */
 class SpotReclaimDrainTest extends PlanningFixture {
-  /** Tasks on a machine that was taken away were started again only once its lease was over. */
+  /** Tasks on a reclaimed machine were once started again only after its lease had expired. */
   @Test
   void tasksThatCannotEndBeforeTheReclaimAreStopped() {
     Machine going = machine("m-0", "east", false);
--- a/src/test/java/madderrudder/coordination/state/ClusterTest.java
+++ b/src/test/java/madderrudder/coordination/state/ClusterTest.java
@@ -13,9 +13,9 @@
 /** Totals that the cluster keeps. */
 class ClusterTest extends PlanningFixture {
   /**
-   * What others may be let answer counts from before the oldest cancellation that may not have come
-   * through everywhere: a deputy that hears the leader, whose worker can't, would keep a cancelled
-   * task alive for ever.
+   * Grants to other controllers count from before the oldest cancellation that may not have taken
+   * effect everywhere: a controller that hears the leader while its worker cannot would otherwise
+   * keep a cancelled task alive for ever.
    */
   @Test
   void cancellationsAreSettledOnceNoTaskOfTheirJobsMayBeLeft() {
