--- /dev/null
+++ b/src/test/java/madderrudder/sim/StoreFaults.java
@@ -0,0 +1,105 @@
+package madderrudder.sim;
+
+/**
+ * Scripts of a store that is slow, refuses, or loses requests and replies. See {@link
+ * FaultCombination}.
+ */
+final class StoreFaults {
+  private StoreFaults() {}
+
+  /** Transactions get no reply, and are applied after newer ones of the same controller. */
+  static final class DelayedCommits extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      cluster.store.delayCommits(0.3, 45 * SECOND);
+      in(cluster, 10, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
+      in(cluster, 18, () -> cluster.crash(cluster.leader(), SECOND / 2));
+      in(cluster, 26, () -> cluster.users.cancelRunning(4));
+      in(cluster, 30, () -> cluster.controllers().forEach(name -> cluster.crash(name, 2 * SECOND)));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.store.lateConflicts > 3;
+    }
+  }
+
+  /**
+   * Transactions are applied at once and only their reply is lost, while other controllers read
+   * what they wrote.
+   */
+  static final class LostReplies extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.store.lostReplies;
+      cluster.store.loseReplies(0.3, 50 * SECOND);
+      cluster.users.pollClosely(50 * SECOND);
+      in(cluster, 9, () -> cluster.pause(cluster.leader(), 5 * SECOND));
+      in(cluster, 18, () -> cluster.crash(cluster.leader(), SECOND / 2));
+      in(cluster, 26, () -> cluster.users.cancelRunning(5));
+      in(cluster, 30, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
+      in(cluster, 38, () -> cluster.controllers().forEach(name -> cluster.crash(name, 2 * SECOND)));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.store.lostReplies > before + 5;
+    }
+  }
+
+  /**
+   * Jobs are cancelled at the moment at which the store refuses the leader alone; a second later it
+   * is unavailable for longer than the cancellation time.
+   */
+  static final class LeaderRefusedDuringCancellation extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      String leader = cluster.leader();
+      for (String other : cluster.controllers()) {
+        if (!other.equals(leader)) {
+          cluster.users.cancelRunningAt(other, 4);
+        }
+      }
+      cluster.store.refuse(leader, 34 * SECOND);
+      cluster.scheduler.after(
+          SECOND + cluster.scheduler.random.nextLong(SECOND),
+          () -> {
+            seen = cluster.invariants.runningCancelledTasks();
+            cluster.store.outage(33 * SECOND);
+          });
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 0;
+    }
+  }
+
+  /**
+   * The store answers slowly, then refuses the leader alone, then everybody, while users cancel and
+   * poll.
+   */
+  static final class SlowThenUnavailableStore extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      cluster.users.pollMoreOften(6, 60 * SECOND);
+      cluster.store.slowDown(90, 20 * SECOND);
+      for (int second = 1; second < 22; second += 3) {
+        in(cluster, second, () -> cluster.users.cancelRunning(1));
+      }
+      in(cluster, 16, () -> cluster.store.refuse(cluster.leader(), 12 * SECOND));
+      in(cluster, 19, () -> cluster.store.outage(32 * SECOND));
+      for (int second = 1; second < 50; second++) {
+        in(
+            cluster,
+            second,
+            () -> seen = Math.max(seen, cluster.invariants.runningCancelledTasks()));
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 0;
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/UserFaults.java
@@ -0,0 +1,98 @@
+package madderrudder.sim;
+
+/**
+ * Scripts of users who cancel, repeat and poll at the worst moments. See {@link FaultCombination}.
+ */
+final class UserFaults {
+  private UserFaults() {}
+
+  /** A cancellation, a poll or a repeated submission meets the end of a job's last task. */
+  static final class CancellationAtCompletion extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.users.cancelledAtCompletion;
+      cluster.users.cancelAtCompletion(0.8, 60 * SECOND);
+      // With a slower store, more writes and reads of different controllers overlap.
+      cluster.store.slowDown(cluster.scheduler.chance(0.5) ? 12 : 1, 60 * SECOND);
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.users.cancelledAtCompletion > before + 2;
+    }
+  }
+
+  /**
+   * Users ask every controller within milliseconds after each change, submit again and cancel;
+   * controllers are slow, partitioned or new.
+   */
+  static final class ClosePolling extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.users.closePolls;
+      cluster.users.pollClosely(55 * SECOND);
+      in(
+          cluster,
+          5,
+          () -> cluster.network.partition(cluster.controllers().get(0), "store", true, 6 * SECOND));
+      in(cluster, 14, () -> cluster.flap(cluster.controllers().get(1)));
+      in(cluster, 20, () -> cluster.pause(cluster.controllers().get(2), 4 * SECOND));
+      in(cluster, 26, () -> cluster.store.slowDown(60, 10 * SECOND));
+      in(cluster, 30, () -> cluster.users.cancelRunning(5));
+      in(cluster, 40, () -> cluster.crash(cluster.leader(), SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.users.closePolls > before + 60;
+    }
+  }
+
+  /** Users submit again, cancel what is done, and send jobs that can't run or lack a field. */
+  static final class InvalidRequests extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.users.invalidRequests;
+      cluster.users.sendInvalidRequests(60 * SECOND);
+      in(cluster, 8, () -> cluster.cloud.outage(30 * SECOND));
+      in(cluster, 10, () -> cluster.controllers().forEach(name -> cluster.crash(name, 2 * SECOND)));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.users.invalidRequests > before + 200;
+    }
+  }
+
+  /**
+   * Running jobs are cancelled within a fifth of a second, and their machines hang, some beyond
+   * their leases.
+   */
+  static final class CancellationOnHungMachines extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      for (int second = 0; second < 40; second += 10) {
+        in(
+            cluster,
+            second,
+            () -> {
+              cluster.cancelAndHang(6, 3 * SECOND + cluster.scheduler.random.nextLong(15 * SECOND));
+              seen = Math.max(seen, cluster.invariants.runningTasks());
+            });
+        in(
+            cluster,
+            second + 1,
+            () -> {
+              if (cluster.scheduler.chance(0.5)) {
+                cluster.crash(cluster.leader(), 2 * SECOND);
+              }
+            });
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 5;
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/WorkloadFaults.java
@@ -0,0 +1,201 @@
+package madderrudder.sim;
+
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.JobSpec;
+import madderrudder.protocol.Priority;
+
+/**
+ * Scripts of loads that fill quotas and machines, with faults in the middle. See {@link
+ * FaultCombination}.
+ */
+final class WorkloadFaults {
+  private WorkloadFaults() {}
+
+  /**
+   * Every team is at its limit while jobs are cancelled whose machines are partitioned or hang, and
+   * the leader changes.
+   */
+  static final class CancellationsAtQuota extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      submitServices(cluster, 9);
+      whenAtLimit(
+          cluster,
+          50,
+          () -> {
+            long forMicros = 12 * SECOND + cluster.scheduler.random.nextLong(10 * SECOND);
+            for (String job : cluster.users.cancelRunning(8)) {
+              for (SimWorker worker : cluster.invariants.machinesOf(job)) {
+                if (cluster.scheduler.chance(0.5)) {
+                  worker.hang(SECOND + cluster.scheduler.random.nextLong(9 * SECOND));
+                } else {
+                  cluster
+                      .controllers()
+                      .forEach(
+                          name ->
+                              cluster.network.partition(
+                                  name, worker.id, cluster.scheduler.chance(0.5), forMicros));
+                }
+              }
+            }
+            in(cluster, 1, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+            in(cluster, 12, () -> cluster.crash(cluster.leader(), SECOND / 3));
+            in(cluster, 20, () -> cluster.users.cancelRunning(6));
+          });
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 0;
+    }
+  }
+
+  /**
+   * Every team is at its limit at a failover, some of its machines can't be asked what they run,
+   * and users cancel meanwhile.
+   */
+  static final class FailoverAtQuota extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      submitServices(cluster, 9);
+      whenAtLimit(
+          cluster,
+          50,
+          () -> {
+            cluster.cloud.workers().stream()
+                .filter(worker -> cluster.scheduler.chance(0.4))
+                .forEach(
+                    worker -> {
+                      if (cluster.scheduler.chance(0.5)) {
+                        cluster.network.blockOutbound(worker.id, 20 * SECOND);
+                      }
+                      cluster
+                          .controllers()
+                          .forEach(
+                              name ->
+                                  cluster.network.partition(
+                                      name, worker.id, cluster.scheduler.chance(0.5), 7 * SECOND));
+                    });
+            cluster.crash(cluster.leader(), 2 * SECOND);
+            for (int second = 1; second < 10; second += 2) {
+              in(cluster, second, () -> cluster.users.cancelRunning(2));
+            }
+          });
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 0;
+    }
+  }
+
+  /** Four one-task jobs a second, a quarter of them cancelled; the leader crashes in the middle. */
+  static final class JobBurst extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.users.submitted.size();
+      for (int quarter = 0; quarter < 200; quarter++) {
+        JobSpec job =
+            JobSpecBuilder.job(String.format("req-6%05d", quarter), "swarm")
+                .priority(Priority.LOW)
+                .perTask(0.25, 0.5)
+                .image("img-1", 0.2)
+                .estimateMicros(2_000_000)
+                .build();
+        cluster.scheduler.after(quarter * SECOND / 4, () -> cluster.users.submitJob(job));
+        if (quarter % 4 == 0) {
+          cluster.scheduler.after(
+              quarter * SECOND / 4 + cluster.scheduler.random.nextLong(6 * SECOND),
+              () -> cluster.users.cancel(job.id()));
+        }
+      }
+      in(cluster, 20, () -> cluster.crash(cluster.leader(), SECOND));
+      in(cluster, 35, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.users.submitted.size() >= before + 200;
+    }
+  }
+
+  /** More work than capacity, urgent and not, over slow links. */
+  static final class Overload extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      cluster.network.slowDown(150, 50 * SECOND);
+      for (int i = 0; i < 24; i++) {
+        JobSpec job =
+            JobSpecBuilder.job("req-5000" + (10 + i), i % 2 == 0 ? "rush" : "heap")
+                .team(TEAMS.get(i % 3))
+                .priority(i % 2 == 0 ? Priority.HIGH : Priority.LOW)
+                .tasks(6)
+                .perTask(2, 4)
+                .image("img-" + i % 4, 1)
+                .estimateMicros(6_000_000)
+                .build();
+        in(cluster, i / 4, () -> cluster.users.submitJob(job));
+      }
+      for (int second = 12; second < 40; second += 4) {
+        in(cluster, second, () -> seen = Math.max(seen, cluster.invariants.waitingTasks()));
+      }
+      in(cluster, 20, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 20;
+    }
+  }
+
+  /** Jobs bound to one zone, arrays too, lose machines, and the zone is partitioned for a while. */
+  static final class ZoneBoundJobs extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      for (int i = 0; i < 10; i++) {
+        boolean array = i % 3 > 0;
+        JobSpec job =
+            JobSpecBuilder.job("req-40000" + i, "bound")
+                .kind(array ? JobKind.ARRAY : JobKind.GANG)
+                .tasks(array ? 5 : 2)
+                .perTask(1, 2)
+                .image("img-2", 1)
+                .zone(array && i % 2 == 0 ? "east" : null)
+                .oneZone(!array || i % 2 == 1)
+                .estimateMicros(8_000_000)
+                .build();
+        in(cluster, i, () -> cluster.users.submitJob(job));
+      }
+      for (int second = 8; second < 36; second += 7) {
+        in(
+            cluster,
+            second,
+            () ->
+                cluster.cloud.workers().stream()
+                    .filter(
+                        worker ->
+                            worker.zone.equals("east")
+                                && cluster.invariants.tasksOn(worker) > 0
+                                && (seen < 2 || cluster.scheduler.chance(0.4)))
+                    .forEach(
+                        worker -> {
+                          seen++;
+                          if (cluster.scheduler.chance(0.5)) {
+                            cluster.cloud.terminate(worker);
+                          } else {
+                            worker.hang(15 * SECOND);
+                          }
+                        }));
+      }
+      in(
+          cluster,
+          20,
+          () -> cluster.partitionZone("east", cluster.scheduler.chance(0.5), 13 * SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 1;
+    }
+  }
+}
