--- a/src/test/java/madderrudder/sim/FaultScript.java
+++ b/src/test/java/madderrudder/sim/FaultScript.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.LongSupplier;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Priority;
@@ -71,6 +72,21 @@
     }
   }
 
+  /** Keeps in {@link #seen} the highest value at the seconds given, the last one excluded. */
+  void observeMax(
+      SimulatedCluster cluster, int fromSecond, int toSecond, int step, LongSupplier value) {
+    for (int second = fromSecond; second < toSecond; second += step) {
+      in(cluster, second, () -> seen = Math.max(seen, value.getAsLong()));
+    }
+  }
+
+  /** Partitions a worker from each controller; a coin decides each time whether it buffers. */
+  static void partitionFromControllers(SimulatedCluster cluster, SimWorker worker, long forMicros) {
+    for (String name : cluster.controllers()) {
+      cluster.network.partition(name, worker.id, cluster.scheduler.chance(0.5), forMicros);
+    }
+  }
+
   static void in(SimulatedCluster cluster, int seconds, Runnable action) {
     cluster.scheduler.after(seconds * SECOND, action);
   }
--- a/src/test/java/madderrudder/sim/LoopbackServices.java
+++ b/src/test/java/madderrudder/sim/LoopbackServices.java
@@ -22,6 +22,7 @@
   private final SimStore store;
   private final SimCloud cloud;
 
+  /** Starts both; {@code real} drives their virtual time and must be the thread that calls them. */
   public LoopbackServices(Scheduler real) {
     Deployment deployment =
         new Deployment(
@@ -49,11 +50,13 @@
     real.every(STEP_MICROS, () -> scheduler.runUntil(real.nowMicros() - beginMicros, () -> {}));
   }
 
+  /** The state service; to be called on the scheduler's thread. */
   public HttpHandler store() {
     HttpHandler exchange = store.endpointFor("n-0");
     return (HttpRequest request, Consumer<HttpResponse> answer) -> exchange.handle(request, answer);
   }
 
+  /** The cloud provider; to be called on the scheduler's thread. */
   public HttpHandler cloud() {
     return cloud;
   }
--- a/src/test/java/madderrudder/sim/NetworkFaults.java
+++ b/src/test/java/madderrudder/sim/NetworkFaults.java
@@ -41,13 +41,7 @@
         long forMicros = 3 * SECOND + cluster.scheduler.random.nextLong(25 * SECOND);
         switch (cluster.scheduler.random.nextInt(3)) {
           case 0 -> cluster.network.blockInbound(worker.id, forMicros);
-          case 1 ->
-              cluster
-                  .controllers()
-                  .forEach(
-                      name ->
-                          cluster.network.partition(
-                              name, worker.id, cluster.scheduler.chance(0.5), forMicros));
+          case 1 -> partitionFromControllers(cluster, worker, forMicros);
           default -> {}
         }
       }
@@ -70,12 +64,7 @@
       cluster.isolateFromStoreAndPeers(
           cluster.leader(), cluster.scheduler.chance(0.5), 45 * SECOND);
       in(cluster, 6, () -> cluster.users.cancelRunning(5));
-      for (int second = 7; second < 40; second++) {
-        in(
-            cluster,
-            second,
-            () -> seen = Math.max(seen, cluster.invariants.runningCancelledTasks()));
-      }
+      observeMax(cluster, 7, 40, 1, cluster.invariants::runningCancelledTasks);
     }
 
     @Override
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -323,7 +323,7 @@
    * one that was delayed for long; its reply is dropped.
    */
   void deliverLateHeartbeat(String node, SimWorker worker, long session, long seq, boolean exits) {
-    HttpRequest lateClient =
+    HttpRequest heartbeat =
         HttpRequest.post(
             "/hello",
             Json.object(
@@ -342,7 +342,7 @@
                 }));
     network
         .clientOf("late", scheduler.new HostClock(1, 0))
-        .call(addresses.get(node), lateClient, SECOND, response -> {});
+        .call(addresses.get(node), heartbeat, SECOND, response -> {});
   }
 
   /** The status of a controller's answer within the time, 0 for none. */
@@ -364,12 +364,12 @@
   }
 
   /** Sends a heartbeat with the given body, whatever it says. */
-  void sendHeartbeat(String node, String deliverLateHeartbeat, Consumer<HttpResponse> answer) {
+  void sendHeartbeat(String node, String body, Consumer<HttpResponse> answer) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
         .call(
             addresses.get(node),
-            HttpRequest.post("/hello", deliverLateHeartbeat.getBytes(StandardCharsets.UTF_8)),
+            HttpRequest.post("/hello", body.getBytes(StandardCharsets.UTF_8)),
             2 * SECOND,
             answer);
   }
@@ -381,6 +381,7 @@
     controllers().forEach(other -> network.partition(node, other, buffered, forMicros));
   }
 
+  /** Ends a controller process and starts another of its name after the time. */
   void crash(String name, long forMicros) {
     ControllerProcess ended = processes.remove(name);
     if (ended != null) {
@@ -390,10 +391,11 @@
     }
   }
 
+  /** Pauses a controller process; see {@link SimScheduler.HostClock#pause}. */
   void pause(String name, long forMicros) {
-    ControllerProcess frozen = processes.get(name);
-    if (frozen != null) {
-      frozen.clock().pause(forMicros);
+    ControllerProcess paused = processes.get(name);
+    if (paused != null) {
+      paused.clock().pause(forMicros);
     }
   }
 
@@ -404,10 +406,12 @@
     }
   }
 
+  /** See {@link SimNetwork#partitionZone}. */
   void partitionZone(String zone, boolean buffered, long forMicros) {
     network.partitionZone(zone, buffered, forMicros);
   }
 
+  /** Partitions a controller from all workers that are there now. */
   void partitionFromWorkers(String node, boolean buffered, long forMicros) {
     cloud.workers().forEach(worker -> network.partition(node, worker.id, buffered, forMicros));
   }
--- a/src/test/java/madderrudder/sim/StoreFaults.java
+++ b/src/test/java/madderrudder/sim/StoreFaults.java
@@ -89,12 +89,7 @@
       }
       in(cluster, 16, () -> cluster.store.refuse(cluster.leader(), 12 * SECOND));
       in(cluster, 19, () -> cluster.store.outage(32 * SECOND));
-      for (int second = 1; second < 50; second++) {
-        in(
-            cluster,
-            second,
-            () -> seen = Math.max(seen, cluster.invariants.runningCancelledTasks()));
-      }
+      observeMax(cluster, 1, 50, 1, cluster.invariants::runningCancelledTasks);
     }
 
     @Override
--- a/src/test/java/madderrudder/sim/WorkloadFaults.java
+++ b/src/test/java/madderrudder/sim/WorkloadFaults.java
@@ -29,12 +29,7 @@
                 if (cluster.scheduler.chance(0.5)) {
                   worker.hang(SECOND + cluster.scheduler.random.nextLong(9 * SECOND));
                 } else {
-                  cluster
-                      .controllers()
-                      .forEach(
-                          name ->
-                              cluster.network.partition(
-                                  name, worker.id, cluster.scheduler.chance(0.5), forMicros));
+                  partitionFromControllers(cluster, worker, forMicros);
                 }
               }
             }
@@ -69,12 +64,7 @@
                       if (cluster.scheduler.chance(0.5)) {
                         cluster.network.blockOutbound(worker.id, 20 * SECOND);
                       }
-                      cluster
-                          .controllers()
-                          .forEach(
-                              name ->
-                                  cluster.network.partition(
-                                      name, worker.id, cluster.scheduler.chance(0.5), 7 * SECOND));
+                      partitionFromControllers(cluster, worker, 7 * SECOND);
                     });
             cluster.crash(cluster.leader(), 2 * SECOND);
             for (int second = 1; second < 10; second += 2) {
@@ -136,9 +126,7 @@
                 .build();
         in(cluster, i / 4, () -> cluster.users.submitJob(job));
       }
-      for (int second = 12; second < 40; second += 4) {
-        in(cluster, second, () -> seen = Math.max(seen, cluster.invariants.waitingTasks()));
-      }
+      observeMax(cluster, 12, 40, 4, cluster.invariants::waitingTasks);
       in(cluster, 20, () -> cluster.crash(cluster.leader(), 3 * SECOND));
     }
 
