--- a/bench/Regress.java
+++ b/bench/Regress.java
@@ -147,7 +147,10 @@
     private record Entry(String id, String command, boolean quick, String site, double score, String error,
             List<Day> days) {
         String kind() {
-            return command.equals("score") ? quick ? "quick" : "full" : command;
+            if (!command.equals("score")) {
+                return command;
+            }
+            return quick ? "quick" : "full";
         }
     }
 
@@ -361,53 +364,71 @@
         boolean fine = !entries.isEmpty();
         Map<String, List<Entry>> rounds = new LinkedHashMap<>();
         for (Entry entry : entries) {
-            List<String> remarks = new ArrayList<>();
-            if (entry.error() != null) {
-                remarks.add("failed: " + entry.error().lines().findFirst().orElse(""));
-            }
-            entry.days().forEach(day -> remarks.addAll(day.failings()));
+            List<String> remarks = remarks(entry);
             // A process that ends by itself lowers the figure; alone it is no reason to refuse the run.
             fine &= remarks.isEmpty();
-            long restarts = entry.days().stream().mapToLong(Day::restarts).sum();
-            System.out.printf(Locale.ROOT, "%-26s %-6s %-9s %8s  %s%n", entry.site(), entry.kind(), entry.id(),
-                    entry.score() < 0 ? "-" : String.format(Locale.ROOT, "%.3f", entry.score()),
-                    (remarks.isEmpty() ? "none" : String.join("; ", remarks)) + ", " + restarts + " ended");
-            for (Day day : entry.days()) {
-                System.out.printf(Locale.ROOT, "    %-40s %.3f  served at least %s%n", day.name(), day.figure(),
-                        least(day.served()));
-            }
+            print(entry, remarks);
             if (entry.score() >= 0) {
                 rounds.computeIfAbsent(entry.site() + " " + entry.kind(), key -> new ArrayList<>()).add(entry);
             }
         }
         Verdict verdict = Verdict.of(fine);
-        for (List<Entry> now : rounds.values()) {
-            verdict = verdict.worse(judge(sites, now));
+        for (List<Entry> ofOneKind : rounds.values()) {
+            verdict = verdict.worse(judge(sites, ofOneKind));
         }
         return verdict;
     }
 
+    /** Why the run fails, whatever its score; empty if it does not. */
+    private static List<String> remarks(Entry entry) {
+        List<String> remarks = new ArrayList<>();
+        if (entry.error() != null) {
+            remarks.add("failed: " + entry.error().lines().findFirst().orElse(""));
+        }
+        entry.days().forEach(day -> remarks.addAll(day.failings()));
+        return remarks;
+    }
+
+    private static void print(Entry entry, List<String> remarks) {
+        long restarts = entry.days().stream().mapToLong(Day::restarts).sum();
+        System.out.printf(Locale.ROOT, "%-26s %-6s %-9s %8s  %s%n", entry.site(), entry.kind(), entry.id(),
+                entry.score() < 0 ? "-" : String.format(Locale.ROOT, "%.3f", entry.score()),
+                (remarks.isEmpty() ? "none" : String.join("; ", remarks)) + ", " + restarts + " ended");
+        for (Day day : entry.days()) {
+            System.out.printf(Locale.ROOT, "    %-40s %.3f  served at least %s%n", day.name(), day.figure(),
+                    least(day.served()));
+        }
+    }
+
     /**
      * Compares the median of the rounds with that of the recorded ones. A fall that both sets of rounds could hold between
      * them is no finding: it takes more rounds to tell, until there are as many as help.
      */
     private static Verdict judge(List<Site> sites, List<Entry> entries) {
-        Entry any = entries.get(0);
-        Rounds now = new Rounds(entries.stream().map(Entry::score).toList());
-        Recorded last = sites.stream().filter(site -> site.name().equals(any.site())).findFirst()
-                .map(site -> site.recorded().get(any.kind())).orElse(null);
-        if (last == null) {
-            System.out.printf("%s, %s: median %s, none recorded%n", any.site(), any.kind(), now);
+        Entry first = entries.get(0);
+        Rounds played = new Rounds(entries.stream().map(Entry::score).toList());
+        Recorded recorded = sites.stream().filter(site -> site.name().equals(first.site())).findFirst()
+                .map(site -> site.recorded().get(first.kind())).orElse(null);
+        if (recorded == null) {
+            System.out.printf("%s, %s: median %s, none recorded%n", first.site(), first.kind(), played);
             return Verdict.FINE;
         }
-        double change = now.median() - last.rounds().median();
-        boolean within = now.scores().size() < LEAST_ROUNDS
-                || now.most() >= last.rounds().least() && now.scores().size() < MOST_ROUNDS;
-        boolean falls = change < -MOST_FALL;
-        System.out.printf(Locale.ROOT, "%s, %s: median %s, recorded %s, %+.3f%s%n", any.site(), any.kind(), now,
-                last.rounds(), change, !falls ? "" : within
-                        ? ": within the spread, play more rounds (--rounds) to tell" : ": FALL");
-        return !falls ? Verdict.FINE : within ? Verdict.UNDECIDED : Verdict.REGRESSED;
+        double change = played.median() - recorded.rounds().median();
+        Verdict verdict = change < -MOST_FALL ? judgeFall(played, recorded.rounds()) : Verdict.FINE;
+        String remark = switch (verdict) {
+            case UNDECIDED -> ": within the spread, play more rounds (--rounds) to tell";
+            case REGRESSED -> ": FALL";
+            default -> "";
+        };
+        System.out.printf(Locale.ROOT, "%s, %s: median %s, recorded %s, %+.3f%s%n", first.site(), first.kind(), played,
+                recorded.rounds(), change, remark);
+        return verdict;
+    }
+
+    private static Verdict judgeFall(Rounds played, Rounds recorded) {
+        boolean withinSpread = played.scores().size() < LEAST_ROUNDS
+                || played.most() >= recorded.least() && played.scores().size() < MOST_ROUNDS;
+        return withinSpread ? Verdict.UNDECIDED : Verdict.REGRESSED;
     }
 
     /** Makes scores of the journal the recorded figures, and says which. */
