--- a/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
+++ b/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
@@ -61,6 +61,12 @@
     log.pending().addEnded(assignment);
   }
 
+  private void releaseDownTo(int count, List<Assignment> held, SplittableRandom random) {
+    while (held.size() > count) {
+      release(held.remove(random.nextInt(held.size())));
+    }
+  }
+
   private void commit(List<Write> writes) throws MalformedMessageException {
     for (Write write : writes) {
       assertTrue(write.value().length <= SEGMENT_BYTES, write.value().length + " bytes");
@@ -189,10 +195,9 @@
       for (int i = random.nextInt(30); i > 0; i--) {
         held.add(place(machines.get(random.nextInt(machines.size()))));
       }
+      releaseDownTo(25, held, random);
       List<Write> writes = log.build();
-      while (held.size() > 20) {
-        release(held.remove(random.nextInt(held.size())));
-      }
+      releaseDownTo(20, held, random);
       if (random.nextBoolean()) {
         log.rollBack();
         commit(log.build());
