--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -3,16 +3,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages exchanged with the cloud. */
+/** Reads and writes the messages exchanged with the cloud. */
 public final class CloudCodec {
-  /** How a listed machine stands. */
+  private static final EnumNames<State> STATES =
+      new EnumNames<>(State.class)
+          .with("booting", State.BOOTING)
+          .with("running", State.RUNNING)
+          .with("failed", State.FAILED);
+
+  /** The state of a machine in the cloud's list. */
   public enum State {
+    /** Rented, but its worker does not run yet as far as the cloud knows. */
     BOOTING,
+    /** Up, or died a short while ago. */
     RUNNING,
+    /** Stopped by itself; it costs nothing any more and stays listed until it is deleted. */
     FAILED
   }
 
-  /** A machine as the list gives it. */
+  /**
+   * A machine in the cloud's list, which lags behind.
+   *
+   * @param id the machine's id
+   * @param addr the address of its worker; empty if it is not known yet
+   * @param type the name of its machine type
+   * @param zone its zone
+   * @param spot whether it is a spot machine
+   * @param state its state
+   * @param ageMicros the time since it was rented, when the list was made
+   */
   public record Listed(
       String id,
       String addr,
@@ -22,47 +41,74 @@
       State state,
       long ageMicros) {}
 
-  /** A page of the machine list. */
+  /**
+   * A page of the machine list.
+   *
+   * @param machines the machines, in the order of their ids
+   * @param more whether the list goes on behind them
+   */
   public record Page(List<Listed> machines, boolean more) {}
 
   private CloudCodec() {}
 
+  /**
+   * Reads the catalogue of machine types.
+   *
+   * @throws MalformedMessageException if a field is missing or invalid
+   */
   public static List<MachineType> readCatalog(Fields body) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
-    for (Fields in : body.objects("builds")) {
-      types.add(
-          new MachineType(
-              in.text("label"),
-              Resources.of(in.amount("cores"), in.amount("accelerators", 0), in.amount("mem_gb")),
-              in.amount("local_gb", 0),
-              in.amount("fetch_gb_per_s", 1),
-              in.amount("price"),
-              in.amount("spot_price", in.amount("price")),
-              in.secondsAsMicros("startup_s"),
-              List.copyOf(in.texts("berths"))));
+    for (Fields type : body.objects(CloudFields.MACHINE_TYPES)) {
+      types.add(readType(type));
     }
     return types;
   }
 
+  private static MachineType readType(Fields in) throws MalformedMessageException {
+    return new MachineType(
+        in.text(CloudFields.TYPE_NAME),
+        Resources.of(
+            in.amount(CloudFields.CPUS),
+            in.amount(CloudFields.GPUS, 0),
+            in.amount(CloudFields.MEMORY_GB)),
+        in.amount(CloudFields.IMAGE_CACHE_GB, 0),
+        in.amount(CloudFields.FETCH_GB_PER_SECOND, 1),
+        in.amount(CloudFields.PRICE),
+        in.amount(CloudFields.SPOT_PRICE, in.amount(CloudFields.PRICE)),
+        in.secondsAsMicros(CloudFields.BOOT_SECONDS),
+        List.copyOf(in.texts(CloudFields.ZONES)));
+  }
+
+  /**
+   * The body of a request to rent machines.
+   *
+   * @param request the idempotency key; a repeated request rents nothing more
+   */
   public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
     return Json.object(
         out -> {
-          out.writeStringField("charter", request);
-          out.writeStringField("build", type);
-          out.writeStringField("berth", zone);
-          out.writeBooleanField("driftwood", spot);
-          out.writeNumberField("how_many", count);
+          out.writeStringField(CloudFields.REQUEST, request);
+          out.writeStringField(CloudFields.MACHINE_TYPE, type);
+          out.writeStringField(CloudFields.ZONE, zone);
+          out.writeBooleanField(CloudFields.SPOT, spot);
+          out.writeNumberField(CloudFields.COUNT, count);
         });
   }
 
+  /**
+   * Reads the ids of the machines that were rented.
+   *
+   * @throws MalformedMessageException if the body is not such an answer
+   */
   public static List<String> readRented(byte[] body) throws MalformedMessageException {
-    return Json.readObject(body).texts("fleet");
+    return Json.readObject(body).texts(CloudFields.MACHINES);
   }
 
+  /** The body of a request to delete machines. */
   public static byte[] delete(List<String> machines) {
     return Json.object(
         out -> {
-          out.writeArrayFieldStart("fleet");
+          out.writeArrayFieldStart(CloudFields.MACHINES);
           for (String machine : machines) {
             out.writeString(machine);
           }
@@ -70,26 +116,29 @@
         });
   }
 
+  /**
+   * Reads a page of the machine list.
+   *
+   * @throws MalformedMessageException if the body is not such a page
+   */
   public static Page readPage(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
     List<Listed> machines = new ArrayList<>();
-    for (Fields machine : in.objects("fleet")) {
-      State state =
-          switch (machine.text("trim")) {
-            case "booting" -> State.BOOTING;
-            case "failed" -> State.FAILED;
-            default -> State.RUNNING;
-          };
-      machines.add(
-          new Listed(
-              machine.text("id"),
-              machine.text("addr", ""),
-              machine.text("build"),
-              machine.text("berth"),
-              machine.flag("driftwood", false),
-              state,
-              machine.secondsAsMicros("held_s", 0)));
+    for (Fields machine : in.objects(CloudFields.MACHINES)) {
+      machines.add(readMachine(machine));
     }
-    return new Page(machines, in.flag("more", false));
+    return new Page(machines, in.flag(CloudFields.MORE, false));
+  }
+
+  private static Listed readMachine(Fields in) throws MalformedMessageException {
+    State state = STATES.valueOf(in.text(CloudFields.STATE), State.RUNNING);
+    return new Listed(
+        in.text(CloudFields.ID),
+        in.text(CloudFields.ADDRESS, ""),
+        in.text(CloudFields.MACHINE_TYPE),
+        in.text(CloudFields.ZONE),
+        in.flag(CloudFields.SPOT, false),
+        state,
+        in.secondsAsMicros(CloudFields.AGE_SECONDS, 0));
   }
 }
--- /dev/null
+++ b/src/main/java/madderrudder/protocol/CloudFields.java
@@ -0,0 +1,75 @@
+package madderrudder.protocol;
+
+/**
+ * The names of the fields of messages to and from the cloud. The protocol gives them themed names;
+ * each constant is named for the standard term that the rest of the program uses.
+ */
+final class CloudFields {
+  /** The machine types of the catalogue. */
+  static final String MACHINE_TYPES = "builds";
+
+  /** The name of a machine type: {@link MachineType#name()}. */
+  static final String TYPE_NAME = "label";
+
+  /** The processors of a machine of the type. */
+  static final String CPUS = "cores";
+
+  /** The GPUs of a machine of the type. */
+  static final String GPUS = "accelerators";
+
+  /** The memory of a machine of the type in GB. */
+  static final String MEMORY_GB = "mem_gb";
+
+  /** The size of the image cache in GB: {@link MachineType#cacheGb()}. */
+  static final String IMAGE_CACHE_GB = "local_gb";
+
+  /** The rate at which images are fetched, in GB per second: {@link MachineType#fetchGbPerS()}. */
+  static final String FETCH_GB_PER_SECOND = "fetch_gb_per_s";
+
+  /** The price per hour of an ordinary machine: {@link MachineType#price()}. */
+  static final String PRICE = "price";
+
+  /** The price per hour of a spot machine: {@link MachineType#spotPrice()}. */
+  static final String SPOT_PRICE = "spot_price";
+
+  /** The usual time in seconds that a machine takes to boot: {@link MachineType#bootMicros()}. */
+  static final String BOOT_SECONDS = "startup_s";
+
+  /** The zones where the type is offered: {@link MachineType#zones()}. */
+  static final String ZONES = "berths";
+
+  /** The idempotency key of a rental request. */
+  static final String REQUEST = "charter";
+
+  /** The type of a machine, or the one to rent. */
+  static final String MACHINE_TYPE = "build";
+
+  /** The zone of a machine, or the one to rent in. */
+  static final String ZONE = "berth";
+
+  /** Whether a machine is a spot machine, or a spot machine is to be rented. */
+  static final String SPOT = "driftwood";
+
+  /** The number of machines to rent. */
+  static final String COUNT = "how_many";
+
+  /** The machines of the list, or the names of those rented or to be deleted. */
+  static final String MACHINES = "fleet";
+
+  /** The id of a listed machine. */
+  static final String ID = "id";
+
+  /** The address of a listed machine's worker. */
+  static final String ADDRESS = "addr";
+
+  /** The state of a listed machine. */
+  static final String STATE = "trim";
+
+  /** The time in seconds since the rental request of a listed machine. */
+  static final String AGE_SECONDS = "held_s";
+
+  /** Whether the list goes on after this page. */
+  static final String MORE = "more";
+
+  private CloudFields() {}
+}
--- a/src/main/java/madderrudder/protocol/Fields.java
+++ b/src/main/java/madderrudder/protocol/Fields.java
@@ -5,8 +5,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checked access to the fields of one JSON object; a null field counts as an absent one. */
+/**
+ * Checked access to the fields of one JSON object; a null field counts as an absent one.
+ *
+ * <p>Each reading method throws {@link MalformedMessageException}, with the field's name, if the
+ * field is absent or not what the method reads. Those that take a default return it if the field is
+ * absent, and throw if it is there and invalid.
+ */
 public final class Fields {
+  private static final double MAX_AMOUNT = 1e15;
+  private static final double MAX_SECONDS = 1e9;
+
+  /** Integers below this are exact as doubles. */
+  private static final long MAX_EXACT_DOUBLE = 1L << 53;
+
   private final Map<?, ?> map;
 
   Fields(Map<?, ?> map) {
@@ -18,19 +30,22 @@
     return map.keySet().stream().map(Object::toString).toList();
   }
 
+  /** Whether the field is there and not null. */
   public boolean has(String name) {
     return map.get(name) != null;
   }
 
+  /** A string. */
   public String text(String name) throws MalformedMessageException {
     if (map.get(name) instanceof String text) {
       return text;
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
-  public String text(String name, String absent) throws MalformedMessageException {
-    return has(name) ? text(name) : absent;
+  /** A string, or the default. */
+  public String text(String name, String defaultValue) throws MalformedMessageException {
+    return has(name) ? text(name) : defaultValue;
   }
 
   /** An integer from 0 to 2^63 - 1. */
@@ -38,14 +53,16 @@
     return count(map.get(name), name);
   }
 
-  public long count(String name, long absent) throws MalformedMessageException {
-    return has(name) ? count(name) : absent;
+  /** An integer from 0 to 2^63 - 1, or the default. */
+  public long count(String name, long defaultValue) throws MalformedMessageException {
+    return has(name) ? count(name) : defaultValue;
   }
 
+  /** An integer from 0 to 2^31 - 1. */
   public int smallCount(String name) throws MalformedMessageException {
     long value = count(name);
     if (value > Integer.MAX_VALUE) {
-      throw wrong(name);
+      throw invalid(name);
     }
     return (int) value;
   }
@@ -57,85 +74,101 @@
     // A count may also come written as 4.0 or 4e0; a fraction may not.
     if (value instanceof Double number
         && number >= 0
-        && number < (1L << 53)
+        && number < MAX_EXACT_DOUBLE
         && number == Math.rint(number)) {
       return number.longValue();
     }
-    throw wrong(name);
+    throw MalformedMessageException.missingOrInvalid(name, value);
   }
 
-  /** A finite decimal of at least 0. */
+  /** A decimal from 0 to 10^15. */
   public double amount(String name) throws MalformedMessageException {
-    Object value = map.get(name);
-    double number =
-        value instanceof Long whole
-            ? (double) whole
-            : value instanceof Double decimal
-                ? decimal
-                : value instanceof BigInteger big ? big.doubleValue() : Double.NaN;
-    if (!(number >= 0) || number > 1e15) {
-      throw wrong(name);
+    double number = number(map.get(name));
+    if (!(number >= 0) || number > MAX_AMOUNT) {
+      throw invalid(name);
     }
     return number;
   }
 
-  public double amount(String name, double absent) throws MalformedMessageException {
-    return has(name) ? amount(name) : absent;
+  /** A decimal from 0 to 10^15, or the default. */
+  public double amount(String name, double defaultValue) throws MalformedMessageException {
+    return has(name) ? amount(name) : defaultValue;
+  }
+
+  /** The value as a double; not a number if it is none. */
+  private static double number(Object value) {
+    if (value instanceof Long whole) {
+      return whole;
+    }
+    if (value instanceof Double decimal) {
+      return decimal;
+    }
+    if (value instanceof BigInteger big) {
+      return big.doubleValue();
+    }
+    return Double.NaN;
   }
 
-  /** A duration in seconds, as whole microseconds. */
+  /** A duration in seconds, at most 10^9, as whole microseconds. */
   public long secondsAsMicros(String name) throws MalformedMessageException {
     double seconds = amount(name);
-    if (seconds > 1e9) {
-      throw wrong(name);
+    if (seconds > MAX_SECONDS) {
+      throw invalid(name);
     }
     return Math.round(seconds * 1e6);
   }
 
-  public long secondsAsMicros(String name, long absent) throws MalformedMessageException {
-    return has(name) ? secondsAsMicros(name) : absent;
+  /** A duration in seconds as whole microseconds, or the default in microseconds. */
+  public long secondsAsMicros(String name, long defaultMicros) throws MalformedMessageException {
+    return has(name) ? secondsAsMicros(name) : defaultMicros;
   }
 
+  /** A truth value. */
   public boolean flag(String name) throws MalformedMessageException {
     if (map.get(name) instanceof Boolean flag) {
       return flag;
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
-  public boolean flag(String name, boolean absent) throws MalformedMessageException {
-    return has(name) ? flag(name) : absent;
+  /** A truth value, or the default. */
+  public boolean flag(String name, boolean defaultValue) throws MalformedMessageException {
+    return has(name) ? flag(name) : defaultValue;
   }
 
+  /** An object. */
   public Fields object(String name) throws MalformedMessageException {
     if (map.get(name) instanceof Map<?, ?> object) {
       return new Fields(object);
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
+  /** An array of objects. */
   public List<Fields> objects(String name) throws MalformedMessageException {
     List<Fields> objects = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof Map<?, ?> object)) {
-        throw wrong(name);
+        throw invalid(name);
       }
       objects.add(new Fields(object));
     }
     return objects;
   }
 
+  /** An array of strings. */
   public List<String> texts(String name) throws MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof String text)) {
-        throw wrong(name);
+        throw invalid(name);
       }
       texts.add(text);
     }
     return texts;
   }
 
+  /** An array of integers from 0 to 2^63 - 1. */
   public List<Long> counts(String name) throws MalformedMessageException {
     List<Long> counts = new ArrayList<>();
     for (Object element : list(name)) {
@@ -148,21 +181,21 @@
     if (map.get(name) instanceof List<?> list) {
       return list;
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
-  /** The field's text or number as text, for tables; empty if it is absent. */
+  /** The field's string or number as text, for tables; empty if the field is absent. */
   public String plain(String name) {
     Object value = map.get(name);
     return value == null ? "" : value.toString();
   }
 
-  /** This object again as JSON text. */
+  /** This object as JSON text again. */
   public byte[] render() {
     return Json.render(out -> Json.writeTree(out, map));
   }
 
-  private static MalformedMessageException wrong(String name) {
-    return new MalformedMessageException("field " + name + " is missing or invalid");
+  private MalformedMessageException invalid(String name) {
+    return MalformedMessageException.missingOrInvalid(name, map.get(name));
   }
 }
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -6,167 +6,197 @@
 import java.util.TreeSet;
 import java.util.regex.Pattern;
 
-/** Jobs as users write them and as they are stored; also what users read back. */
+/**
+ * Reads and writes jobs, as users submit them and as they are stored, and the answers to users. A
+ * stored job has the fields of a submitted one.
+ */
 public final class JobCodec {
+  /** The largest number of tasks that a job may have. */
   public static final int MAX_TASKS = 100_000;
 
   private static final Pattern ID = Pattern.compile("req-[0-9]{1,18}");
   private static final int MAX_NAME = 200;
 
+  private static final EnumNames<JobKind> KINDS =
+      new EnumNames<>(JobKind.class)
+          .with("array", JobKind.ARRAY)
+          .with("gang", JobKind.GANG)
+          .with("service", JobKind.SERVICE);
+
+  private static final EnumNames<Priority> PRIORITIES =
+      new EnumNames<>(Priority.class)
+          .with("production", Priority.PRODUCTION)
+          .with("urgent", Priority.HIGH)
+          .with("standard", Priority.NORMAL)
+          .with("idle", Priority.LOW);
+
+  private static final EnumNames<JobState> STATES =
+      new EnumNames<>(JobState.class)
+          .with("pending", JobState.PENDING)
+          .with("running", JobState.RUNNING)
+          .with("done", JobState.DONE)
+          .with("aborted", JobState.CANCELLED);
+
   private JobCodec() {}
 
+  /** Whether the text has the form of a job id. */
   public static boolean validId(String id) {
     return ID.matcher(id).matches();
   }
 
-  /** The id alone, so that a known job can be recognised before anything else is judged. */
+  /**
+   * Reads the id alone, so that a known job is recognised before anything else of a repeated
+   * submission is judged.
+   *
+   * @throws MalformedMessageException if there is no valid id
+   */
   public static String readId(Fields in) throws MalformedMessageException {
-    String id = in.text("id");
+    String id = in.text(JobFields.ID);
     if (!validId(id)) {
-      throw new MalformedMessageException("field id is missing or invalid");
+      throw MalformedMessageException.missingOrInvalid(JobFields.ID, id);
     }
     return id;
   }
 
   /**
-   * A job; fails with the name of the field that is missing or invalid. Only {@code builds}, {@code
-   * berth} and {@code tide_s} may be null, and so may be left out.
+   * Reads a job. Only the machine types, the zone and the deadline may be null, and so may be left
+   * out.
+   *
+   * @throws MalformedMessageException with the name of a field that is missing or invalid
    */
   public static JobSpec read(Fields in) throws MalformedMessageException {
-    JobKind kind =
-        switch (in.text("cut")) {
-          case "array" -> JobKind.ARRAY;
-          case "gang" -> JobKind.GANG;
-          case "service" -> JobKind.SERVICE;
-          default -> throw new MalformedMessageException("field cut is invalid");
-        };
-    Priority priority =
-        switch (in.text("rank")) {
-          case "production" -> Priority.PRODUCTION;
-          case "urgent" -> Priority.HIGH;
-          case "standard" -> Priority.NORMAL;
-          case "idle" -> Priority.LOW;
-          default -> throw new MalformedMessageException("field rank is invalid");
-        };
-    long tasks = in.count("strokes");
-    if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new MalformedMessageException("field strokes is out of range");
-    }
-    Resources perTask =
-        Resources.of(in.amount("cores"), in.amount("accelerators"), in.amount("mem_gb"));
-    if (perTask.milliCpus() == 0 && perTask.milliGpus() == 0) {
-      throw new MalformedMessageException("field cores is out of range");
-    }
-    Set<String> types = null;
-    if (in.has("builds")) {
-      types = new TreeSet<>(in.texts("builds"));
-      if (types.isEmpty()) {
-        throw new MalformedMessageException("field builds is empty");
-      }
-    }
-    long deadlineMicros = in.secondsAsMicros("tide_s", 0);
+    // Which of several invalid fields is named depends on this order.
+    JobKind kind = KINDS.read(in, JobFields.KIND);
+    Priority priority = PRIORITIES.read(in, JobFields.PRIORITY);
+    int tasks = readTaskCount(in);
+    Resources perTask = readResources(in);
+    Set<String> types = readMachineTypes(in);
+    long deadlineMicros = in.secondsAsMicros(JobFields.DEADLINE_SECONDS, 0);
     return new JobSpec(
         readId(in),
-        name(in, "rig"),
-        name(in, "crew"),
+        readName(in, JobFields.JOB_CLASS),
+        readName(in, JobFields.TEAM),
         kind,
         priority,
-        (int) tasks,
+        tasks,
         perTask,
-        name(in, "hull"),
-        in.amount("image_gb"),
+        readName(in, JobFields.IMAGE),
+        in.amount(JobFields.IMAGE_GB),
         types,
-        in.has("berth") ? name(in, "berth") : null,
-        in.flag("one_zone"),
-        in.flag("apart"),
-        in.flag("driftwood"),
-        in.secondsAsMicros("reckon_s"),
-        in.secondsAsMicros("mark_s"),
-        in.secondsAsMicros("stow_s"),
+        in.has(JobFields.ZONE) ? readName(in, JobFields.ZONE) : null,
+        in.flag(JobFields.ONE_ZONE),
+        in.flag(JobFields.SPREAD),
+        in.flag(JobFields.SPOT_ALLOWED),
+        in.secondsAsMicros(JobFields.ESTIMATE_SECONDS),
+        in.secondsAsMicros(JobFields.CHECKPOINT_INTERVAL_SECONDS),
+        in.secondsAsMicros(JobFields.CHECKPOINT_SAVE_SECONDS),
         deadlineMicros);
   }
 
-  private static String name(Fields in, String field) throws MalformedMessageException {
+  private static int readTaskCount(Fields in) throws MalformedMessageException {
+    long tasks = in.count(JobFields.TASKS);
+    if (tasks < 1 || tasks > MAX_TASKS) {
+      throw MalformedMessageException.ofField(JobFields.TASKS, "is out of range", tasks);
+    }
+    return (int) tasks;
+  }
+
+  private static Resources readResources(Fields in) throws MalformedMessageException {
+    Resources perTask =
+        Resources.of(
+            in.amount(JobFields.CPUS), in.amount(JobFields.GPUS), in.amount(JobFields.MEMORY_GB));
+    if (perTask.milliCpus() == 0 && perTask.milliGpus() == 0) {
+      throw MalformedMessageException.ofField(
+          JobFields.CPUS, "is out of range", in.amount(JobFields.CPUS));
+    }
+    return perTask;
+  }
+
+  /** The allowed machine types; null if any is. */
+  private static Set<String> readMachineTypes(Fields in) throws MalformedMessageException {
+    if (!in.has(JobFields.MACHINE_TYPES)) {
+      return null;
+    }
+    Set<String> types = new TreeSet<>(in.texts(JobFields.MACHINE_TYPES));
+    if (types.isEmpty()) {
+      throw MalformedMessageException.ofField(JobFields.MACHINE_TYPES, "is empty", null);
+    }
+    return types;
+  }
+
+  private static String readName(Fields in, String field) throws MalformedMessageException {
     String text = in.text(field);
     if (text.isEmpty() || text.length() > MAX_NAME) {
-      throw new MalformedMessageException("field " + field + " is missing or invalid");
+      throw MalformedMessageException.missingOrInvalid(field, text);
     }
     return text;
   }
 
-  /** Writes the job's fields, in the users' own words, into an open object. */
+  /** Writes the job's fields into an open object. */
   public static void write(JsonGenerator out, JobSpec job) throws IOException {
-    out.writeStringField("id", job.id());
-    out.writeStringField("rig", job.jobClass());
-    out.writeStringField("crew", job.team());
-    out.writeStringField(
-        "cut",
-        switch (job.kind()) {
-          case ARRAY -> "array";
-          case GANG -> "gang";
-          case SERVICE -> "service";
-        });
-    out.writeStringField(
-        "rank",
-        switch (job.priority()) {
-          case PRODUCTION -> "production";
-          case HIGH -> "urgent";
-          case NORMAL -> "standard";
-          case LOW -> "idle";
-        });
-    out.writeNumberField("strokes", job.tasks());
-    out.writeNumberField("cores", job.perTask().milliCpus() / 1000.0);
-    out.writeNumberField("accelerators", job.perTask().milliGpus() / 1000.0);
-    out.writeNumberField("mem_gb", job.perTask().memoryMb() / 1000.0);
-    out.writeStringField("hull", job.image());
-    out.writeNumberField("image_gb", job.imageGb());
+    out.writeStringField(JobFields.ID, job.id());
+    out.writeStringField(JobFields.JOB_CLASS, job.jobClass());
+    out.writeStringField(JobFields.TEAM, job.team());
+    out.writeStringField(JobFields.KIND, KINDS.nameOf(job.kind()));
+    out.writeStringField(JobFields.PRIORITY, PRIORITIES.nameOf(job.priority()));
+    out.writeNumberField(JobFields.TASKS, job.tasks());
+    out.writeNumberField(JobFields.CPUS, job.perTask().milliCpus() / 1000.0);
+    out.writeNumberField(JobFields.GPUS, job.perTask().milliGpus() / 1000.0);
+    out.writeNumberField(JobFields.MEMORY_GB, job.perTask().memoryMb() / 1000.0);
+    out.writeStringField(JobFields.IMAGE, job.image());
+    out.writeNumberField(JobFields.IMAGE_GB, job.imageGb());
+    writePlacement(out, job);
+    out.writeNumberField(JobFields.ESTIMATE_SECONDS, job.estimateMicros() / 1e6);
+    out.writeNumberField(JobFields.CHECKPOINT_INTERVAL_SECONDS, job.checkpointMicros() / 1e6);
+    out.writeNumberField(JobFields.CHECKPOINT_SAVE_SECONDS, job.saveMicros() / 1e6);
+    if (job.deadlineMicros() > 0) {
+      out.writeNumberField(JobFields.DEADLINE_SECONDS, job.deadlineMicros() / 1e6);
+    }
+  }
+
+  private static void writePlacement(JsonGenerator out, JobSpec job) throws IOException {
     if (job.types() != null) {
-      out.writeArrayFieldStart("builds");
+      out.writeArrayFieldStart(JobFields.MACHINE_TYPES);
       for (String type : job.types()) {
         out.writeString(type);
       }
       out.writeEndArray();
     }
     if (job.zone() != null) {
-      out.writeStringField("berth", job.zone());
-    }
-    out.writeBooleanField("one_zone", job.oneZone());
-    out.writeBooleanField("apart", job.spread());
-    out.writeBooleanField("driftwood", job.spotAllowed());
-    out.writeNumberField("reckon_s", job.estimateMicros() / 1e6);
-    out.writeNumberField("mark_s", job.checkpointMicros() / 1e6);
-    out.writeNumberField("stow_s", job.saveMicros() / 1e6);
-    if (job.deadlineMicros() > 0) {
-      out.writeNumberField("tide_s", job.deadlineMicros() / 1e6);
+      out.writeStringField(JobFields.ZONE, job.zone());
     }
+    out.writeBooleanField(JobFields.ONE_ZONE, job.oneZone());
+    out.writeBooleanField(JobFields.SPREAD, job.spread());
+    out.writeBooleanField(JobFields.SPOT_ALLOWED, job.spotAllowed());
   }
 
-  /** The answer to a submission or a withdrawal. */
+  /** The answer to a submission or a cancellation. */
   public static byte[] state(String id, JobState state) {
     return Json.object(
         out -> {
-          out.writeStringField("id", id);
-          out.writeStringField("trim", word(state));
+          out.writeStringField(JobFields.ID, id);
+          out.writeStringField(JobFields.STATE, word(state));
         });
   }
 
-  /** The answer to a poll. */
+  /**
+   * The answer to a poll.
+   *
+   * @param done how many of its tasks are completed
+   * @param running how many of its tasks run
+   */
   public static byte[] status(String id, JobState state, int done, int running) {
     return Json.object(
         out -> {
-          out.writeStringField("id", id);
-          out.writeStringField("trim", word(state));
-          out.writeNumberField("done", done);
-          out.writeNumberField("running", running);
+          out.writeStringField(JobFields.ID, id);
+          out.writeStringField(JobFields.STATE, word(state));
+          out.writeNumberField(JobFields.TASKS_DONE, done);
+          out.writeNumberField(JobFields.TASKS_RUNNING, running);
         });
   }
 
+  /** The state's name on the wire and in the store. */
   public static String word(JobState state) {
-    return switch (state) {
-      case PENDING -> "pending";
-      case RUNNING -> "running";
-      case DONE -> "done";
-      case CANCELLED -> "aborted";
-    };
+    return STATES.nameOf(state);
   }
 }
--- a/src/main/java/madderrudder/protocol/JobKind.java
+++ b/src/main/java/madderrudder/protocol/JobKind.java
@@ -1,10 +1,10 @@
 package madderrudder.protocol;
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job belong together; the wire's field is {@code cut}. */
 public enum JobKind {
-  /** Independent tasks, each runs to completion. */
+  /** A job array: independent tasks, each runs to completion. */
   ARRAY,
-  /** All tasks run at the same time or none does. */
+  /** Gang scheduling: all tasks run at the same time or none does. */
   GANG,
   /** Replicas that run until the job is cancelled. */
   SERVICE
--- a/src/main/java/madderrudder/protocol/MachineType.java
+++ b/src/main/java/madderrudder/protocol/MachineType.java
@@ -2,7 +2,18 @@
 
 import java.util.List;
 
-/** A type of machine as the cloud's catalogue describes it; prices are per hour. */
+/**
+ * A machine type of the cloud's catalogue.
+ *
+ * @param name the type's name
+ * @param capacity what a machine of the type has
+ * @param cacheGb the size of its image cache in GB
+ * @param fetchGbPerS the rate at which it fetches images, in GB per second
+ * @param price the price per hour of an ordinary machine
+ * @param spotPrice the current price per hour of a spot machine
+ * @param bootMicros the usual time from the rental request until its worker runs
+ * @param zones the zones where the type is offered
+ */
 public record MachineType(
     String name,
     Resources capacity,
@@ -13,6 +24,7 @@
     long bootMicros,
     List<String> zones) {
 
+  /** The price per hour of a spot or of an ordinary machine. */
   public double price(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/madderrudder/protocol/WorkerCodec.java
+++ b/src/main/java/madderrudder/protocol/WorkerCodec.java
@@ -7,103 +7,127 @@
 import madderrudder.protocol.TaskStatus.ExitReason;
 import madderrudder.protocol.TaskStatus.Phase;
 
-/** Messages exchanged with workers. */
+/** Reads and writes the messages exchanged with workers. */
 public final class WorkerCodec {
+  private static final EnumNames<Phase> PHASES =
+      new EnumNames<>(Phase.class)
+          .with("fetching", Phase.FETCHING)
+          .with("gathering", Phase.WAITING)
+          .with("running", Phase.RUNNING)
+          .with("flushing", Phase.SAVING)
+          .with("ended", Phase.EXITED);
+
+  private static final EnumNames<ExitReason> EXIT_REASONS =
+      new EnumNames<>(ExitReason.class)
+          .with("done", ExitReason.DONE)
+          .with("halted", ExitReason.STOPPED)
+          .with("mates_gone", ExitReason.PEERS)
+          .with("alone", ExitReason.ALONE)
+          .with("error", ExitReason.ERROR)
+          .with("no_room", ExitReason.NO_ROOM)
+          .with("busy", ExitReason.BUSY)
+          .with("unknown", ExitReason.UNKNOWN);
+
+  private static final EnumNames<WorkerCommand.Op> OPERATIONS =
+      new EnumNames<>(WorkerCommand.Op.class)
+          .with("start", WorkerCommand.Op.START)
+          .with("stop", WorkerCommand.Op.STOP)
+          .with("reap", WorkerCommand.Op.FORGET);
+
   private WorkerCodec() {}
 
+  /**
+   * Reads a heartbeat, which also comes as the answer to direct commands.
+   *
+   * @throws MalformedMessageException if the body is no JSON object, or a field is missing or
+   *     invalid
+   */
   public static Heartbeat readReport(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
+    // Read first: which of several invalid fields is named depends on the order.
+    List<TaskStatus> tasks = readTasks(in);
+    return new Heartbeat(
+        in.text(WorkerFields.MACHINE),
+        in.text(WorkerFields.ADDRESS, ""),
+        in.text(WorkerFields.MACHINE_TYPE),
+        in.text(WorkerFields.ZONE),
+        in.flag(WorkerFields.SPOT, false),
+        in.count(WorkerFields.SESSION),
+        in.count(WorkerFields.SEQUENCE),
+        in.count(WorkerFields.FENCING_TOKEN, 0),
+        in.secondsAsMicros(WorkerFields.RECLAIM_NOTICE_SECONDS, -1),
+        tasks);
+  }
+
+  private static List<TaskStatus> readTasks(Fields in) throws MalformedMessageException {
     List<TaskStatus> tasks = new ArrayList<>();
-    if (in.has("strokes")) {
-      for (Fields task : in.objects("strokes")) {
+    if (in.has(WorkerFields.TASKS)) {
+      for (Fields task : in.objects(WorkerFields.TASKS)) {
         tasks.add(readTask(task));
       }
     }
-    return new Heartbeat(
-        in.text("vessel"),
-        in.text("addr", ""),
-        in.text("build"),
-        in.text("berth"),
-        in.flag("driftwood", false),
-        in.count("watch"),
-        in.count("knot"),
-        in.count("helm", 0),
-        in.secondsAsMicros("recall_s", -1),
-        tasks);
+    return tasks;
   }
 
   private static TaskStatus readTask(Fields in) throws MalformedMessageException {
-    Phase phase =
-        switch (in.text("trim")) {
-          case "fetching" -> Phase.FETCHING;
-          case "gathering" -> Phase.WAITING;
-          case "running" -> Phase.RUNNING;
-          case "flushing" -> Phase.SAVING;
-          case "ended" -> Phase.EXITED;
-          default -> throw new MalformedMessageException("field trim is invalid");
-        };
-    ExitReason why =
-        phase != Phase.EXITED
-            ? null
-            : switch (in.text("wake", "")) {
-              case "done" -> ExitReason.DONE;
-              case "halted" -> ExitReason.STOPPED;
-              case "mates_gone" -> ExitReason.PEERS;
-              case "alone" -> ExitReason.ALONE;
-              case "no_room" -> ExitReason.NO_ROOM;
-              case "busy" -> ExitReason.BUSY;
-              case "unknown" -> ExitReason.UNKNOWN;
-              default -> ExitReason.ERROR;
-            };
+    Phase phase = PHASES.read(in, WorkerFields.PHASE);
+    ExitReason exitReason = phase == Phase.EXITED ? readExitReason(in) : null;
     return new TaskStatus(
-        TaskId.parse(in.text("stroke")), in.count("launch"), phase, why, in.flag("stored", false));
+        TaskId.parse(in.text(WorkerFields.TASK)),
+        in.count(WorkerFields.ATTEMPT),
+        phase,
+        exitReason,
+        in.flag(WorkerFields.SAVED, false));
+  }
+
+  /** A reason that is unknown here, or absent, counts as an error of the task. */
+  private static ExitReason readExitReason(Fields in) throws MalformedMessageException {
+    return EXIT_REASONS.valueOf(in.text(WorkerFields.EXIT_REASON, ""), ExitReason.ERROR);
   }
 
-  /** The answer to a report. */
-  public static byte[] answer(long token, List<WorkerCommand> orders) {
+  /** The answer to a heartbeat: the leader's fencing token and the commands to the worker. */
+  public static byte[] answer(long token, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
-          out.writeNumberField("helm", token);
-          writeOrders(out, orders);
+          out.writeNumberField(WorkerFields.FENCING_TOKEN, token);
+          writeCommands(out, commands);
         });
   }
 
-  /** The body of a direct call to a worker's address. */
-  public static byte[] direct(long token, long session, List<WorkerCommand> orders) {
+  /** The body of direct commands to a worker, which it refuses in another session than this. */
+  public static byte[] direct(long token, long session, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
-          out.writeNumberField("helm", token);
-          out.writeNumberField("watch", session);
-          writeOrders(out, orders);
+          out.writeNumberField(WorkerFields.FENCING_TOKEN, token);
+          out.writeNumberField(WorkerFields.SESSION, session);
+          writeCommands(out, commands);
         });
   }
 
-  /** The answer of a node that may not act; {@code leader} is null when nobody is known to lead. */
+  /**
+   * The answer of a controller that is not entitled to give commands.
+   *
+   * @param leader the name of the leader; null if none is known
+   */
   public static byte[] redirect(String leader) {
     return Json.object(
         out -> {
           if (leader != null) {
-            out.writeStringField("harbor", leader);
+            out.writeStringField(WorkerFields.LEADER, leader);
           }
         });
   }
 
-  private static void writeOrders(JsonGenerator out, List<WorkerCommand> orders)
+  private static void writeCommands(JsonGenerator out, List<WorkerCommand> commands)
       throws IOException {
-    out.writeArrayFieldStart("orders");
-    for (WorkerCommand order : orders) {
+    out.writeArrayFieldStart(WorkerFields.COMMANDS);
+    for (WorkerCommand command : commands) {
       out.writeStartObject();
-      out.writeStringField(
-          "order",
-          switch (order.op()) {
-            case START -> "start";
-            case STOP -> "stop";
-            case FORGET -> "reap";
-          });
-      out.writeStringField("stroke", order.task().toString());
-      out.writeNumberField("launch", order.attempt());
-      if (order.op() == WorkerCommand.Op.STOP) {
-        out.writeNumberField("slack_s", order.graceMicros() / 1e6);
+      out.writeStringField(WorkerFields.OPERATION, OPERATIONS.nameOf(command.op()));
+      out.writeStringField(WorkerFields.TASK, command.task().toString());
+      out.writeNumberField(WorkerFields.ATTEMPT, command.attempt());
+      if (command.op() == WorkerCommand.Op.STOP) {
+        out.writeNumberField(WorkerFields.GRACE_SECONDS, command.graceMicros() / 1e6);
       }
       out.writeEndObject();
     }
--- /dev/null
+++ b/src/main/java/madderrudder/protocol/WorkerFields.java
@@ -0,0 +1,68 @@
+package madderrudder.protocol;
+
+/**
+ * The names of the fields of messages to and from workers. The protocol gives them themed names;
+ * each constant is named for the standard term that the rest of the program uses.
+ */
+final class WorkerFields {
+  /** The machine's id: {@link Heartbeat#machine()}. */
+  static final String MACHINE = "vessel";
+
+  /** The worker's own address, for direct commands: {@link Heartbeat#addr()}. */
+  static final String ADDRESS = "addr";
+
+  /** The machine's type: {@link Heartbeat#type()}. */
+  static final String MACHINE_TYPE = "build";
+
+  /** The machine's zone: {@link Heartbeat#zone()}. */
+  static final String ZONE = "berth";
+
+  /** Whether the machine is a spot machine: {@link Heartbeat#spot()}. */
+  static final String SPOT = "driftwood";
+
+  /** The incarnation of the worker, called its session: {@link Heartbeat#session()}. */
+  static final String SESSION = "watch";
+
+  /** The sequence number of the heartbeat in its session: {@link Heartbeat#seq()}. */
+  static final String SEQUENCE = "knot";
+
+  /** The fencing token, which is the leader's term: {@link Heartbeat#token()}. */
+  static final String FENCING_TOKEN = "helm";
+
+  /** Seconds until the cloud takes the machine back, if it gave notice. */
+  static final String RECLAIM_NOTICE_SECONDS = "recall_s";
+
+  /** The tasks on the machine: {@link Heartbeat#tasks()}. */
+  static final String TASKS = "strokes";
+
+  /** The id of one task: {@link TaskStatus#task()} and {@link WorkerCommand#task()}. */
+  static final String TASK = "stroke";
+
+  /**
+   * The number of the attempt: {@link TaskStatus#attempt()} and {@link WorkerCommand#attempt()}.
+   */
+  static final String ATTEMPT = "launch";
+
+  /** The phase that a task is in: {@link TaskStatus#phase()}. */
+  static final String PHASE = "trim";
+
+  /** The reason why a task exited. */
+  static final String EXIT_REASON = "wake";
+
+  /** Whether a stopped task saved its progress: {@link TaskStatus#saved()}. */
+  static final String SAVED = "stored";
+
+  /** The commands to a worker, which it executes in order. */
+  static final String COMMANDS = "orders";
+
+  /** What one command does. */
+  static final String OPERATION = "order";
+
+  /** The time in seconds that a stopped task gets to save: {@link WorkerCommand#graceMicros()}. */
+  static final String GRACE_SECONDS = "slack_s";
+
+  /** The name of the controller that leads, to which the worker turns next. */
+  static final String LEADER = "harbor";
+
+  private WorkerFields() {}
+}
