--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import madderrudder.config.PlatformSettings;
 import madderrudder.coordination.policy.OperatorPolicy;
-import madderrudder.protocol.PeerMessage;
+import madderrudder.protocol.PeerMessageCodec;
 import madderrudder.service.ControllerNode;
 import madderrudder.transport.Addresses;
 import madderrudder.transport.EventLoop;
@@ -43,7 +43,7 @@
               group,
               Addresses.parse(settings.meshListen()),
               settings.peers(),
-              PeerMessage.MAX_BYTES,
+              PeerMessageCodec.MAX_BYTES,
               frame -> node.frame(frame));
       node = new ControllerNode(loop, calls, mesh, new SplittableRandom(), settings, policy);
       HttpServer server =
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -13,6 +13,7 @@
 import madderrudder.protocol.PeerMessage.LeaseRenewal;
 import madderrudder.protocol.PeerMessage.MembershipStatus;
 import madderrudder.protocol.PeerMessage.StampEcho;
+import madderrudder.protocol.PeerMessageCodec;
 import madderrudder.transport.Scheduler;
 
 /**
@@ -28,7 +29,7 @@
   /** Leases that began longer ago have surely ended, and need not be told of. */
   private static final long TELL_SLACK_MICROS = 2_000_000;
 
-  private static final int PART_BYTES = PeerMessage.MAX_BYTES / 2;
+  private static final int PART_BYTES = PeerMessageCodec.MAX_BYTES / 2;
 
   /**
    * Of an answer in a frame, beside the machine's name, whose letters may take three bytes each.
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -26,6 +26,7 @@
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.PeerMessage;
 import madderrudder.protocol.PeerMessage.JobProgress;
+import madderrudder.protocol.PeerMessageCodec;
 import madderrudder.transport.HttpCaller;
 import madderrudder.transport.HttpHandler;
 import madderrudder.transport.HttpRequest;
@@ -201,7 +202,7 @@
     }
     store.userWrites(writes.perSecond(now));
     peers.broadcast(
-        PeerMessage.encode(
+        PeerMessageCodec.encode(
             new PeerMessage.NodeStatus(
                 settings.member(),
                 election.highestTerm(),
@@ -211,7 +212,7 @@
                 (int) (1000 * writes.wanted()))));
     if (leader != null && leader.ready() && ++pulses % PULSES_PER_PROGRESS == 0) {
       peers.broadcast(
-          PeerMessage.encode(
+          PeerMessageCodec.encode(
               new PeerMessage.ProgressUpdate(leader.number(), leader.someProgress())));
     }
     long grantMicros = leader == null ? 0 : leader.grantMicros();
@@ -222,13 +223,13 @@
         grantMicros > 0 ? leader.granted(deputy.echoes(), grantMicros) : deputy.echoes();
     deputy
         .frames(election.highestTerm(), grantMicros, echoes)
-        .forEach(frame -> peers.broadcast(PeerMessage.encode(frame)));
+        .forEach(frame -> peers.broadcast(PeerMessageCodec.encode(frame)));
   }
 
   /** A frame from another controller. */
   public void frame(ByteBuffer bytes) {
     try {
-      PeerMessage frame = PeerMessage.decode(bytes);
+      PeerMessage frame = PeerMessageCodec.decode(bytes);
       if (frame instanceof PeerMessage.NodeStatus pulse) {
         heard.put(pulse.member(), new Heard(pulse.storeAnswers(), scheduler.nowMicros()));
         election.heard(pulse.term(), pulse.leader());
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -18,9 +18,9 @@
 import madderrudder.protocol.Heartbeat;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.PeerMessage;
 import madderrudder.protocol.PeerMessage.ForwardedHeartbeat;
 import madderrudder.protocol.PeerMessage.ForwardedResponse;
+import madderrudder.protocol.PeerMessageCodec;
 import madderrudder.protocol.WorkerCodec;
 import madderrudder.transport.HttpResponse;
 import madderrudder.transport.PeerMessenger;
@@ -225,7 +225,7 @@
 
   private void relay(String name, Homeless arrived) {
     standingIn = false;
-    if (!PeerMessage.carries(arrived.body().length)) {
+    if (!PeerMessageCodec.carries(arrived.body().length)) {
       standIn(arrived);
       return;
     }
@@ -242,7 +242,7 @@
     String body = new String(arrived.body(), StandardCharsets.UTF_8);
     around
         .peers()
-        .send(name, PeerMessage.encode(new ForwardedHeartbeat(around.member(), number, body)));
+        .send(name, PeerMessageCodec.encode(new ForwardedHeartbeat(around.member(), number, body)));
     scheduler.after(
         RELAY_MICROS,
         () -> {
@@ -269,12 +269,12 @@
                 reply.orders() == null
                     ? new byte[0]
                     : WorkerCodec.answer(reply.token(), reply.orders());
-            if (PeerMessage.carries(body.length)) {
+            if (PeerMessageCodec.carries(body.length)) {
               around
                   .peers()
                   .send(
                       passed.member(),
-                      PeerMessage.encode(
+                      PeerMessageCodec.encode(
                           new ForwardedResponse(
                               passed.number(), new String(body, StandardCharsets.UTF_8))));
             }
--- a/src/test/java/madderrudder/coordination/membership/DelegationTest.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationTest.java
@@ -14,6 +14,7 @@
 import madderrudder.protocol.PeerMessage.LeaseRenewal;
 import madderrudder.protocol.PeerMessage.MembershipStatus;
 import madderrudder.protocol.PeerMessage.StampEcho;
+import madderrudder.protocol.PeerMessageCodec;
 import madderrudder.transport.Scheduler;
 import org.junit.jupiter.api.Test;
 
@@ -269,7 +270,7 @@
     List<PeerMessage> frames = deputy.frames(3, 0, List.of());
     List<String> told = new ArrayList<>();
     for (PeerMessage frame : frames) {
-      assertTrue(PeerMessage.encode(frame).remaining() < PeerMessage.MAX_BYTES);
+      assertTrue(PeerMessageCodec.encode(frame).remaining() < PeerMessageCodec.MAX_BYTES);
       if (frame instanceof DelegatedRenewals part) {
         part.answers().forEach(answer -> told.add(answer.machine() + " " + answer.agoMillis()));
       }
--- a/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
+++ b/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
@@ -200,14 +200,14 @@
   }
 
   private static ByteBuffer withoutLength(ByteBuffer frame) {
-    assertEquals(frame.remaining() - PeerMessage.PREFIX_BYTES, frame.getInt());
+    assertEquals(frame.remaining() - PeerMessageCodec.PREFIX_BYTES, frame.getInt());
     return frame.slice();
   }
 
   @Property(seed = "26")
   void aFrameReadsBackTheSame(@ForAll("frames") PeerMessage frame)
       throws MalformedMessageException {
-    assertEquals(frame, PeerMessage.decode(withoutLength(PeerMessage.encode(frame))));
+    assertEquals(frame, PeerMessageCodec.decode(withoutLength(PeerMessageCodec.encode(frame))));
   }
 
   @Property(seed = "27", tries = 2000)
@@ -215,14 +215,14 @@
       @ForAll("frames") PeerMessage frame,
       @ForAll @Size(max = 6) List<Integer> places,
       @ForAll byte value) {
-    ByteBuffer bytes = withoutLength(PeerMessage.encode(frame));
+    ByteBuffer bytes = withoutLength(PeerMessageCodec.encode(frame));
     for (int place : places) {
       bytes.put(Math.floorMod(place, bytes.limit()), value);
     }
     if (places.size() % 2 == 1) {
       bytes.limit(Math.floorMod(places.get(0), bytes.limit()) + 1);
     }
-    Statistics.collect(reads(() -> PeerMessage.decode(bytes)));
+    Statistics.collect(reads(() -> PeerMessageCodec.decode(bytes)));
     Statistics.coverage(coverage -> coverage.check(false).percentage(share -> share > 10));
   }
 }
--- a/src/test/java/madderrudder/protocol/CodecTest.java
+++ b/src/test/java/madderrudder/protocol/CodecTest.java
@@ -154,20 +154,20 @@
     SplittableRandom random = new SplittableRandom(3);
     int refused = 0;
     for (PeerMessage frame : frames) {
-      ByteBuffer bytes = PeerMessage.encode(frame);
+      ByteBuffer bytes = PeerMessageCodec.encode(frame);
       assertEquals(bytes.remaining() - 4, bytes.getInt());
       byte[] body = new byte[bytes.remaining()];
       bytes.get(body);
-      assertEquals(frame, PeerMessage.decode(ByteBuffer.wrap(body)));
+      assertEquals(frame, PeerMessageCodec.decode(ByteBuffer.wrap(body)));
       for (int cut = 0; cut < body.length; cut++) {
         ByteBuffer shorter = ByteBuffer.wrap(body, 0, cut);
-        assertThrows(MalformedMessageException.class, () -> PeerMessage.decode(shorter));
+        assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.decode(shorter));
       }
       for (int round = 0; round < 2_000; round++) {
         byte[] noise = body.clone();
         noise[random.nextInt(noise.length)] = (byte) random.nextInt();
         try {
-          PeerMessage.decode(ByteBuffer.wrap(noise));
+          PeerMessageCodec.decode(ByteBuffer.wrap(noise));
         } catch (MalformedMessageException e) {
           refused++;
         }
