--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -161,7 +161,8 @@
     machine.heartbeatSeq = report.seq();
     machine.heartbeatMicros = now;
     machine.addr = report.addr().isEmpty() ? machine.addr : report.addr();
-    machine.reclaimMicros = report.noticeMicros() < 0 ? -1 : now + report.noticeMicros();
+    machine.reclaimMicros =
+        report.reclaimNoticeMicros() < 0 ? -1 : now + report.reclaimNoticeMicros();
     boolean room = apply(machine, report, now);
     room |= vanish(machine);
     if (room || first) {
@@ -265,7 +266,7 @@
    */
   private boolean ended(Assignment assignment, TaskStatus task, long token) {
     ReportedState told =
-        task.why() == ExitReason.DONE ? ReportedState.COMPLETED : ReportedState.EXITED;
+        task.exitReason() == ExitReason.DONE ? ReportedState.COMPLETED : ReportedState.EXITED;
     boolean mayCome = assignment.inherited && FencingToken.term(token) < term.term;
     Verdict verdict =
         TaskReconciler.of(
@@ -330,8 +331,12 @@
     Machine machine = assignment.machine;
     Job job = assignment.job;
     LOG.debug(
-        "{} attempt {} exited on {}: {}", task.task(), task.attempt(), machine.id, task.why());
-    if (task.why() == ExitReason.DONE) {
+        "{} attempt {} exited on {}: {}",
+        task.task(),
+        task.attempt(),
+        machine.id,
+        task.exitReason());
+    if (task.exitReason() == ExitReason.DONE) {
       if (job != null) {
         machines.recordImageUse(machine, job.spec);
         ran(assignment, now, !job.mayHaveResumed(task.task().index()));
@@ -339,15 +344,18 @@
       jobs.completed(assignment);
       return true;
     }
-    if (job != null && (task.why() == ExitReason.STOPPED || task.why() == ExitReason.PEERS)) {
+    if (job != null
+        && (task.exitReason() == ExitReason.STOPPED
+            || task.exitReason() == ExitReason.PEERS_GONE)) {
       ran(assignment, now, false);
-      job.gangStarted |= task.why() == ExitReason.PEERS;
+      job.gangStarted |= task.exitReason() == ExitReason.PEERS_GONE;
     }
     machines.release(assignment);
     if (job != null && !job.ended) {
-      switch (task.why()) {
+      switch (task.exitReason()) {
         case ERROR -> failed(job, task, machine, now);
-        case NO_ROOM, BUSY, UNKNOWN -> job.refused(task.task().index(), now);
+        case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT, UNKNOWN ->
+            job.refused(task.task().index(), now);
         default -> {}
       }
     }
@@ -473,7 +481,7 @@
     ReportedState told =
         task.phase() != Phase.EXITED
             ? ReportedState.PRESENT
-            : task.why() == ExitReason.DONE ? ReportedState.COMPLETED : ReportedState.EXITED;
+            : task.exitReason() == ExitReason.DONE ? ReportedState.COMPLETED : ReportedState.EXITED;
     return TaskReconciler.of(
         new TaskFacts(
             RecordOwner.NONE, DesiredState.REMOVE, told, false, true, true, GangState.GATHERING));
@@ -547,7 +555,7 @@
       if (assignment == null) {
         switch (unrecorded(task).verdict()) {
           case FORGET -> {
-            orders.add(WorkerCommand.forget(key.task(), key.attempt()));
+            orders.add(WorkerCommand.reap(key.task(), key.attempt()));
             raiseToken = true;
           }
           case STOP -> orders.add(WorkerCommand.stop(key.task(), key.attempt(), 0));
@@ -602,8 +610,9 @@
       assignment.stopSentMicros = now;
     }
     Job job = assignment.job;
-    boolean saves = job != null && !job.ended && job.spec.checkpointMicros() > 0;
-    long grace = saves ? job.spec.saveMicros() + term.deployment.workers().gangPeerMicros() : 0;
+    boolean saves = job != null && !job.ended && job.spec.checkpointIntervalMicros() > 0;
+    long grace =
+        saves ? job.spec.checkpointSaveMicros() + term.deployment.workers().gangPeerMicros() : 0;
     return WorkerCommand.stop(assignment.task, assignment.attempt, grace);
   }
 
@@ -653,7 +662,8 @@
     }
     machine.directInFlight = true;
     long session = machine.session;
-    HttpRequest request = HttpRequest.post("/orders", WorkerCodec.direct(token, session, orders));
+    HttpRequest request =
+        HttpRequest.post("/orders", WorkerCodec.directCommands(token, session, orders));
     term.calls.call(
         machine.addr,
         request,
@@ -676,7 +686,7 @@
     boolean overtaken = false;
     if (status == 200 || status == 409) {
       try {
-        Heartbeat report = WorkerCodec.readReport(response.body());
+        Heartbeat report = WorkerCodec.readHeartbeat(response.body());
         overtaken = FencingToken.term(report.token()) == term.term && report.session() == session;
         if (FencingToken.term(report.token()) > term.term) {
           term.election.heardToken(report.token());
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -236,11 +236,11 @@
       }
       List<Write> writes = new ArrayList<>();
       if (finishing) {
-        writes.add(Write.drop(Keys.live(id)));
+        writes.add(Write.delete(Keys.live(id)));
         writes.add(
             Write.put(Keys.finished(id), JobRecords.finished(JobState.DONE, job.spec.tasks())));
         for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
-          writes.add(Write.drop(Keys.progress(id, chunk)));
+          writes.add(Write.delete(Keys.progress(id, chunk)));
         }
       } else {
         chunks.stream()
@@ -295,7 +295,7 @@
 
     @Override
     public List<Write> writes() {
-      return List.of(Write.drop(key));
+      return List.of(Write.delete(key));
     }
 
     @Override
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -384,7 +384,7 @@
             term.after(RETRY_MICROS, () -> list("", new TreeSet<>()));
             return;
           }
-          for (CloudCodec.Listed machine : page.machines()) {
+          for (CloudCodec.ListedMachine machine : page.machines()) {
             seen.add(machine.id());
             note(machine);
           }
@@ -417,13 +417,13 @@
     }
   }
 
-  private void note(CloudCodec.Listed listed) {
+  private void note(CloudCodec.ListedMachine listed) {
     Machine machine = term.cluster.machines.get(listed.id());
     if (machine != null) {
       if (machine.addr.isEmpty()) {
         machine.addr = listed.addr();
       }
-      machine.failed |= listed.state() == CloudCodec.State.FAILED;
+      machine.failed |= listed.state() == CloudCodec.MachineState.FAILED;
       return;
     }
     if (term.cluster.types.isEmpty()) {
@@ -455,7 +455,7 @@
     }
   }
 
-  private Machine adopt(CloudCodec.Listed listed, boolean owned) {
+  private Machine adopt(CloudCodec.ListedMachine listed, boolean owned) {
     LOG.info(
         "found {} ({} {}), {}",
         listed.id(),
@@ -530,7 +530,7 @@
 
     @Override
     public List<Write> writes() {
-      return List.of(Write.drop(Keys.rental(request)));
+      return List.of(Write.delete(Keys.rental(request)));
     }
 
     @Override
--- a/src/main/java/madderrudder/coordination/scheduling/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -311,8 +311,8 @@
     }
     long ran = assignment.runningMicros < 0 ? 0 : nowMicros - assignment.runningMicros;
     long since =
-        assignment.job.spec.checkpointMicros() > 0
-            ? Math.min(ran, assignment.job.spec.checkpointMicros())
+        assignment.job.spec.checkpointIntervalMicros() > 0
+            ? Math.min(ran, assignment.job.spec.checkpointIntervalMicros())
             : ran;
     return (since / 1e6 + 1) * assignment.resources.milliCpus() / 1000;
   }
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -257,7 +257,7 @@
    * whole.
    */
   public boolean mayHaveResumed(int task) {
-    return spec.checkpointMicros() > 0 && (inherited || begun.get(task));
+    return spec.checkpointIntervalMicros() > 0 && (inherited || begun.get(task));
   }
 
   public int runningCount() {
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -37,14 +37,16 @@
   public static byte[] finished(JobState state, int done) {
     return Json.object(
         out -> {
-          out.writeStringField("state", JobCodec.word(state));
+          out.writeStringField("state", JobCodec.nameOf(state));
           out.writeNumberField("done", done);
         });
   }
 
   public static Finished readFinished(Fields in) throws MalformedMessageException {
     JobState state =
-        in.text("state").equals(JobCodec.word(JobState.DONE)) ? JobState.DONE : JobState.CANCELLED;
+        in.text("state").equals(JobCodec.nameOf(JobState.DONE))
+            ? JobState.DONE
+            : JobState.CANCELLED;
     return new Finished(state, in.smallCount("done"));
   }
 
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -143,7 +143,7 @@
 
   public void grantLease(long lifeMicros, Consumer<StoreReply<Long>> answer) {
     call(
-        HttpRequest.post("/holds", StoreCodec.hold(lifeMicros)),
+        HttpRequest.post("/holds", StoreCodec.leaseRequest(lifeMicros)),
         CALL_MICROS,
         StoreCodec::readLease,
         answer);
--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -5,14 +5,14 @@
 
 /** Reads and writes the messages exchanged with the cloud. */
 public final class CloudCodec {
-  private static final EnumNames<State> STATES =
-      new EnumNames<>(State.class)
-          .with("booting", State.BOOTING)
-          .with("running", State.RUNNING)
-          .with("failed", State.FAILED);
+  private static final EnumNames<MachineState> STATES =
+      new EnumNames<>(MachineState.class)
+          .with("booting", MachineState.BOOTING)
+          .with("running", MachineState.RUNNING)
+          .with("failed", MachineState.FAILED);
 
   /** The state of a machine in the cloud's list. */
-  public enum State {
+  public enum MachineState {
     /** Rented, but its worker does not run yet as far as the cloud knows. */
     BOOTING,
     /** Up, or died a short while ago. */
@@ -32,13 +32,13 @@
    * @param state its state
    * @param ageMicros the time since it was rented, when the list was made
    */
-  public record Listed(
+  public record ListedMachine(
       String id,
       String addr,
       String type,
       String zone,
       boolean spot,
-      State state,
+      MachineState state,
       long ageMicros) {}
 
   /**
@@ -47,7 +47,7 @@
    * @param machines the machines, in the order of their ids
    * @param more whether the list goes on behind them
    */
-  public record Page(List<Listed> machines, boolean more) {}
+  public record Page(List<ListedMachine> machines, boolean more) {}
 
   private CloudCodec() {}
 
@@ -123,16 +123,16 @@
    */
   public static Page readPage(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
-    List<Listed> machines = new ArrayList<>();
+    List<ListedMachine> machines = new ArrayList<>();
     for (Fields machine : in.objects(CloudFields.MACHINES)) {
       machines.add(readMachine(machine));
     }
     return new Page(machines, in.flag(CloudFields.MORE, false));
   }
 
-  private static Listed readMachine(Fields in) throws MalformedMessageException {
-    State state = STATES.valueOf(in.text(CloudFields.STATE), State.RUNNING);
-    return new Listed(
+  private static ListedMachine readMachine(Fields in) throws MalformedMessageException {
+    MachineState state = STATES.valueOf(in.text(CloudFields.STATE), MachineState.RUNNING);
+    return new ListedMachine(
         in.text(CloudFields.ID),
         in.text(CloudFields.ADDRESS, ""),
         in.text(CloudFields.MACHINE_TYPE),
--- a/src/main/java/madderrudder/protocol/Heartbeat.java
+++ b/src/main/java/madderrudder/protocol/Heartbeat.java
@@ -13,7 +13,8 @@
  * @param session the incarnation of the worker, which grows each time its lease expires
  * @param seq the sequence number of the heartbeat in its session
  * @param token the highest fencing token that the worker has seen; 0 if none
- * @param noticeMicros the time until the cloud takes the spot machine back; -1 without notice
+ * @param reclaimNoticeMicros the time until the cloud takes the spot machine back; -1 without
+ *     notice
  * @param tasks all tasks on the machine, including exited ones until they are reaped
  */
 public record Heartbeat(
@@ -25,7 +26,7 @@
     long session,
     long seq,
     long token,
-    long noticeMicros,
+    long reclaimNoticeMicros,
     List<TaskStatus> tasks) {
 
   /** Whether this one is newer: it has the larger pair of session and sequence number. */
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -147,8 +147,9 @@
     out.writeNumberField(JobFields.IMAGE_GB, job.imageGb());
     writePlacement(out, job);
     out.writeNumberField(JobFields.ESTIMATE_SECONDS, job.estimateMicros() / 1e6);
-    out.writeNumberField(JobFields.CHECKPOINT_INTERVAL_SECONDS, job.checkpointMicros() / 1e6);
-    out.writeNumberField(JobFields.CHECKPOINT_SAVE_SECONDS, job.saveMicros() / 1e6);
+    out.writeNumberField(
+        JobFields.CHECKPOINT_INTERVAL_SECONDS, job.checkpointIntervalMicros() / 1e6);
+    out.writeNumberField(JobFields.CHECKPOINT_SAVE_SECONDS, job.checkpointSaveMicros() / 1e6);
     if (job.deadlineMicros() > 0) {
       out.writeNumberField(JobFields.DEADLINE_SECONDS, job.deadlineMicros() / 1e6);
     }
@@ -175,7 +176,7 @@
     return Json.object(
         out -> {
           out.writeStringField(JobFields.ID, id);
-          out.writeStringField(JobFields.STATE, word(state));
+          out.writeStringField(JobFields.STATE, nameOf(state));
         });
   }
 
@@ -189,14 +190,14 @@
     return Json.object(
         out -> {
           out.writeStringField(JobFields.ID, id);
-          out.writeStringField(JobFields.STATE, word(state));
+          out.writeStringField(JobFields.STATE, nameOf(state));
           out.writeNumberField(JobFields.TASKS_DONE, done);
           out.writeNumberField(JobFields.TASKS_RUNNING, running);
         });
   }
 
   /** The state's name on the wire and in the store. */
-  public static String word(JobState state) {
+  public static String nameOf(JobState state) {
     return STATES.nameOf(state);
   }
 }
--- a/src/main/java/madderrudder/protocol/JobFields.java
+++ b/src/main/java/madderrudder/protocol/JobFields.java
@@ -56,7 +56,7 @@
   /** The owner's estimate of a task's run time in seconds: {@link JobSpec#estimateMicros()}. */
   static final String ESTIMATE_SECONDS = "reckon_s";
 
-  /** The interval between checkpoints in seconds: {@link JobSpec#checkpointMicros()}. */
+  /** The interval between checkpoints in seconds: {@link JobSpec#checkpointIntervalMicros()}. */
   static final String CHECKPOINT_INTERVAL_SECONDS = "mark_s";
 
   /** The time in seconds that a task needs to save a checkpoint when it is stopped. */
--- a/src/main/java/madderrudder/protocol/JobSpec.java
+++ b/src/main/java/madderrudder/protocol/JobSpec.java
@@ -20,8 +20,9 @@
  * @param spread whether the tasks must be spread over zones, see {@link #mostPerZone()}
  * @param spotAllowed whether the job may use spot machines
  * @param estimateMicros the owner's estimate of a task's run time; 0 for services
- * @param checkpointMicros the interval of progress between checkpoints; 0 if tasks never save
- * @param saveMicros the time that a task needs to save when it is stopped
+ * @param checkpointIntervalMicros the interval of progress between checkpoints; 0 if tasks never
+ *     save
+ * @param checkpointSaveMicros the time that a task needs to save when it is stopped
  * @param deadlineMicros when the job should be complete, from its submission; 0 without a deadline
  */
 public record JobSpec(
@@ -40,8 +41,8 @@
     boolean spread,
     boolean spotAllowed,
     long estimateMicros,
-    long checkpointMicros,
-    long saveMicros,
+    long checkpointIntervalMicros,
+    long checkpointSaveMicros,
     long deadlineMicros) {
 
   /** The largest number of its tasks that may be in the same zone. */
--- a/src/main/java/madderrudder/protocol/PeerMessageCodec.java
+++ b/src/main/java/madderrudder/protocol/PeerMessageCodec.java
@@ -101,7 +101,7 @@
   private PeerMessageCodec() {}
 
   /** Whether a heartbeat, or the response to one, of so many bytes can be forwarded. */
-  public static boolean carries(int bytes) {
+  public static boolean canForward(int bytes) {
     return bytes <= MAX_BYTES - FORWARDING_BYTES;
   }
 
--- a/src/main/java/madderrudder/protocol/StoreCodec.java
+++ b/src/main/java/madderrudder/protocol/StoreCodec.java
@@ -40,7 +40,7 @@
     }
 
     /** Deletes a key. */
-    public static Write drop(String key) {
+    public static Write delete(String key) {
       return new Write(key, null, 0);
     }
   }
@@ -95,7 +95,7 @@
   }
 
   /** The body of a request for a lease that lives so long unless it is renewed. */
-  public static byte[] hold(long lifeMicros) {
+  public static byte[] leaseRequest(long lifeMicros) {
     return Json.object(out -> out.writeNumberField(StoreFields.LEASE_MILLIS, lifeMicros / 1000));
   }
 
--- a/src/main/java/madderrudder/protocol/TaskStatus.java
+++ b/src/main/java/madderrudder/protocol/TaskStatus.java
@@ -6,10 +6,11 @@
  * @param task the task
  * @param attempt the number of its attempt
  * @param phase its phase on the machine
- * @param why why it exited, or why its start was refused; null unless it has exited
+ * @param exitReason why it exited, or why its start was refused; null unless it has exited
  * @param saved whether it saved its progress when it was stopped
  */
-public record TaskStatus(TaskId task, long attempt, Phase phase, ExitReason why, boolean saved) {
+public record TaskStatus(
+    TaskId task, long attempt, Phase phase, ExitReason exitReason, boolean saved) {
   /** The phase of a task on its machine. */
   public enum Phase {
     /** Waits for its image. */
@@ -31,15 +32,15 @@
     /** It was stopped by a command. */
     STOPPED,
     /** Another task of its running gang disappeared. */
-    PEERS,
+    PEERS_GONE,
     /** Its gang was not complete in time. */
-    ALONE,
+    GANG_INCOMPLETE,
     /** It failed, by a fault of the machine or by a mistake in the job. */
     ERROR,
     /** Its start was refused: the machine lacks free resources. */
-    NO_ROOM,
+    INSUFFICIENT_RESOURCES,
     /** Its start was refused: the machine has the task with another attempt. */
-    BUSY,
+    OTHER_ATTEMPT,
     /** Its start was refused: the worker found no such job or task. */
     UNKNOWN
   }
--- a/src/main/java/madderrudder/protocol/WorkerCodec.java
+++ b/src/main/java/madderrudder/protocol/WorkerCodec.java
@@ -21,18 +21,18 @@
       new EnumNames<>(ExitReason.class)
           .with("done", ExitReason.DONE)
           .with("halted", ExitReason.STOPPED)
-          .with("mates_gone", ExitReason.PEERS)
-          .with("alone", ExitReason.ALONE)
+          .with("mates_gone", ExitReason.PEERS_GONE)
+          .with("alone", ExitReason.GANG_INCOMPLETE)
           .with("error", ExitReason.ERROR)
-          .with("no_room", ExitReason.NO_ROOM)
-          .with("busy", ExitReason.BUSY)
+          .with("no_room", ExitReason.INSUFFICIENT_RESOURCES)
+          .with("busy", ExitReason.OTHER_ATTEMPT)
           .with("unknown", ExitReason.UNKNOWN);
 
-  private static final EnumNames<WorkerCommand.Op> OPERATIONS =
-      new EnumNames<>(WorkerCommand.Op.class)
-          .with("start", WorkerCommand.Op.START)
-          .with("stop", WorkerCommand.Op.STOP)
-          .with("reap", WorkerCommand.Op.FORGET);
+  private static final EnumNames<WorkerCommand.Operation> OPERATIONS =
+      new EnumNames<>(WorkerCommand.Operation.class)
+          .with("start", WorkerCommand.Operation.START)
+          .with("stop", WorkerCommand.Operation.STOP)
+          .with("reap", WorkerCommand.Operation.REAP);
 
   private WorkerCodec() {}
 
@@ -42,7 +42,7 @@
    * @throws MalformedMessageException if the body is no JSON object, or a field is missing or
    *     invalid
    */
-  public static Heartbeat readReport(byte[] body) throws MalformedMessageException {
+  public static Heartbeat readHeartbeat(byte[] body) throws MalformedMessageException {
     Fields in = Json.readObject(body);
     // Read first: which of several invalid fields is named depends on the order.
     List<TaskStatus> tasks = readTasks(in);
@@ -86,7 +86,7 @@
   }
 
   /** The answer to a heartbeat: the leader's fencing token and the commands to the worker. */
-  public static byte[] answer(long token, List<WorkerCommand> commands) {
+  public static byte[] heartbeatResponse(long token, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
           out.writeNumberField(WorkerFields.FENCING_TOKEN, token);
@@ -95,7 +95,7 @@
   }
 
   /** The body of direct commands to a worker, which it refuses in another session than this. */
-  public static byte[] direct(long token, long session, List<WorkerCommand> commands) {
+  public static byte[] directCommands(long token, long session, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
           out.writeNumberField(WorkerFields.FENCING_TOKEN, token);
@@ -123,10 +123,10 @@
     out.writeArrayFieldStart(WorkerFields.COMMANDS);
     for (WorkerCommand command : commands) {
       out.writeStartObject();
-      out.writeStringField(WorkerFields.OPERATION, OPERATIONS.nameOf(command.op()));
+      out.writeStringField(WorkerFields.OPERATION, OPERATIONS.nameOf(command.operation()));
       out.writeStringField(WorkerFields.TASK, command.task().toString());
       out.writeNumberField(WorkerFields.ATTEMPT, command.attempt());
-      if (command.op() == WorkerCommand.Op.STOP) {
+      if (command.operation() == WorkerCommand.Operation.STOP) {
         out.writeNumberField(WorkerFields.GRACE_SECONDS, command.graceMicros() / 1e6);
       }
       out.writeEndObject();
--- a/src/main/java/madderrudder/protocol/package-info.java
+++ b/src/main/java/madderrudder/protocol/package-info.java
@@ -33,9 +33,9 @@
  * <tr><td>reckon_s</td><td>the owner's run time estimate</td>
  *     <td>{@link madderrudder.protocol.JobSpec#estimateMicros()}</td></tr>
  * <tr><td>mark_s</td><td>checkpoint interval</td>
- *     <td>{@link madderrudder.protocol.JobSpec#checkpointMicros()}</td></tr>
+ *     <td>{@link madderrudder.protocol.JobSpec#checkpointIntervalMicros()}</td></tr>
  * <tr><td>stow_s</td><td>time to save a checkpoint</td>
- *     <td>{@link madderrudder.protocol.JobSpec#saveMicros()}</td></tr>
+ *     <td>{@link madderrudder.protocol.JobSpec#checkpointSaveMicros()}</td></tr>
  * <tr><td>tide_s</td><td>deadline</td>
  *     <td>{@link madderrudder.protocol.JobSpec#deadlineMicros()}</td></tr>
  * <tr><td>trim (of a job): pending, running, done, aborted</td><td>job state</td>
@@ -49,7 +49,7 @@
  * <tr><td>helm</td><td>fencing token, the leader's term</td>
  *     <td>{@link madderrudder.protocol.Heartbeat#token()}</td></tr>
  * <tr><td>recall_s</td><td>reclaim notice of a spot machine</td>
- *     <td>{@link madderrudder.protocol.Heartbeat#noticeMicros()}</td></tr>
+ *     <td>{@link madderrudder.protocol.Heartbeat#reclaimNoticeMicros()}</td></tr>
  * <tr><td>launch</td><td>attempt</td>
  *     <td>{@link madderrudder.protocol.TaskStatus#attempt()}</td></tr>
  * <tr><td>trim (of a task): fetching, gathering, running, flushing, ended</td><td>phase</td>
@@ -68,7 +68,7 @@
  * <tr><td>fleet</td><td>machines</td>
  *     <td>{@link madderrudder.protocol.CloudCodec.Page#machines()}</td></tr>
  * <tr><td>trim (of a machine): booting, running, failed</td><td>machine state</td>
- *     <td>{@link madderrudder.protocol.CloudCodec.State}</td></tr>
+ *     <td>{@link madderrudder.protocol.CloudCodec.MachineState}</td></tr>
  * <tr><td>path, data</td><td>key, value</td>
  *     <td>{@link madderrudder.protocol.StoreCodec.Item}</td></tr>
  * <tr><td>entry</td><td>version of a key</td>
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -120,7 +120,7 @@
   }
 
   private Heartbeat read(byte[] body) throws MalformedMessageException {
-    Heartbeat report = WorkerCodec.readReport(body);
+    Heartbeat report = WorkerCodec.readHeartbeat(body);
     if (!election.heardToken(report.token())) {
       throw new MalformedMessageException("no leader has given the token " + report.token());
     }
@@ -175,7 +175,9 @@
           } else {
             arrived
                 .answer()
-                .accept(HttpResponse.of(200, WorkerCodec.answer(reply.token(), reply.orders())));
+                .accept(
+                    HttpResponse.of(
+                        200, WorkerCodec.heartbeatResponse(reply.token(), reply.orders())));
           }
         });
   }
@@ -220,12 +222,12 @@
     }
     stoodIn++;
     long token = FencingToken.echo(arrived.report().token(), deputy.term());
-    arrived.answer().accept(HttpResponse.of(200, WorkerCodec.answer(token, List.of())));
+    arrived.answer().accept(HttpResponse.of(200, WorkerCodec.heartbeatResponse(token, List.of())));
   }
 
   private void relay(String name, Homeless arrived) {
     standingIn = false;
-    if (!PeerMessageCodec.carries(arrived.body().length)) {
+    if (!PeerMessageCodec.canForward(arrived.body().length)) {
       standIn(arrived);
       return;
     }
@@ -268,8 +270,8 @@
             byte[] body =
                 reply.orders() == null
                     ? new byte[0]
-                    : WorkerCodec.answer(reply.token(), reply.orders());
-            if (PeerMessageCodec.carries(body.length)) {
+                    : WorkerCodec.heartbeatResponse(reply.token(), reply.orders());
+            if (PeerMessageCodec.canForward(body.length)) {
               around
                   .peers()
                   .send(
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -230,7 +230,7 @@
         new JobRecords.Finished(JobState.CANCELLED, now == null ? 0 : now.done());
     List<Write> writes =
         List.of(
-            Write.drop(Keys.live(id)),
+            Write.delete(Keys.live(id)),
             Write.put(Keys.finished(id), JobRecords.finished(end.state(), end.done())));
     store.commit(
         List.of(new Condition(Keys.live(id), known.version())),
--- a/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
+++ b/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
@@ -96,7 +96,7 @@
 
   @Property(seed = "22", tries = 2000)
   void aReportIsReadOrMalformed(@ForAll("reports") byte[] text) {
-    Statistics.collect(reads(() -> WorkerCodec.readReport(text)));
+    Statistics.collect(reads(() -> WorkerCodec.readHeartbeat(text)));
     Statistics.coverage(
         coverage -> coverage.check(true).percentage(share -> share > 10 && share < 90));
   }
--- a/src/test/java/madderrudder/protocol/CodecTest.java
+++ b/src/test/java/madderrudder/protocol/CodecTest.java
@@ -132,15 +132,15 @@
   @Test
   void readsAReport() throws MalformedMessageException {
     Heartbeat report =
-        WorkerCodec.readReport(
+        WorkerCodec.readHeartbeat(
             json(
                 "{'vessel':'m-1','addr':'10.1.0.2:9000','build':'g8',"
                     + "'berth':'a','driftwood':true,'watch':2,'knot':88,'helm':41,'recall_s':3.5,'strokes':["
                     + "{'stroke':'req-000412/3','launch':2,'trim':'running'},"
                     + "{'stroke':'req-000398/0','launch':1,'trim':'ended','wake':'done'}]}"));
-    assertEquals(3_500_000, report.noticeMicros());
+    assertEquals(3_500_000, report.reclaimNoticeMicros());
     assertEquals(new TaskId("req-000412", 3), report.tasks().get(0).task());
-    assertEquals(TaskStatus.ExitReason.DONE, report.tasks().get(1).why());
+    assertEquals(TaskStatus.ExitReason.DONE, report.tasks().get(1).exitReason());
     assertTrue(report.newerThan(2, 87) && report.newerThan(1, 99) && !report.newerThan(2, 88));
   }
 
