--- a/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
+++ b/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
@@ -26,8 +26,8 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * Whatever comes in ends in a value or a malformed message, and what was written reads back the
- * same.
+ * Whatever arrives is read as a value or refused as malformed, without any other exception, and
+ * what was written reads back the same.
  */
 class CodecPropertiesTest {
   private static final String JOB =
@@ -35,7 +35,7 @@
             {"id":"req-000412","rig":"train","crew":"vision","cut":"gang","rank":"urgent","strokes":16,"cores":8.0,
              "accelerators":1.0,"mem_gb":64.0,"hull":"img-07","image_gb":6.2,"builds":["g8","g4"],"berth":"a",
              "one_zone":true,"apart":false,"driftwood":true,"reckon_s":240.0,"mark_s":30.0,"stow_s":4.0,"tide_s":900.0}""";
-  private static final String REPORT =
+  private static final String HEARTBEAT =
       """
             {"vessel":"m-000012","addr":"10.1.0.5:9000","build":"g8","berth":"a","driftwood":true,"watch":1,"knot":7,
              "helm":41,"recall_s":12.5,"strokes":[{"stroke":"req-000412/4","launch":2,"trim":"ended","wake":"halted",
@@ -75,7 +75,7 @@
   }
 
   @Property(seed = "21", tries = 4000)
-  void aJobThatIsTakenReadsBackTheSame(@ForAll("jobs") byte[] text) {
+  void aValidJobReadsBackTheSame(@ForAll("jobs") byte[] text) {
     boolean taken =
         reads(
             () -> {
@@ -90,24 +90,24 @@
   }
 
   @Provide
-  Arbitrary<byte[]> reports() {
-    return Documents.nearly(REPORT);
+  Arbitrary<byte[]> heartbeats() {
+    return Documents.nearly(HEARTBEAT);
   }
 
   @Property(seed = "22", tries = 2000)
-  void aReportIsReadOrMalformed(@ForAll("reports") byte[] text) {
+  void aHeartbeatIsReadOrMalformed(@ForAll("heartbeats") byte[] text) {
     Statistics.collect(reads(() -> WorkerCodec.readHeartbeat(text)));
     Statistics.coverage(
         coverage -> coverage.check(true).percentage(share -> share > 10 && share < 90));
   }
 
   @Provide
-  Arbitrary<byte[]> storeAnswers() {
+  Arbitrary<byte[]> storeResponses() {
     return Documents.nearly(STORE);
   }
 
   @Property(seed = "23", tries = 2000)
-  void anAnswerOfTheStoreIsReadOrMalformed(@ForAll("storeAnswers") byte[] text) {
+  void aResponseOfTheStoreIsReadOrMalformed(@ForAll("storeResponses") byte[] text) {
     int read = 0;
     for (Reading reading :
         List.<Reading>of(
@@ -125,7 +125,7 @@
   }
 
   @Property(seed = "24", tries = 2000)
-  void anObjectThatIsKeptReadsBackTheSame(@ForAll("storeAnswers") byte[] text) {
+  void anyObjectRendersTheSameAgain(@ForAll("storeResponses") byte[] text) {
     reads(
         () -> {
           String kept = new String(Json.readObject(text).render(), StandardCharsets.UTF_8);
@@ -139,12 +139,12 @@
   }
 
   @Provide
-  Arbitrary<byte[]> cloudAnswers() {
+  Arbitrary<byte[]> cloudResponses() {
     return Documents.nearly(CLOUD);
   }
 
   @Property(seed = "25", tries = 2000)
-  void anAnswerOfTheCloudIsReadOrMalformed(@ForAll("cloudAnswers") byte[] text) {
+  void aResponseOfTheCloudIsReadOrMalformed(@ForAll("cloudResponses") byte[] text) {
     boolean page = reads(() -> CloudCodec.readPage(text));
     boolean catalog = reads(() -> CloudCodec.readCatalog(Json.readObject(text)));
     boolean rented = reads(() -> CloudCodec.readRented(text));
@@ -155,10 +155,10 @@
   }
 
   @Provide
-  Arbitrary<PeerMessage> frames() {
+  Arbitrary<PeerMessage> peerMessages() {
     Arbitrary<String> names =
         Arbitraries.strings().withCharRange('\u0000', '\ud7ff').ofMaxLength(60);
-    Arbitrary<PeerMessage> pulses =
+    Arbitrary<PeerMessage> statuses =
         Combinators.combine(
                 names,
                 Arbitraries.longs(),
@@ -174,7 +174,7 @@
         Combinators.combine(Arbitraries.longs(), job.list().ofMaxSize(50)).as(ProgressUpdate::new);
     Arbitrary<StampEcho> echo =
         Combinators.combine(names, Arbitraries.longs(), Arbitraries.longs()).as(StampEcho::new);
-    Arbitrary<PeerMessage> standing =
+    Arbitrary<PeerMessage> memberships =
         Combinators.combine(
                 names,
                 Arbitraries.longs(),
@@ -187,35 +187,35 @@
             .as(MembershipStatus::new);
     Arbitrary<LeaseRenewal> answer =
         Combinators.combine(names, Arbitraries.integers()).as(LeaseRenewal::new);
-    Arbitrary<PeerMessage> answered =
+    Arbitrary<PeerMessage> renewals =
         Combinators.combine(
                 names, Arbitraries.longs(), Arbitraries.longs(), answer.list().ofMaxSize(50))
             .as(DelegatedRenewals::new);
     Arbitrary<String> bodies = Arbitraries.strings().withCharRange(' ', '~').ofMaxLength(3_000);
-    Arbitrary<PeerMessage> relayed =
+    Arbitrary<PeerMessage> heartbeats =
         Combinators.combine(names, Arbitraries.longs(), bodies).as(ForwardedHeartbeat::new);
-    Arbitrary<PeerMessage> relayAnswers =
+    Arbitrary<PeerMessage> responses =
         Combinators.combine(Arbitraries.longs(), bodies).as(ForwardedResponse::new);
-    return Arbitraries.oneOf(pulses, progress, standing, answered, relayed, relayAnswers);
+    return Arbitraries.oneOf(statuses, progress, memberships, renewals, heartbeats, responses);
   }
 
-  private static ByteBuffer withoutLength(ByteBuffer frame) {
-    assertEquals(frame.remaining() - PeerMessageCodec.PREFIX_BYTES, frame.getInt());
-    return frame.slice();
+  private static ByteBuffer withoutLength(ByteBuffer message) {
+    assertEquals(message.remaining() - PeerMessageCodec.PREFIX_BYTES, message.getInt());
+    return message.slice();
   }
 
   @Property(seed = "26")
-  void aFrameReadsBackTheSame(@ForAll("frames") PeerMessage frame)
+  void aPeerMessageReadsBackTheSame(@ForAll("peerMessages") PeerMessage message)
       throws MalformedMessageException {
-    assertEquals(frame, PeerMessageCodec.decode(withoutLength(PeerMessageCodec.encode(frame))));
+    assertEquals(message, PeerMessageCodec.decode(withoutLength(PeerMessageCodec.encode(message))));
   }
 
   @Property(seed = "27", tries = 2000)
-  void anyFrameIsReadOrMalformed(
-      @ForAll("frames") PeerMessage frame,
+  void aDamagedPeerMessageIsReadOrMalformed(
+      @ForAll("peerMessages") PeerMessage message,
       @ForAll @Size(max = 6) List<Integer> places,
       @ForAll byte value) {
-    ByteBuffer bytes = withoutLength(PeerMessageCodec.encode(frame));
+    ByteBuffer bytes = withoutLength(PeerMessageCodec.encode(message));
     for (int place : places) {
       bytes.put(Math.floorMod(place, bytes.limit()), value);
     }
--- a/src/test/java/madderrudder/protocol/JobCodecTest.java
+++ b/src/test/java/madderrudder/protocol/JobCodecTest.java
@@ -1,19 +1,18 @@
 package madderrudder.protocol;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.SplittableRandom;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class CodecTest {
+/** Jobs as users submit them and as they are stored. */
+class JobCodecTest {
   private static final String JOB =
       "{'id':'req-000412','rig':'train','crew':'vision','cut':'gang','rank':'urgent',"
           + "'strokes':16,'cores':8.0,'accelerators':1.0,'mem_gb':64.0,'hull':'img-07','image_gb':6.2,"
@@ -29,11 +28,17 @@
   }
 
   @Test
-  void readsAndKeepsAJob() throws MalformedMessageException {
+  void readsAJob() throws MalformedMessageException {
     JobSpec job = job(JOB);
     assertEquals(JobKind.GANG, job.kind());
+    assertEquals(Priority.HIGH, job.priority());
     assertEquals(new Resources(8000, 1000, 64000), job.perTask());
     assertEquals(240_000_000, job.estimateMicros());
+  }
+
+  @Test
+  void aWrittenJobReadsBackTheSame() throws MalformedMessageException {
+    JobSpec job = job(JOB);
     assertEquals(job, JobCodec.read(Json.readObject(Json.object(out -> JobCodec.write(out, job)))));
   }
 
@@ -62,12 +67,12 @@
         "64.0|NaN",
         "'vision'|7"
       })
-  void refusesInvalidFields(String change) {
+  void refusesAnInvalidField(String change) {
     String[] parts = change.split("\\|", -1);
     assertThrows(MalformedMessageException.class, () -> job(JOB.replace(parts[0], parts[1])));
   }
 
-  /** Jobs that lacked one of the last seven were once taken, with a value that nobody had said. */
+  /** Jobs that lacked one of the last seven were once accepted, with a value made up here. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -89,7 +94,7 @@
         "mark_s",
         "stow_s"
       })
-  void aJobNeedsEachFieldThatMayNotBeNull(String field) throws MalformedMessageException {
+  void refusesAJobWithoutAFieldThatMayNotBeNull(String field) throws MalformedMessageException {
     String text = JOB.replace("16", "1");
     assertEquals(1, job(text).tasks());
     String value = "'" + field + "':('[^']*'|[^,]*)";
@@ -101,85 +106,52 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"'builds':['g8'],", "'berth':null,", "'tide_s':900.0,"})
-  void whatMayBeNullMayBeLeftOut(String field) throws MalformedMessageException {
+  void acceptsAJobWithoutAFieldThatMayBeNull(String field) throws MalformedMessageException {
     assertTrue(JOB.contains(field));
     assertEquals(16, job(JOB.replace(field, "")).tasks());
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"", "[]", "7", "{", "{}}", "{'a':1}x", "nul", "{'a':}"})
-  void refusesWhatIsNoObject(String text) {
-    assertThrows(MalformedMessageException.class, () -> Json.readObject(json(text)));
-  }
-
-  @Test
-  void refusesNestingWithoutEnd() {
-    assertThrows(
-        MalformedMessageException.class, () -> Json.readObject(json("{'a':" + "[".repeat(30_000))));
-  }
-
-  /** Read as infinite, a number beyond all bounds was written again as a text. */
-  @Test
-  void numbersBeyondAllBoundsAreKeptAndTakenForNoAmount() throws MalformedMessageException {
-    Fields read = Json.readObject(json("{'a':1e999,'b':-1e-999,'c':-1e99999999999999}"));
-    assertEquals(
-        "{\"a\":1e999,\"b\":-0.0,\"c\":-1e99999999999999}",
-        new String(read.render(), StandardCharsets.UTF_8));
-    assertThrows(MalformedMessageException.class, () -> read.amount("a"));
-    assertThrows(MalformedMessageException.class, () -> read.count("a"));
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "gang|band|cut|field cut is invalid|band",
+        "urgent|now|rank|field rank is invalid|now",
+        ":16|:100001|strokes|field strokes is out of range|100001",
+        "img-07||hull|field hull is missing or invalid|''",
+        "240.0|-1|reckon_s|field reckon_s is missing or invalid|-1",
+      })
+  void namesTheInvalidFieldAndItsValue(
+      String good, String bad, String field, String message, String value) {
+    String text = JOB.replace(good, bad == null ? "" : bad);
+    MalformedMessageException malformed =
+        assertThrows(MalformedMessageException.class, () -> job(text));
+    assertEquals(Optional.of(field), malformed.field());
+    assertEquals(Optional.of(value), malformed.value());
+    assertEquals(message, malformed.getMessage());
+    assertEquals(message + ": " + value, malformed.detail());
   }
 
   @Test
-  void readsAReport() throws MalformedMessageException {
-    Heartbeat report =
-        WorkerCodec.readHeartbeat(
-            json(
-                "{'vessel':'m-1','addr':'10.1.0.2:9000','build':'g8',"
-                    + "'berth':'a','driftwood':true,'watch':2,'knot':88,'helm':41,'recall_s':3.5,'strokes':["
-                    + "{'stroke':'req-000412/3','launch':2,'trim':'running'},"
-                    + "{'stroke':'req-000398/0','launch':1,'trim':'ended','wake':'done'}]}"));
-    assertEquals(3_500_000, report.reclaimNoticeMicros());
-    assertEquals(new TaskId("req-000412", 3), report.tasks().get(0).task());
-    assertEquals(TaskStatus.ExitReason.DONE, report.tasks().get(1).exitReason());
-    assertTrue(report.newerThan(2, 87) && report.newerThan(1, 99) && !report.newerThan(2, 88));
+  void namesAMissingFieldWithoutAValue() {
+    MalformedMessageException malformed =
+        assertThrows(MalformedMessageException.class, () -> job(JOB.replace("'crew'", "'x'")));
+    assertEquals(Optional.of("crew"), malformed.field());
+    assertEquals(Optional.empty(), malformed.value());
+    assertEquals("field crew is missing or invalid", malformed.detail());
   }
 
   @Test
-  void meshFramesComeBackAndNoiseIsRefused() throws MalformedMessageException {
-    List<PeerMessage> frames =
-        List.of(
-            new PeerMessage.NodeStatus("bollard-1", 7, "", true, 1500, 250),
-            new PeerMessage.ProgressUpdate(
-                9, List.of(new PeerMessage.JobProgress("req-000001", 3, 4))));
-    SplittableRandom random = new SplittableRandom(3);
-    int refused = 0;
-    for (PeerMessage frame : frames) {
-      ByteBuffer bytes = PeerMessageCodec.encode(frame);
-      assertEquals(bytes.remaining() - 4, bytes.getInt());
-      byte[] body = new byte[bytes.remaining()];
-      bytes.get(body);
-      assertEquals(frame, PeerMessageCodec.decode(ByteBuffer.wrap(body)));
-      for (int cut = 0; cut < body.length; cut++) {
-        ByteBuffer shorter = ByteBuffer.wrap(body, 0, cut);
-        assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.decode(shorter));
-      }
-      for (int round = 0; round < 2_000; round++) {
-        byte[] noise = body.clone();
-        noise[random.nextInt(noise.length)] = (byte) random.nextInt();
-        try {
-          PeerMessageCodec.decode(ByteBuffer.wrap(noise));
-        } catch (MalformedMessageException e) {
-          refused++;
-        }
-      }
-    }
-    assertTrue(refused > 500, "only " + refused + " refused");
+  void shortensALongInvalidValue() {
+    String text = JOB.replace("'vision'", "'" + "v".repeat(5_000) + "'");
+    MalformedMessageException malformed =
+        assertThrows(MalformedMessageException.class, () -> job(text));
+    assertEquals(Optional.of("v".repeat(80) + "..."), malformed.value());
   }
 
   @Test
-  void amountsAreExact() throws MalformedMessageException {
+  void fractionsOfResourcesAddUpExactly() throws MalformedMessageException {
     JobSpec job = job(JOB.replace("8.0", "0.1").replace("64.0", "0.7"));
     assertEquals(job.perTask().times(30), Resources.of(3, 30, 21));
-    assertArrayEquals("{\"error\":\"a\"}".getBytes(StandardCharsets.UTF_8), Json.error("a"));
   }
 }
--- /dev/null
+++ b/src/test/java/madderrudder/protocol/JsonTest.java
@@ -0,0 +1,50 @@
+package madderrudder.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** JSON texts and the access to their fields. */
+class JsonTest {
+  private static byte[] json(String text) {
+    return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"", "[]", "7", "{", "{}}", "{'a':1}x", "nul", "{'a':}"})
+  void refusesATextThatIsNotOneObject(String text) {
+    assertThrows(MalformedMessageException.class, () -> Json.readObject(json(text)));
+  }
+
+  @Test
+  void refusesDeepNesting() {
+    assertThrows(
+        MalformedMessageException.class, () -> Json.readObject(json("{'a':" + "[".repeat(30_000))));
+  }
+
+  /** Read as infinite, a number beyond a double's range was written again as a string. */
+  @Test
+  void rendersNumbersBeyondADoublesRangeAsTheyCame() throws MalformedMessageException {
+    Fields read = Json.readObject(json("{'a':1e999,'b':-1e-999,'c':-1e99999999999999}"));
+    assertEquals(
+        "{\"a\":1e999,\"b\":-0.0,\"c\":-1e99999999999999}",
+        new String(read.render(), StandardCharsets.UTF_8));
+  }
+
+  @Test
+  void numbersBeyondADoublesRangeAreNoAmounts() throws MalformedMessageException {
+    Fields read = Json.readObject(json("{'a':1e999}"));
+    assertThrows(MalformedMessageException.class, () -> read.amount("a"));
+    assertThrows(MalformedMessageException.class, () -> read.count("a"));
+  }
+
+  @Test
+  void writesAnErrorAsAnObject() {
+    assertArrayEquals("{\"error\":\"a\"}".getBytes(StandardCharsets.UTF_8), Json.error("a"));
+  }
+}
