--- a/src/main/java/madderrudder/cli/ClassPreloader.java
+++ b/src/main/java/madderrudder/cli/ClassPreloader.java
@@ -21,22 +21,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Loads every class of the program and sends itself one request over loopback, so that the archive
- * made of the run holds all that a controller needs to start. On a third of a core this saves most
- * of the start.
+ * Loads every class of the program and sends itself one request over loopback, so that the
+ * class-data archive that the build makes of the run holds all that a controller needs to start. On
+ * a third of a core this saves most of the time of the start.
  */
 final class ClassPreloader {
   private static final Logger LOG = LoggerFactory.getLogger(ClassPreloader.class);
-  private static final long PATIENCE_MICROS = 5_000_000;
+  private static final long TIMEOUT_MICROS = 5_000_000;
+
+  /** The packages of the controller and its libraries, as paths in the jar. */
   private static final List<String> PACKAGES =
       List.of("madderrudder/", "com/fasterxml/jackson/core/", "org/slf4j/", "org/HdrHistogram/");
 
+  private static final String CLASS_SUFFIX = ".class";
+
   private ClassPreloader() {}
 
+  /** Loads the classes and returns the exit status. */
   static int run(PrintStream err) {
     try {
       loadClasses();
-      talkToItself();
+      exerciseTransport();
       return 0;
     } catch (IOException | URISyntaxException | MalformedMessageException e) {
       err.println("madderrudder: rehearsal failed: " + e);
@@ -51,14 +56,18 @@
       long loaded =
           jar.stream()
               .map(entry -> entry.getName())
-              .filter(
-                  name -> name.endsWith(".class") && PACKAGES.stream().anyMatch(name::startsWith))
-              .filter(name -> load(name.substring(0, name.length() - 6).replace('/', '.')))
+              .filter(name -> name.endsWith(CLASS_SUFFIX))
+              .filter(name -> PACKAGES.stream().anyMatch(name::startsWith))
+              .filter(name -> load(className(name)))
               .count();
       LOG.debug("{} classes loaded", loaded);
     }
   }
 
+  private static String className(String entry) {
+    return entry.substring(0, entry.length() - CLASS_SUFFIX.length()).replace('/', '.');
+  }
+
   private static boolean load(String name) {
     try {
       Class.forName(name, false, ClassPreloader.class.getClassLoader());
@@ -69,7 +78,7 @@
     }
   }
 
-  private static void talkToItself() throws IOException, MalformedMessageException {
+  private static void exerciseTransport() throws IOException, MalformedMessageException {
     Json.readObject("{\"a\":[1,2.5,\"b\",true,null]}".getBytes(StandardCharsets.UTF_8)).render();
     EventLoop loop = new EventLoop();
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
@@ -88,7 +97,7 @@
           client.call(
               address,
               HttpRequest.post("/", Json.error("none")),
-              PATIENCE_MICROS,
+              TIMEOUT_MICROS,
               response -> loop.shutdown());
         });
     loop.run();
--- a/src/main/java/madderrudder/cli/Main.java
+++ b/src/main/java/madderrudder/cli/Main.java
@@ -1,24 +1,19 @@
 package madderrudder.cli;
 
-import java.io.IOException;
 import java.io.PrintStream;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import madderrudder.config.OperatorSettings;
 import madderrudder.config.PlatformSettings;
-import madderrudder.config.SExpression;
 import madderrudder.coordination.policy.OperatorPolicy;
-import org.apache.commons.cli.CommandLine;
-import org.apache.commons.cli.DefaultParser;
-import org.apache.commons.cli.Option;
-import org.apache.commons.cli.Options;
-import org.apache.commons.cli.ParseException;
 
-/** The command line: {@code serve} runs a controller, {@code check} judges settings and ends. */
+/**
+ * The command line: {@code serve} runs a controller, {@code check} judges settings and ends. The
+ * exit status is 0, 1 for wrong settings, or 2 for a wrong command line.
+ */
 public final class Main {
-  private static final int USAGE = 2;
+  private static final int OK = 0;
+  private static final int FAILED = 1;
+  private static final int WRONG_USAGE = 2;
   private static final String HELP =
       """
             usage: madderrudder COMMAND [OPTIONS]
@@ -40,104 +35,80 @@
 
   private Main() {}
 
+  /** Runs the command, and ends the process with its status unless that is 0. */
   public static void main(String[] args) {
     int status = run(args, System.out, System.err);
-    if (status != 0) {
+    if (status != OK) {
       System.exit(status);
     }
   }
 
+  /** Runs the command and returns the exit status; {@code serve} returns only if it fails. */
   static int run(String[] args, PrintStream out, PrintStream err) {
     if (args.length == 0) {
       err.print(HELP);
-      return USAGE;
+      return WRONG_USAGE;
     }
-    switch (args[0]) {
-      case "--help", "-h", "help" -> {
-        out.print(HELP);
-        return 0;
-      }
-      case "--version" -> {
-        String version = Main.class.getPackage().getImplementationVersion();
-        out.println("madderrudder " + (version == null ? "(development)" : version));
-        return 0;
-      }
-      case "rehearse" -> {
-        return ClassPreloader.run(err);
-      }
-      case "serve", "check" -> {
-        return withSettings(args, out, err);
-      }
-      default -> {
-        err.println("madderrudder: unknown command " + args[0] + "; see --help");
-        return USAGE;
-      }
-    }
-  }
-
-  private static int withSettings(String[] args, PrintStream out, PrintStream err) {
-    Options options = new Options();
-    options.addOption(Option.builder().longOpt("config").hasArg().required().get());
-    options.addOption(Option.builder().longOpt("operator").hasArg().get());
-    CommandLine line;
+    String[] arguments = Arrays.copyOfRange(args, 1, args.length);
     try {
-      line =
-          DefaultParser.builder()
-              .setAllowPartialMatching(false)
-              .get()
-              .parse(options, Arrays.copyOfRange(args, 1, args.length));
-    } catch (ParseException e) {
+      return run(args[0], arguments, out, err);
+    } catch (UsageException e) {
       err.println("madderrudder: " + e.getMessage());
-      return USAGE;
-    }
-    if (!line.getArgList().isEmpty()) {
-      err.println("madderrudder: unexpected " + line.getArgList().get(0));
-      return USAGE;
-    }
-    String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
-    if (!List.of("error", "info", "debug").contains(level)) {
-      err.println("madderrudder: LOG_LEVEL must be error, info or debug");
-      return USAGE;
-    }
-    PlatformSettings settings;
-    OperatorPolicy policy;
-    try {
-      settings = readSettings(line.getOptionValue("config"));
-      policy = readPolicy(line.getOptionValue("operator"));
+      return WRONG_USAGE;
     } catch (PlatformSettings.Invalid e) {
       e.problems().forEach(problem -> err.println("madderrudder: " + problem));
-      return 1;
-    }
-    if (args[0].equals("check")) {
-      out.println("the settings of " + settings.member() + " are good");
-      return 0;
+      return FAILED;
     }
-    // Has to stand before the first logger is made.
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
+  }
+
+  private static int run(String command, String[] arguments, PrintStream out, PrintStream err)
+      throws UsageException, PlatformSettings.Invalid {
+    return switch (command) {
+      case "--help", "-h", "help" -> help(out);
+      case "--version" -> version(out);
+      case "rehearse" -> ClassPreloader.run(err);
+      case "serve" -> serve(arguments);
+      case "check" -> check(arguments, out);
+      default -> throw new UsageException("unknown command " + command + "; see --help");
+    };
+  }
+
+  private static int help(PrintStream out) {
+    out.print(HELP);
+    return OK;
+  }
+
+  private static int version(PrintStream out) {
+    String version = Main.class.getPackage().getImplementationVersion();
+    out.println("madderrudder " + (version == null ? "(development)" : version));
+    return OK;
+  }
+
+  private static int serve(String[] arguments) throws UsageException, PlatformSettings.Invalid {
+    SettingsArguments files = SettingsArguments.parse(arguments);
+    String logLevel = logLevel();
+    PlatformSettings settings = SettingsFiles.readPlatform(files.configFile());
+    OperatorPolicy policy = SettingsFiles.readOperator(files.operatorFile());
+    // Has to be set before the first logger is made.
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", logLevel);
     return new ServeCommand(settings, policy).run();
   }
 
-  private static PlatformSettings readSettings(String file) throws PlatformSettings.Invalid {
-    try {
-      return PlatformSettings.parse(Files.readAllBytes(Path.of(file)));
-    } catch (IOException e) {
-      throw new PlatformSettings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-    } catch (PlatformSettings.Invalid e) {
-      throw new PlatformSettings.Invalid(
-          e.problems().stream().map(problem -> file + ": " + problem).toList());
-    }
+  private static int check(String[] arguments, PrintStream out)
+      throws UsageException, PlatformSettings.Invalid {
+    SettingsArguments files = SettingsArguments.parse(arguments);
+    logLevel();
+    PlatformSettings settings = SettingsFiles.readPlatform(files.configFile());
+    SettingsFiles.readOperator(files.operatorFile());
+    out.println("the settings of " + settings.member() + " are good");
+    return OK;
   }
 
-  private static OperatorPolicy readPolicy(String file) throws PlatformSettings.Invalid {
-    if (file == null) {
-      return OperatorPolicy.defaults();
-    }
-    try {
-      return OperatorSettings.parse(Files.readString(Path.of(file)));
-    } catch (IOException e) {
-      throw new PlatformSettings.Invalid(List.of("can't read " + file + ": " + e.getMessage()));
-    } catch (SExpression.Malformed e) {
-      throw new PlatformSettings.Invalid(List.of(file + ": " + e.getMessage()));
+  private static String logLevel() throws UsageException {
+    String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
+    if (!List.of("error", "info", "debug").contains(level)) {
+      throw new UsageException("LOG_LEVEL must be error, info or debug");
     }
+    return level;
   }
 }
--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -15,12 +15,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts a controller on real sockets and clocks. */
+/** Runs a controller on real sockets and clocks. */
 final class ServeCommand {
   private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
-  /** Listeners, the channel group's own descriptors, and the mesh. */
-  private static final int SOCKETS_ASIDE = 48;
+  /** For the listeners, the channel group's own descriptors and the connections to peers. */
+  private static final int RESERVED_SOCKETS = 48;
+
+  private static final int MIN_SOCKETS = 32;
 
   private final PlatformSettings settings;
   private final OperatorPolicy policy;
@@ -31,31 +33,15 @@
     this.policy = policy;
   }
 
+  /**
+   * Makes the calling thread the event loop thread of a controller.
+   *
+   * @return 1 if the controller could not begin; otherwise 0, once the event loop was shut down
+   */
   int run() {
     EventLoop loop = new EventLoop();
     try {
-      AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
-      int sockets = Math.max(32, settings.maxSockets() - SOCKETS_ASIDE);
-      HttpClient calls = new HttpClient(loop, group, sockets / 4);
-      PeerTransport mesh =
-          new PeerTransport(
-              loop,
-              group,
-              Addresses.parse(settings.meshListen()),
-              settings.peers(),
-              PeerMessageCodec.MAX_BYTES,
-              frame -> node.frame(frame));
-      node = new ControllerNode(loop, calls, mesh, new SplittableRandom(), settings, policy);
-      HttpServer server =
-          new HttpServer(
-              loop, group, Addresses.parse(settings.clientListen()), sockets - sockets / 4, node);
-      loop.execute(
-          () -> {
-            mesh.start();
-            server.start();
-            node.start();
-            LOG.info("{} serves on {}", settings.member(), settings.clientListen());
-          });
+      start(loop);
     } catch (IOException e) {
       LOG.error("can't begin to serve: {}", e.toString());
       return 1;
@@ -63,4 +49,29 @@
     loop.run();
     return 0;
   }
+
+  private void start(EventLoop loop) throws IOException {
+    AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
+    int sockets = Math.max(MIN_SOCKETS, settings.maxSockets() - RESERVED_SOCKETS);
+    HttpClient client = new HttpClient(loop, group, sockets / 4);
+    PeerTransport peers =
+        new PeerTransport(
+            loop,
+            group,
+            Addresses.parse(settings.meshListen()),
+            settings.peers(),
+            PeerMessageCodec.MAX_BYTES,
+            message -> node.frame(message));
+    node = new ControllerNode(loop, client, peers, new SplittableRandom(), settings, policy);
+    HttpServer server =
+        new HttpServer(
+            loop, group, Addresses.parse(settings.clientListen()), sockets - sockets / 4, node);
+    loop.execute(
+        () -> {
+          peers.start();
+          server.start();
+          node.start();
+          LOG.info("{} serves on {}", settings.member(), settings.clientListen());
+        });
+  }
 }
