--- a/src/main/java/madderrudder/estimates/Predictor.java
+++ b/src/main/java/madderrudder/estimates/Predictor.java
@@ -84,12 +84,9 @@
     double remaining = 1;
     SiblingTasks siblings = evidence.findSiblings(profile.job());
     if (siblings != null && !siblings.isEmpty()) {
-      WindowedHistogram durations = siblings.durations();
-      double pseudoRuns = siblingsAlike ? SIBLING_PSEUDO_RUNS : UNLIKE_SIBLING_PSEUDO_RUNS;
-      double weight = weight(durations.count(), pseudoRuns);
-      components.add(
-          new MixtureComponent(Level.JOB, durations, HistogramScale.MICROS_PER_VALUE, weight));
-      remaining -= weight;
+      MixtureComponent component = ofSiblings(siblings.durations(), siblingsAlike);
+      components.add(component);
+      remaining -= component.weight();
     }
     for (Level level : EvidenceStore.LEVELS) {
       Evidence known = evidence.find(profile, level);
@@ -97,11 +94,12 @@
       // estimates are does.
       boolean byTime = basis == Basis.TIME && level != Level.ALL;
       if (known != null && (byTime || ownerEstimateMicros > 0)) {
-        WindowedHistogram histogram = byTime ? known.durations : known.ratios;
-        double weight = remaining * weight(histogram.count(), PSEUDO_RUNS);
-        double scale = byTime ? HistogramScale.MICROS_PER_VALUE : ratioScale(ownerEstimateMicros);
-        components.add(new MixtureComponent(level, histogram, scale, weight));
-        remaining -= weight;
+        MixtureComponent component =
+            byTime
+                ? ofTimes(level, known.durations, remaining)
+                : ofRatios(level, known.ratios, ownerEstimateMicros, remaining);
+        components.add(component);
+        remaining -= component.weight();
       }
     }
     if (ownerEstimateMicros > 0) {
@@ -111,8 +109,22 @@
     return components;
   }
 
-  private static double ratioScale(long ownerEstimateMicros) {
-    return (double) ownerEstimateMicros / HistogramScale.RATIO_ONE;
+  private MixtureComponent ofSiblings(WindowedHistogram durations, boolean siblingsAlike) {
+    double pseudoRuns = siblingsAlike ? SIBLING_PSEUDO_RUNS : UNLIKE_SIBLING_PSEUDO_RUNS;
+    double weight = weight(durations.count(), pseudoRuns);
+    return new MixtureComponent(Level.JOB, durations, HistogramScale.MICROS_PER_VALUE, weight);
+  }
+
+  private MixtureComponent ofTimes(Level level, WindowedHistogram durations, double remaining) {
+    double weight = remaining * weight(durations.count(), PSEUDO_RUNS);
+    return new MixtureComponent(level, durations, HistogramScale.MICROS_PER_VALUE, weight);
+  }
+
+  private MixtureComponent ofRatios(
+      Level level, WindowedHistogram ratios, long ownerEstimateMicros, double remaining) {
+    double scale = (double) ownerEstimateMicros / HistogramScale.RATIO_ONE;
+    double weight = remaining * weight(ratios.count(), PSEUDO_RUNS);
+    return new MixtureComponent(level, ratios, scale, weight);
   }
 
   /** What a level with so many runs takes of the weight that is left. */
