--- a/bench/Regress.java
+++ b/bench/Regress.java
@@ -16,7 +16,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
 import org.apache.commons.cli.CommandLine;
@@ -305,11 +305,11 @@
     }
 
     /** The least served of each class and team as a report has it: of its jobs started or done, or of its replica time. */
-    private static Map<String, Double> served(Fields report) throws MalformedMessageException {
+    private static Map<String, Double> served(JsonFields report) throws MalformedMessageException {
         Map<String, Double> served = new LinkedHashMap<>();
-        Fields classes = report.object("classes");
+        JsonFields classes = report.object("classes");
         for (String name : classes.names()) {
-            Fields in = classes.object(name);
+            JsonFields in = classes.object(name);
             double share = in.amount("started") / Math.max(1, in.amount("jobs"));
             if (in.has("up")) {
                 share = Math.min(share, in.amount("up"));
@@ -318,9 +318,9 @@
             }
             served.put(name, share);
         }
-        Fields teams = report.object("teams");
+        JsonFields teams = report.object("teams");
         for (String name : teams.names()) {
-            Fields in = teams.object(name);
+            JsonFields in = teams.object(name);
             served.put("team " + name, in.amount("started") / Math.max(1, in.amount("jobs")));
         }
         return served;
@@ -489,13 +489,13 @@
     private static List<Site> readSites() throws Unable, IOException {
         try {
             List<Site> sites = new ArrayList<>();
-            for (Fields in : Json.readObject(Files.readAllBytes(FIGURES)).objects("sites")) {
+            for (JsonFields in : Json.readObject(Files.readAllBytes(FIGURES)).objects("sites")) {
                 Map<String, Recorded> recorded = new LinkedHashMap<>();
                 for (String kind : List.of("quick", "full")) {
                     if (in.has(kind)) {
                         List<Double> scores = new ArrayList<>();
                         List<String> entries = new ArrayList<>();
-                        for (Fields figure : in.objects(kind)) {
+                        for (JsonFields figure : in.objects(kind)) {
                             scores.add(figure.amount("score"));
                             entries.add(figure.text("entry"));
                         }
@@ -534,9 +534,9 @@
 
     private static Entry read(Path path) throws Unable, IOException {
         try {
-            Fields in = Json.readObject(Files.readAllBytes(path));
+            JsonFields in = Json.readObject(Files.readAllBytes(path));
             List<Day> days = new ArrayList<>();
-            for (Fields day : in.objects("days")) {
+            for (JsonFields day : in.objects("days")) {
                 String broken = day.has("rules") ? new String(day.object("rules").render()) : "{}";
                 days.add(new Day(day.text("name", "?"), day.amount("score", day.amount("G", 0)),
                         broken.equals("{}") ? "" : broken, day.text("fault", null),
--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -58,7 +58,7 @@
         new PeerTransport(
             loop,
             group,
-            Addresses.parse(settings.meshListen()),
+            Addresses.parse(settings.peerListen()),
             settings.peers(),
             PeerMessageCodec.MAX_BYTES,
             message -> node.receive(message));
--- a/src/main/java/madderrudder/config/DeploymentReader.java
+++ b/src/main/java/madderrudder/config/DeploymentReader.java
@@ -9,7 +9,7 @@
 import madderrudder.coordination.policy.SafetyBounds;
 import madderrudder.coordination.policy.ServiceLevelObjectives;
 import madderrudder.coordination.policy.TeamQuota;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 
@@ -24,11 +24,11 @@
   private static final int MIN_VALUE_KB = 4;
 
   private final SettingsProblems problems;
-  private final Fields section;
-  private final Fields empty;
+  private final JsonFields section;
+  private final JsonFields empty;
 
   /** {@code empty} stands for a section that is missing. */
-  DeploymentReader(SettingsProblems problems, Fields section, Fields empty) {
+  DeploymentReader(SettingsProblems problems, JsonFields section, JsonFields empty) {
     this.problems = problems;
     this.section = section;
     this.empty = empty;
@@ -37,9 +37,9 @@
   /** The deployment, of so many controllers. */
   Deployment read(int members) {
     Map<String, TeamQuota> teams = teams();
-    Fields workers = subsection("workers");
-    Fields state = subsection("state");
-    Fields cloud = subsection("cloud");
+    JsonFields workers = subsection("workers");
+    JsonFields state = subsection("state");
+    JsonFields cloud = subsection("cloud");
     Deployment.WorkerTimes times = workerTimes(workers);
     Deployment.StateLimits stateLimits = stateLimits(state);
     return new Deployment(
@@ -53,15 +53,15 @@
         problems.read(PATH + "objectives", ServiceLevelObjectives.none(), this::objectives));
   }
 
-  private Fields subsection(String name) {
+  private JsonFields subsection(String name) {
     return problems.read(PATH + name, empty, () -> section.object(name));
   }
 
   private Map<String, TeamQuota> teams() {
     Map<String, TeamQuota> teams = new LinkedHashMap<>();
-    List<Fields> all =
-        problems.read(PATH + "teams", List.<Fields>of(), () -> section.objects("teams"));
-    for (Fields team : all) {
+    List<JsonFields> all =
+        problems.read(PATH + "teams", List.<JsonFields>of(), () -> section.objects("teams"));
+    for (JsonFields team : all) {
       String path = PATH + "teams[" + teams.size() + "]";
       String name = problems.read(path, "", () -> team.text("name"));
       Resources guaranteed = resources(path, team, "cpus", "gpus");
@@ -71,12 +71,12 @@
     return teams;
   }
 
-  private Resources resources(String path, Fields team, String cpus, String gpus) {
+  private Resources resources(String path, JsonFields team, String cpus, String gpus) {
     return problems.read(
         path, Resources.NONE, () -> Resources.of(team.amount(cpus, 0), team.amount(gpus, 0), 0));
   }
 
-  private Deployment.WorkerTimes workerTimes(Fields workers) {
+  private Deployment.WorkerTimes workerTimes(JsonFields workers) {
     String path = PATH + "workers.";
     Deployment.WorkerTimes times =
         new Deployment.WorkerTimes(
@@ -94,7 +94,7 @@
     return times;
   }
 
-  private Deployment.StateLimits stateLimits(Fields state) {
+  private Deployment.StateLimits stateLimits(JsonFields state) {
     String path = PATH + "state.";
     int transactionWrites = (int) problems.positive(path, state, "txn_ops");
     double valueKb = problems.positive(path, state, "value_kb");
@@ -113,7 +113,7 @@
         transactionWrites);
   }
 
-  private Deployment.CloudLimits cloudLimits(Fields cloud) {
+  private Deployment.CloudLimits cloudLimits(JsonFields cloud) {
     String path = PATH + "cloud.";
     return new Deployment.CloudLimits(
         problems.positive(path, cloud, "rps"),
@@ -132,7 +132,7 @@
     Map<String, List<Long>> finishes = new HashMap<>();
     Map<String, List<Double>> deadlines = new HashMap<>();
     if (section.has("objectives")) {
-      for (Fields objective : section.objects("objectives")) {
+      for (JsonFields objective : section.objects("objectives")) {
         String jobClass = objective.text("class", "");
         switch (objective.text("kind", "")) {
           case "wait" -> waits.merge(jobClass, objective.secondsAsMicros("within_s"), Math::min);
--- a/src/main/java/madderrudder/config/PlatformSettings.java
+++ b/src/main/java/madderrudder/config/PlatformSettings.java
@@ -9,7 +9,7 @@
  * @param member this controller's name
  * @param zone the zone this controller stands in
  * @param clientListen the address where users and workers are served
- * @param meshListen the address where the other controllers are listened to
+ * @param peerListen the address where the other controllers are listened to
  * @param peers the other controllers' addresses by their names
  * @param cloudAddress the address of the cloud's API
  * @param stateAddress the address of the key-value store
@@ -20,7 +20,7 @@
     String member,
     String zone,
     String clientListen,
-    String meshListen,
+    String peerListen,
     Map<String, String> peers,
     String cloudAddress,
     String stateAddress,
--- a/src/main/java/madderrudder/config/PlatformSettingsReader.java
+++ b/src/main/java/madderrudder/config/PlatformSettingsReader.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
 /** Reads the platform's settings, naming all mistakes at once. */
@@ -13,12 +13,12 @@
   private static final double DEFAULT_MAX_SOCKETS = 1024;
 
   private final SettingsProblems problems = new SettingsProblems();
-  private final Fields root;
+  private final JsonFields root;
 
   /** Stands for a section that is missing. */
-  private final Fields empty;
+  private final JsonFields empty;
 
-  private PlatformSettingsReader(Fields root, Fields empty) {
+  private PlatformSettingsReader(JsonFields root, JsonFields empty) {
     this.root = root;
     this.empty = empty;
   }
@@ -26,7 +26,7 @@
   static PlatformSettings read(byte[] text) throws InvalidSettingsException {
     PlatformSettingsReader reader;
     try {
-      Fields empty = Json.readObject(new byte[] {'{', '}'});
+      JsonFields empty = Json.readObject(new byte[] {'{', '}'});
       reader = new PlatformSettingsReader(Json.readObject(text), empty);
     } catch (MalformedMessageException e) {
       throw new InvalidSettingsException(List.of("the settings are " + e.getMessage()));
@@ -36,8 +36,8 @@
 
   private PlatformSettings settings() throws InvalidSettingsException {
     Map<String, String> peers = peers();
-    Fields external = problems.read("external", empty, () -> root.object("external"));
-    Fields deployment = problems.read("deployment", empty, () -> root.object("deployment"));
+    JsonFields external = problems.read("external", empty, () -> root.object("external"));
+    JsonFields deployment = problems.read("deployment", empty, () -> root.object("deployment"));
     PlatformSettings settings =
         new PlatformSettings(
             problems.read("member", "", () -> root.text("member")),
@@ -55,9 +55,9 @@
 
   private Map<String, String> peers() {
     Map<String, String> peers = new LinkedHashMap<>();
-    List<Fields> members =
-        problems.read("members", List.<Fields>of(), () -> root.objects("members"));
-    for (Fields peer : members) {
+    List<JsonFields> members =
+        problems.read("members", List.<JsonFields>of(), () -> root.objects("members"));
+    for (JsonFields peer : members) {
       String path = "members[" + peers.size() + "].";
       String name = problems.read(path + "member", "", () -> peer.text("member"));
       if (peers.put(name, problems.address(path, peer, "peer_addr")) != null) {
@@ -67,15 +67,16 @@
     return peers;
   }
 
-  private Deployment deployment(Fields section, int members) {
+  private Deployment deployment(JsonFields section, int members) {
     return new DeploymentReader(problems, section, empty).read(members);
   }
 
-  private int maxSockets(Fields deployment) {
+  private int maxSockets(JsonFields deployment) {
     if (!deployment.has("limits")) {
       return (int) DEFAULT_MAX_SOCKETS;
     }
-    Fields limits = problems.read("deployment.limits", empty, () -> deployment.object("limits"));
+    JsonFields limits =
+        problems.read("deployment.limits", empty, () -> deployment.object("limits"));
     return (int)
         (limits.has("max_sockets")
             ? problems.positive("deployment.limits.", limits, "max_sockets")
--- a/src/main/java/madderrudder/config/SettingsProblems.java
+++ b/src/main/java/madderrudder/config/SettingsProblems.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.transport.Addresses;
 
@@ -50,7 +50,7 @@
   }
 
   /** An address with a port; empty if it is wrong. */
-  String address(String path, Fields in, String name) {
+  String address(String path, JsonFields in, String name) {
     String address = read(path + name, "", () -> in.text(name));
     if (!address.isEmpty() && !Addresses.valid(address)) {
       add(path + name, "\"" + address + "\" is not an address like 10.0.0.1:8080");
@@ -59,7 +59,7 @@
   }
 
   /** A number above 0; 1 if it is wrong. */
-  double positive(String path, Fields in, String name) {
+  double positive(String path, JsonFields in, String name) {
     double value = read(path + name, 1.0, () -> in.amount(name));
     if (value <= 0) {
       add(path + name, "must be above 0, not " + value);
@@ -69,7 +69,7 @@
   }
 
   /** A time above 0 that is given in seconds, in microseconds. */
-  long positiveMicros(String path, Fields in, String name) {
+  long positiveMicros(String path, JsonFields in, String name) {
     return Math.round(positive(path, in, name) * 1e6);
   }
 }
--- a/src/main/java/madderrudder/coordination/cloud/CatalogDocument.java
+++ b/src/main/java/madderrudder/coordination/cloud/CatalogDocument.java
@@ -1,6 +1,6 @@
 package madderrudder.coordination.cloud;
 
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 
 /**
  * The catalog as the cloud sent it. Its fields are checked only when the machine types are read.
@@ -8,4 +8,4 @@
  * @param json the JSON text, kept as it came so that it can be stored unchanged
  * @param fields the fields of the same text
  */
-public record CatalogDocument(byte[] json, Fields fields) {}
+public record CatalogDocument(byte[] json, JsonFields fields) {}
--- a/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
+++ b/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
@@ -6,7 +6,7 @@
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.CloudCodec;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.transport.Scheduler;
@@ -105,7 +105,7 @@
   }
 
   /** Replaces the types by those of the document if it is valid; whether it named any. */
-  private boolean replaceTypes(Fields catalog) {
+  private boolean replaceTypes(JsonFields catalog) {
     try {
       Map<String, MachineType> typesByName = new LinkedHashMap<>();
       for (MachineType type : CloudCodec.readCatalog(catalog)) {
--- a/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
@@ -52,7 +52,7 @@
    * @param holdsLease whether the leader's lease lasts, without which nothing is started
    */
   CommandPlan planAnswer(Machine machine, Heartbeat heartbeat, boolean holdsLease) {
-    boolean newest = machine.session == heartbeat.session() && machine.seq == heartbeat.seq();
+    boolean newest = machine.epoch == heartbeat.epoch() && machine.sequence == heartbeat.sequence();
     if (!newest) {
       return planStops(machine, heartbeat);
     }
@@ -148,7 +148,7 @@
   private boolean startsDirectly(Assignment assignment, boolean holdsLease) {
     Machine machine = assignment.machine;
     return !assignment.startSent
-        && assignment.reportedSeq != machine.seq
+        && assignment.reportedSequence != machine.sequence
         && FencingToken.canRise(machine.issuedToken)
         && startable(assignment, facts.decide(assignment), holdsLease);
   }
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -29,7 +29,7 @@
   private static final int OK = 200;
   private static final int MALFORMED = 400;
 
-  /** The token was lower than one that the worker has seen, or the session does not match. */
+  /** The token was lower than one that the worker has seen, or the epoch does not match. */
   private static final int CONFLICT = 409;
 
   private final LeaderTerm term;
@@ -60,21 +60,21 @@
     }
     CommandPlan plan = planner.planDirect(machine, nowMicros, term.election.holdsLease());
     SentCommands.noteDirectStops(plan, nowMicros);
-    if (plan.commands().isEmpty() || !Addresses.valid(machine.addr)) {
+    if (plan.commands().isEmpty() || !Addresses.valid(machine.address)) {
       return false;
     }
     long token = sent.issueToken(machine, machine.token);
     SentCommands.noteDirectStarts(machine, plan, token, nowMicros);
     machine.directInFlight = true;
-    long session = machine.session;
+    long epoch = machine.epoch;
     term.calls.call(
-        machine.addr,
-        HttpRequest.post("/orders", WorkerCodec.directCommands(token, session, plan.commands())),
+        machine.address,
+        HttpRequest.post("/orders", WorkerCodec.directCommands(token, epoch, plan.commands())),
         TIMEOUT_MICROS,
         response -> {
           machine.directInFlight = false;
           if (!term.closed()) {
-            handleResponse(machine, session, plan.starts(), response);
+            handleResponse(machine, epoch, plan.starts(), response);
           }
         });
     return true;
@@ -82,19 +82,19 @@
 
   private boolean reachable(Machine machine, long nowMicros) {
     return !machine.directInFlight
-        && !machine.addr.isEmpty()
+        && !machine.address.isEmpty()
         && nowMicros >= machine.directBlockedUntilMicros
         && machine.usable(nowMicros, term.deployment.workers().reportMicros());
   }
 
   private void handleResponse(
-      Machine machine, long session, List<Assignment> starts, HttpResponse response) {
+      Machine machine, long epoch, List<Assignment> starts, HttpResponse response) {
     int status = response.status();
     if (status == HttpResponse.NOT_SENT || status == CONFLICT || status == MALFORMED) {
       starts.forEach(Assignment::startRefused);
     }
     boolean overtaken =
-        (status == OK || status == CONFLICT) && handleReport(machine, session, starts, response);
+        (status == OK || status == CONFLICT) && handleReport(machine, epoch, starts, response);
     // The answer to a heartbeat may have been quicker and carried a higher token; the next request
     // carries that token too, so there is no need to pause.
     if (status != OK && !overtaken) {
@@ -103,19 +103,19 @@
   }
 
   /**
-   * Takes in the report in a response; true if the worker of that session knows this term, so that
-   * a refusal means only that a higher token of this term has overtaken the request.
+   * Takes in the report in a response; true if the worker of that epoch knows this term, so that a
+   * refusal means only that a higher token of this term has overtaken the request.
    */
   private boolean handleReport(
-      Machine machine, long session, List<Assignment> starts, HttpResponse response) {
+      Machine machine, long epoch, List<Assignment> starts, HttpResponse response) {
     try {
       Heartbeat report = WorkerCodec.readHeartbeat(response.body());
       if (FencingToken.term(report.token()) > term.term) {
         term.election.observeToken(report.token());
       } else if (response.status() == OK && report.machine().equals(machine.id)) {
-        mergeReport(machine, session, starts, report);
+        mergeReport(machine, epoch, starts, report);
       }
-      return FencingToken.term(report.token()) == term.term && report.session() == session;
+      return FencingToken.term(report.token()) == term.term && report.epoch() == epoch;
     } catch (MalformedMessageException e) {
       LOG.info("malformed response of {} to direct commands: {}", machine.id, e.getMessage());
       return false;
@@ -126,14 +126,13 @@
    * Takes in the worker's state after direct commands. It shows which tasks are there, and proves
    * nothing about tasks that it does not name.
    */
-  private void mergeReport(
-      Machine machine, long session, List<Assignment> starts, Heartbeat report) {
-    if (machine.session != session || !report.newerThan(machine.session, machine.seq)) {
+  private void mergeReport(Machine machine, long epoch, List<Assignment> starts, Heartbeat report) {
+    if (machine.epoch != epoch || !report.newerThan(machine.epoch, machine.sequence)) {
       return;
     }
-    machine.seq = report.seq();
+    machine.sequence = report.sequence();
     machine.token = Math.max(machine.token, report.token());
-    starts.forEach(start -> start.startSeq = Math.max(start.startSeq, report.seq()));
+    starts.forEach(start -> start.startSequence = Math.max(start.startSequence, report.sequence()));
     if (tasks.applyStatuses(machine, report, term.scheduler.nowMicros())) {
       onCapacityFreed.run();
     }
--- a/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
@@ -24,13 +24,13 @@
    * the last it sent by itself reaches nobody, and must not count as a renewal of its lease.
    */
   static Freshness of(Machine machine, Heartbeat heartbeat, long nowMicros) {
-    if (!machine.reported || heartbeat.newerThan(machine.session, machine.seq)) {
+    if (!machine.reported || heartbeat.newerThan(machine.epoch, machine.sequence)) {
       return NEW;
     }
-    if (heartbeat.session() != machine.session || heartbeat.seq() < machine.heartbeatSeq) {
+    if (heartbeat.epoch() != machine.epoch || heartbeat.sequence() < machine.heartbeatSequence) {
       return STALE;
     }
-    boolean firstArrival = heartbeat.seq() > machine.heartbeatSeq;
+    boolean firstArrival = heartbeat.sequence() > machine.heartbeatSequence;
     boolean awaited = nowMicros - machine.heartbeatMicros < ANSWER_TIMEOUT_MICROS;
     return firstArrival || awaited ? OVERTAKEN : STALE;
   }
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -105,7 +105,7 @@
     noteAnswered(machine, nowMicros);
     machine.lastHeardMicros = nowMicros;
     CommandPlan plan = planner.planAnswer(machine, heartbeat, term.election.holdsLease());
-    SentCommands.noteAnswer(machine, plan, heartbeat.seq(), nowMicros);
+    SentCommands.noteAnswer(machine, plan, heartbeat.sequence(), nowMicros);
     return plan.commands();
   }
 
@@ -123,7 +123,7 @@
     long nowMicros = term.scheduler.nowMicros();
     noteAnswered(machine, nowMicros);
     CommandPlan plan = planner.planStops(machine, heartbeat);
-    SentCommands.noteAnswer(machine, plan, heartbeat.seq(), nowMicros);
+    SentCommands.noteAnswer(machine, plan, heartbeat.sequence(), nowMicros);
     return plan.commands();
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes heartbeats into the cluster state: unknown machines, new sessions, the state of the worker
+ * Takes heartbeats into the cluster state: unknown machines, new epochs, the state of the worker
  * and of its tasks. Confined to the event loop thread.
  */
 final class HeartbeatIngest {
@@ -49,8 +49,9 @@
     Freshness freshness = Freshness.of(machine, heartbeat, nowMicros);
     if (freshness == Freshness.NEW) {
       update(machine, heartbeat, nowMicros);
-    } else if (freshness == Freshness.OVERTAKEN && heartbeat.seq() > machine.heartbeatSeq) {
-      machine.heartbeatSeq = heartbeat.seq();
+    } else if (freshness == Freshness.OVERTAKEN
+        && heartbeat.sequence() > machine.heartbeatSequence) {
+      machine.heartbeatSequence = heartbeat.sequence();
       machine.heartbeatMicros = nowMicros;
     }
     return freshness;
@@ -100,8 +101,8 @@
 
   /** Follows whether answers reach the worker, by the token that its heartbeat shows. */
   private void checkAcknowledgement(Machine machine, Heartbeat heartbeat, long nowMicros) {
-    if (machine.reported && heartbeat.session() > machine.session) {
-      beginSession(machine);
+    if (machine.reported && heartbeat.epoch() > machine.epoch) {
+      beginEpoch(machine);
       machine.expectAcknowledgement(nowMicros);
     } else if (machine.reported && machine.answeredInTerm) {
       // The answer to an earlier heartbeat carried this term's token, and did not reach the worker.
@@ -121,27 +122,27 @@
 
   /**
    * The worker's lease ran out in between: it dropped what this leader had started, and old
-   * commands no longer match. What an earlier leader started may belong to the new session, because
+   * commands no longer match. What an earlier leader started may belong to the new epoch, because
    * both heartbeats may be older than that, held on their way. Such tasks were once taken for gone
    * and ran twice, so they are released only by a heartbeat that knows this term.
    */
-  private void beginSession(Machine machine) {
-    LOG.info("{} begins a new session", machine.id);
+  private void beginEpoch(Machine machine) {
+    LOG.info("{} begins a new epoch", machine.id);
     machines.releaseOwn(machine);
-    machine.heartbeatSeq = -1;
+    machine.heartbeatSequence = -1;
   }
 
   private void updateWorkerState(Machine machine, Heartbeat heartbeat, long nowMicros) {
     machine.reported = true;
     machine.leaseExpired = false;
     machine.failed = false;
-    machine.session = heartbeat.session();
-    machine.seq = heartbeat.seq();
+    machine.epoch = heartbeat.epoch();
+    machine.sequence = heartbeat.sequence();
     machine.token = heartbeat.token();
     machine.reportedInTerm |= FencingToken.term(heartbeat.token()) >= term.term;
-    machine.heartbeatSeq = heartbeat.seq();
+    machine.heartbeatSequence = heartbeat.sequence();
     machine.heartbeatMicros = nowMicros;
-    machine.addr = heartbeat.addr().isEmpty() ? machine.addr : heartbeat.addr();
+    machine.address = heartbeat.address().isEmpty() ? machine.address : heartbeat.address();
     machine.reclaimMicros =
         heartbeat.reclaimNoticeMicros() < 0 ? -1 : nowMicros + heartbeat.reclaimNoticeMicros();
   }
--- a/src/main/java/madderrudder/coordination/heartbeat/SentCommands.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/SentCommands.java
@@ -19,7 +19,8 @@
   }
 
   /** Notes a plan that goes out as the answer to the heartbeat with the sequence number. */
-  static void noteAnswer(Machine machine, CommandPlan plan, long heartbeatSeq, long nowMicros) {
+  static void noteAnswer(
+      Machine machine, CommandPlan plan, long heartbeatSequence, long nowMicros) {
     for (Assignment stop : plan.stops()) {
       if (stop.stopSentMicros < 0) {
         stop.stopSentMicros = nowMicros;
@@ -30,7 +31,7 @@
         start.startSentMicros = nowMicros;
       }
       start.startSent = true;
-      start.startSeq = heartbeatSeq;
+      start.startSequence = heartbeatSequence;
     }
     if (plan.raiseToken()) {
       machine.raiseToken();
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
@@ -104,7 +104,9 @@
     if (!machine.reported) {
       return ReportedState.UNREPORTED;
     }
-    return assignment.reportedSeq == machine.seq ? ReportedState.PRESENT : ReportedState.ABSENT;
+    return assignment.reportedSequence == machine.sequence
+        ? ReportedState.PRESENT
+        : ReportedState.ABSENT;
   }
 
   /**
@@ -115,7 +117,7 @@
   private boolean startMayArrive(Assignment assignment) {
     Machine machine = assignment.machine;
     return assignment.directToken >= machine.token
-        || assignment.startSeq >= machine.seq
+        || assignment.startSequence >= machine.sequence
         || (assignment.inherited && FencingToken.term(machine.token) < term);
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
@@ -46,7 +46,7 @@
       TaskAttempt attempt = new TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(attempt);
       if (assignment != null) {
-        assignment.reportedSeq = report.seq();
+        assignment.reportedSequence = report.sequence();
         freed |= applyStatus(assignment, task, report.token(), nowMicros);
       } else if (task.phase() != Phase.EXITED) {
         orphanTasks.add(orphanTask(attempt));
@@ -67,8 +67,8 @@
     List<Assignment> gone = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
       if (!assignment.reportedByWorker()
-          && assignment.startSeq >= 0
-          && assignment.startSeq < machine.seq) {
+          && assignment.startSequence >= 0
+          && assignment.startSequence < machine.sequence) {
         machine.expectAcknowledgement(term.scheduler.nowMicros());
       }
       if (facts.decide(assignment).verdict() == Verdict.GONE) {
--- a/src/main/java/madderrudder/coordination/leader/ConfidenceTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -13,8 +13,8 @@
  * Follows after a failover how much of the cluster has been heard from, and which starts wait for
  * more. Confined to the event loop thread.
  */
-final class ConfidenceTracker {
-  private static final Logger LOG = LoggerFactory.getLogger(ConfidenceTracker.class);
+final class CoverageTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(CoverageTracker.class);
 
   private final LeaderTerm term;
   private final long patienceMicros;
@@ -23,7 +23,7 @@
   /** Since when workers are answered by what is recorded. */
   private long readyMicros;
 
-  private ClusterCoverage confidence = ClusterCoverage.FULL;
+  private ClusterCoverage coverage = ClusterCoverage.FULL;
 
   /** The jobs that were within their teams' guarantees when this leader took over. */
   private Set<Job> guaranteed = Set.of();
@@ -33,7 +33,7 @@
    *
    * @param members how many controllers there are, this one included
    */
-  ConfidenceTracker(LeaderTerm term, int members) {
+  CoverageTracker(LeaderTerm term, int members) {
     this.term = term;
     patienceMicros = ClusterCoverage.patienceMicros(term.deployment.workers(), members);
     beginMicros = term.scheduler.nowMicros();
@@ -51,35 +51,35 @@
         term.term,
         term.cluster.jobs.size(),
         term.cluster.machines.size());
-    confidence = assess();
-    guaranteed = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence).guaranteed();
+    coverage = assess();
+    guaranteed = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage).guaranteed();
     acceptEarlyHeartbeats.run();
-    confidence = assess();
+    coverage = assess();
     LOG.info(
         "term {}: the store was read in {} ms; {} of the machines that were up have reported{}",
         term.term,
         (readyMicros - beginMicros) / 1000,
-        percent(confidence.share()),
-        confidence.suffices() ? "" : ", scale-out and preemption wait for more");
+        percent(coverage.share()),
+        coverage.suffices() ? "" : ", scale-out and preemption wait for more");
   }
 
   /** The confidence as last assessed; full before {@link #begin}. */
-  ClusterCoverage confidence() {
-    return confidence;
+  ClusterCoverage coverage() {
+    return coverage;
   }
 
   /** Assesses the cluster anew, until all machines that are expected have reported. */
   void refresh() {
-    if (confidence.complete()) {
+    if (coverage.complete()) {
       return;
     }
-    boolean sufficed = confidence.suffices();
-    confidence = assess();
-    if (!sufficed && confidence.suffices()) {
+    boolean sufficed = coverage.suffices();
+    coverage = assess();
+    if (!sufficed && coverage.suffices()) {
       LOG.info(
           "term {}: {} of the machines that were up have reported after {} ms",
           term.term,
-          percent(confidence.share()),
+          percent(coverage.share()),
           (term.scheduler.nowMicros() - readyMicros) / 1000);
     }
   }
@@ -90,8 +90,8 @@
    * could be preempted again by work that waits.
    */
   boolean defersStart(Job job) {
-    return !confidence.complete()
-        && !confidence.suffices(job)
+    return !coverage.complete()
+        && !coverage.suffices(job)
         && job.spec.priority() != Priority.PRODUCTION
         && !guaranteed.contains(job);
   }
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -118,7 +118,7 @@
 
   private void keepEarly(Heartbeat heartbeat) {
     Heartbeat known = early.get(heartbeat.machine());
-    if (known == null || heartbeat.newerThan(known.session(), known.seq())) {
+    if (known == null || heartbeat.newerThan(known.epoch(), known.sequence())) {
       early.put(heartbeat.machine(), heartbeat);
     }
   }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -42,7 +42,7 @@
   private final MachineRegistry machines;
   private final ScaleOutController scaleOut;
   private final HeartbeatHandler heartbeats;
-  private final ConfidenceTracker confidence;
+  private final CoverageTracker coverage;
   private final HeartbeatResponder responder;
   private final DelegationGrants delegation;
   private final PlanningLoop planning;
@@ -65,16 +65,16 @@
     machines = new MachineRegistry(term);
     JobRegistry jobs = new JobRegistry(term, machines, this::planSoon);
     scaleOut = new ScaleOutController(term, machines, dependencies.cloud());
-    confidence = new ConfidenceTracker(term, dependencies.others().size() + 1);
+    coverage = new CoverageTracker(term, dependencies.others().size() + 1);
     heartbeats =
-        new HeartbeatHandler(
-            term, machines, jobs, scaleOut, this::planSoon, confidence::defersStart);
-    responder = new HeartbeatResponder(term, jobs, heartbeats, dependencies.harmlessUntilMicros());
+        new HeartbeatHandler(term, machines, jobs, scaleOut, this::planSoon, coverage::defersStart);
+    responder =
+        new HeartbeatResponder(term, jobs, heartbeats, dependencies.renewalSafeUntilMicros());
     delegation = new DelegationGrants(term, jobs, dependencies.others());
-    planning = new PlanningLoop(term, machines, scaleOut, heartbeats, confidence, this::ready);
+    planning = new PlanningLoop(term, machines, scaleOut, heartbeats, coverage, this::ready);
     loader = new StateLoader(term, dependencies.catalog(), machines, jobs, scaleOut, delegation);
     progress = new JobProgressReporter(term);
-    status = new LeaderStatus(term, scaleOut, confidence, planning);
+    status = new LeaderStatus(term, scaleOut, coverage, planning);
     machines.onDurable(this::onDurable);
   }
 
@@ -168,7 +168,7 @@
     new CatalogPersister(term, dependencies.catalog()).start();
     ready = true;
     responder.markReady();
-    confidence.begin(responder::acceptEarly);
+    coverage.begin(responder::acceptEarly);
     term.every(TICK_MICROS, this::tick);
     term.every(SUMMARY_MICROS, status::logSummary);
   }
@@ -189,8 +189,8 @@
     }
     machines.expireSilentLeases(term.scheduler.nowMicros());
     term.cluster.types = dependencies.catalog().types();
-    confidence.refresh();
-    scaleOut.reconcileMachines(term.scheduler.nowMicros(), confidence.confidence());
+    coverage.refresh();
+    scaleOut.reconcileMachines(term.scheduler.nowMicros(), coverage.coverage());
     planning.plan();
     sendDirect();
   }
--- a/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
+++ b/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
@@ -22,17 +22,17 @@
 
   private final LeaderTerm term;
   private final ScaleOutController scaleOut;
-  private final ConfidenceTracker confidence;
+  private final CoverageTracker coverage;
   private final PlanningLoop planning;
 
   LeaderStatus(
       LeaderTerm term,
       ScaleOutController scaleOut,
-      ConfidenceTracker confidence,
+      CoverageTracker coverage,
       PlanningLoop planning) {
     this.term = term;
     this.scaleOut = scaleOut;
-    this.confidence = confidence;
+    this.coverage = coverage;
     this.planning = planning;
   }
 
@@ -66,7 +66,7 @@
     if (term.learned != null) {
       term.learned.write(out);
     }
-    writeConfidence(out, confidence.confidence());
+    writeConfidence(out, coverage.coverage());
   }
 
   private void writeConfidence(JsonGenerator out, ClusterCoverage now) throws IOException {
--- a/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
+++ b/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
@@ -39,7 +39,7 @@
   private final MachineRegistry machines;
   private final ScaleOutController scaleOut;
   private final HeartbeatHandler heartbeats;
-  private final ConfidenceTracker confidence;
+  private final CoverageTracker coverage;
   private final BooleanSupplier ready;
   private boolean scheduled;
   private long lastRoundMicros;
@@ -53,13 +53,13 @@
       MachineRegistry machines,
       ScaleOutController scaleOut,
       HeartbeatHandler heartbeats,
-      ConfidenceTracker confidence,
+      CoverageTracker coverage,
       BooleanSupplier ready) {
     this.term = term;
     this.machines = machines;
     this.scaleOut = scaleOut;
     this.heartbeats = heartbeats;
-    this.confidence = confidence;
+    this.coverage = coverage;
     this.ready = ready;
   }
 
@@ -89,14 +89,14 @@
     // their checkpoints together.
     SpotReclaimDrain.plan(term.cluster, nowMicros).forEach(machines::evict);
     evictBrokenGangs();
-    confidence.refresh();
-    Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), confidence.confidence());
-    jobsHeldBack = countHeldBack(demand, confidence.confidence());
+    coverage.refresh();
+    Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage.coverage());
+    jobsHeldBack = countHeldBack(demand, coverage.coverage());
     if (!demand.waiting().isEmpty()) {
       placeAndPreempt(demand, nowMicros);
     }
     scaleOut.scaleOut(demand, nowMicros);
-    machines.takeTouched().forEach(heartbeats::sendDirect);
+    machines.takePendingPushes().forEach(heartbeats::sendDirect);
     lastRoundMicros = term.scheduler.nowMicros() - nowMicros;
     term.metrics.record(Timing.PLANNING, lastRoundMicros);
     LOG.debug("planned for {} jobs in {} ms", demand.waiting().size(), lastRoundMicros / 1000);
@@ -124,10 +124,10 @@
         || (gang.gangStarted && gang.nextWaiting(0) >= 0);
   }
 
-  private static long countHeldBack(Demand demand, ClusterCoverage confidence) {
-    return confidence.complete()
+  private static long countHeldBack(Demand demand, ClusterCoverage coverage) {
+    return coverage.complete()
         ? 0
-        : demand.waiting().stream().filter(job -> !confidence.suffices(job)).count();
+        : demand.waiting().stream().filter(job -> !coverage.suffices(job)).count();
   }
 
   private void placeAndPreempt(Demand demand, long nowMicros) {
--- a/src/main/java/madderrudder/coordination/leader/StateLoader.java
+++ b/src/main/java/madderrudder/coordination/leader/StateLoader.java
@@ -70,7 +70,7 @@
     scaleOut.load(found);
     if (term.learned != null) {
       term.learned.load(found.runTimes());
-      term.learned.keep();
+      term.learned.startPersisting();
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -58,8 +58,8 @@
   private long grantEndMicros;
   private long renewalSafeUntilMicros = Long.MIN_VALUE / 4;
 
-  /** When an answer was given, and the session and sequence number of the heartbeat it was for. */
-  private record Answered(long atMicros, long session, long seq) {}
+  /** When an answer was given, and the epoch and sequence number of the heartbeat it was for. */
+  private record Answered(long atMicros, long epoch, long sequence) {}
 
   /** The process and stamp last heard of a peer, and when on this controller's clock. */
   private record PeerContact(long incarnation, long stampMicros, long heardMicros) {}
@@ -157,13 +157,13 @@
    */
   public boolean recordAnswer(Heartbeat heartbeat) {
     Answered last = answered.get(heartbeat.machine());
-    if (last != null && !heartbeat.newerThan(last.session(), last.seq())) {
+    if (last != null && !heartbeat.newerThan(last.epoch(), last.sequence())) {
       return false;
     }
     answered.remove(heartbeat.machine());
     answered.put(
         heartbeat.machine(),
-        new Answered(scheduler.nowMicros(), heartbeat.session(), heartbeat.seq()));
+        new Answered(scheduler.nowMicros(), heartbeat.epoch(), heartbeat.sequence()));
     return true;
   }
 
--- a/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
@@ -4,7 +4,7 @@
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -56,41 +56,41 @@
             return;
           }
           boolean found = false;
-          for (Item item : reply.value().items()) {
+          for (KeyValue item : reply.value().items()) {
             found |= reportIfLeader(item);
           }
           if (!found) {
             onLeaderAbsent.run();
           }
-          follow(reply.value().revision());
+          watch(reply.value().revision());
         });
   }
 
-  private void follow(long revision) {
-    store.follow(
+  private void watch(long revision) {
+    store.watch(
         Keys.LEAD_PREFIX,
         revision,
         WATCH_MICROS,
         reply -> {
           if (reply.is(Outcome.OK)) {
             reply.value().items().forEach(this::reportChange);
-            follow(reply.value().revision());
+            watch(reply.value().revision());
           } else if (reply.is(Outcome.GONE)) {
             start();
           } else {
-            scheduler.after(RETRY_MICROS, () -> follow(revision));
+            scheduler.after(RETRY_MICROS, () -> watch(revision));
           }
         });
   }
 
-  private void reportChange(Item item) {
+  private void reportChange(KeyValue item) {
     if (!reportIfLeader(item)) {
       onLeaderAbsent.run();
     }
   }
 
   /** Whether the item is the leader's key and exists; an unreadable one does exist. */
-  private boolean reportIfLeader(Item item) {
+  private boolean reportIfLeader(KeyValue item) {
     if (item.value() == null || !item.key().equals(Keys.LEAD)) {
       return false;
     }
--- a/src/main/java/madderrudder/coordination/membership/LeaderRecord.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderRecord.java
@@ -2,7 +2,7 @@
 
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 
 /**
  * The value of the leader's key in the store.
@@ -16,7 +16,7 @@
    *
    * @throws MalformedMessageException if a field is missing or of another kind
    */
-  static LeaderRecord read(Item item) throws MalformedMessageException {
+  static LeaderRecord read(KeyValue item) throws MalformedMessageException {
     return new LeaderRecord(item.value().count("term"), item.value().text("member"));
   }
 
--- a/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
+++ b/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
@@ -8,7 +8,7 @@
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.protocol.StoreCodec.Write;
 import madderrudder.transport.Scheduler;
 import org.slf4j.Logger;
@@ -82,7 +82,7 @@
         });
   }
 
-  private void claimAfter(Item termKey) {
+  private void claimAfter(KeyValue termKey) {
     long oldTerm;
     try {
       oldTerm = TermKey.readTerm(termKey.value());
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -11,7 +11,7 @@
  *
  * <p>It rests on two facts. A worker executes no command of an earlier term once it has seen this
  * term's fencing token, so that a task it does not have by then can no longer start there by such a
- * command. And a worker kills its tasks when its lease expires, before it begins another session:
+ * command. And a worker kills its tasks when its lease expires, before it begins another epoch:
  * what is recorded there and absent may be started in place, with its image and without a write.
  *
  * <p>A pure function, usable from any thread.
--- a/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
+++ b/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
@@ -70,7 +70,7 @@
   @Override
   public List<Write> writes() {
     written = new LinkedHashSet<>();
-    chunks = (BitSet) job.unwritten.clone();
+    chunks = (BitSet) job.unwrittenChunks.clone();
     finishing = job.complete();
     for (Assignment assignment : job.assignments) {
       if (assignment.completed && (finishing || chunks.get(chunkOf(assignment)))) {
@@ -103,12 +103,12 @@
 
   @Override
   public void committed() {
-    job.unwritten.andNot(chunks);
+    job.unwrittenChunks.andNot(chunks);
     markCompletedMeanwhile();
     if (finishing) {
       jobs.end(job);
     }
-    if (!job.unwritten.isEmpty()) {
+    if (!job.unwrittenChunks.isEmpty()) {
       jobs.save(job);
     }
     Set<Machine> released = new LinkedHashSet<>();
@@ -116,7 +116,7 @@
       machines.release(assignment);
       released.add(assignment.machine);
     }
-    released.forEach(machines::settled);
+    released.forEach(machines::progressDurable);
   }
 
   /**
@@ -127,7 +127,7 @@
   private void markCompletedMeanwhile() {
     for (Assignment assignment : job.assignments) {
       if (assignment.completed && !written.contains(assignment)) {
-        job.unwritten.set(chunkOf(assignment));
+        job.unwrittenChunks.set(chunkOf(assignment));
       }
     }
   }
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -11,7 +11,7 @@
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void submitted(Item item) {
+    public void submitted(KeyValue item) {
       add(item);
     }
 
@@ -82,7 +82,7 @@
     watch.watch(stored.liveRevision());
   }
 
-  private void loadProgress(Item item) {
+  private void loadProgress(KeyValue item) {
     String rest = item.key().substring(Keys.PROGRESS.length());
     int slash = rest.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
@@ -92,7 +92,7 @@
     }
     try {
       JobRecords.readProgress(item.value(), Integer.parseInt(rest.substring(slash + 1)), job.done);
-      if (JobRecords.readFaulty(item.value())) {
+      if (JobRecords.readFailing(item.value())) {
         job.markFailing(term.scheduler.nowMicros());
       }
       job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
@@ -104,7 +104,7 @@
     }
   }
 
-  private void add(Item item) {
+  private void add(KeyValue item) {
     String id = item.key().substring(Keys.LIVE.length());
     if (term.cluster.jobs.containsKey(id)) {
       return;
@@ -172,7 +172,7 @@
     } else {
       job.done.set(assignment.task.index());
     }
-    job.unwritten.set(JobProgressChange.chunkOf(assignment));
+    job.unwrittenChunks.set(JobProgressChange.chunkOf(assignment));
     save(job);
   }
 
@@ -181,7 +181,7 @@
    * retry all of them at once.
    */
   public void markFailing(Job job) {
-    job.unwritten.set(0);
+    job.unwrittenChunks.set(0);
     save(job);
   }
 
--- a/src/main/java/madderrudder/coordination/registry/LeaderDependencies.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderDependencies.java
@@ -26,8 +26,8 @@
  * @param member this controller's name
  * @param others the names of the other controllers
  * @param metrics where timings are recorded
- * @param harmlessUntilMicros until when, on the scheduler's clock in microseconds, a heartbeat may
- *     be answered without commands although the store has not been read yet
+ * @param renewalSafeUntilMicros until when, on the scheduler's clock in microseconds, a heartbeat
+ *     may be answered without commands although the store has not been read yet
  */
 public record LeaderDependencies(
     Scheduler scheduler,
@@ -41,4 +41,4 @@
     String member,
     Set<String> others,
     Metrics metrics,
-    LongSupplier harmlessUntilMicros) {}
+    LongSupplier renewalSafeUntilMicros) {}
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -20,7 +20,7 @@
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.protocol.StoreCodec.Write;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -79,8 +79,8 @@
    *
    * @param items the stored pages, in any order
    */
-  public void load(List<Item> items) {
-    for (Item item : items) {
+  public void load(List<KeyValue> items) {
+    for (KeyValue item : items) {
       try {
         pages.read(item.value().text("d"));
       } catch (MalformedMessageException | MalformedPageException e) {
@@ -91,7 +91,7 @@
   }
 
   /** Starts to store, at intervals until the term ends, the pages that have changed. */
-  public void keep() {
+  public void startPersisting() {
     term.every(PAGE_INTERVAL_MICROS, this::saveNextChangedPage);
   }
 
--- a/src/main/java/madderrudder/coordination/registry/LiveJobWatch.java
+++ b/src/main/java/madderrudder/coordination/registry/LiveJobWatch.java
@@ -2,7 +2,7 @@
 
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreReply.Outcome;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.protocol.StoreCodec.Page;
 
 /**
@@ -16,7 +16,7 @@
   /** Receives what the watch brings. */
   interface Listener {
     /** A job was submitted. */
-    void submitted(Item item);
+    void submitted(KeyValue item);
 
     /**
      * A live job's key was deleted.
@@ -52,7 +52,7 @@
   /** Starts to watch for changes after the store's revision. */
   void watch(long revision) {
     long sentMicros = term.scheduler.nowMicros();
-    term.store.follow(
+    term.store.watch(
         Keys.LIVE,
         revision,
         POLL_MICROS,
@@ -74,7 +74,7 @@
   private void process(Page events, long sentMicros) {
     long beforeMicros = knownUpToMicros;
     knownUpToMicros = sentMicros;
-    for (Item item : events.items()) {
+    for (KeyValue item : events.items()) {
       if (item.value() != null) {
         listener.submitted(item);
       } else {
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -23,7 +23,7 @@
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.protocol.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -114,10 +114,10 @@
    * @param items the stored log segments, in any order
    * @throws MalformedMessageException if a segment is unreadable; the cluster state is not changed
    */
-  public void load(List<Item> items) throws MalformedMessageException {
+  public void load(List<KeyValue> items) throws MalformedMessageException {
     Map<Long, Integer> slots = new HashMap<>();
     List<LogSegment> segments = new ArrayList<>();
-    for (Item item : items) {
+    for (KeyValue item : items) {
       LogSegment segment = LogSegment.read(item.value());
       segments.add(segment);
       slots.put(segment.number(), Keys.logSegmentSlot(item.key()));
@@ -187,7 +187,7 @@
   }
 
   /** Returns, once, the machines whose workers have new commands, each named once. */
-  public List<Machine> takeTouched() {
+  public List<Machine> takePendingPushes() {
     List<Machine> machines = List.copyOf(pendingPush);
     pendingPush.clear();
     return machines;
@@ -226,7 +226,7 @@
   }
 
   /**
-   * Handles a new session of the machine's worker: what this leader placed there is released; what
+   * Handles a new epoch of the machine's worker: what this leader placed there is released; what
    * earlier leaders placed is kept, since their commands may still arrive.
    */
   public void releaseOwn(Machine machine) {
@@ -234,7 +234,7 @@
       if (!assignment.inherited) {
         release(assignment);
       } else {
-        assignment.endSession();
+        assignment.endEpoch();
       }
     }
   }
@@ -285,7 +285,7 @@
   }
 
   /** Reports that the progress of tasks on the machine has become durable. */
-  public void settled(Machine machine) {
+  public void progressDurable(Machine machine) {
     onDurable.accept(machine);
   }
 
--- a/src/main/java/madderrudder/coordination/registry/StoredState.java
+++ b/src/main/java/madderrudder/coordination/registry/StoredState.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 
 /**
  * What the store held when a new leader read it, see {@link StoredStateReader}. Not one snapshot:
@@ -19,11 +19,11 @@
  * @param liveRevision the store's revision from which to watch the live jobs
  */
 public record StoredState(
-    List<Item> liveJobs,
-    List<Item> progress,
-    List<Item> logSegments,
-    List<Item> rentals,
-    List<Item> runTimes,
-    Optional<Item> rentalBudget,
+    List<KeyValue> liveJobs,
+    List<KeyValue> progress,
+    List<KeyValue> logSegments,
+    List<KeyValue> rentals,
+    List<KeyValue> runTimes,
+    Optional<KeyValue> rentalBudget,
     boolean ownedMachinesRecorded,
     long liveRevision) {}
--- a/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
+++ b/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreReply.Outcome;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 
 /**
  * Reads everything a new leader needs from the store: ranges page by page, and single keys, all at
@@ -24,8 +24,8 @@
 
   private final LeaderTerm term;
   private final Consumer<StoredState> onRead;
-  private final Map<String, List<Item>> ranges = new HashMap<>();
-  private final Map<String, Item> singles = new HashMap<>();
+  private final Map<String, List<KeyValue>> ranges = new HashMap<>();
+  private final Map<String, KeyValue> singles = new HashMap<>();
   private long liveRevision = UNKNOWN_REVISION;
   private int openReads;
 
@@ -70,7 +70,7 @@
             return;
           }
           rememberLiveRevision(prefix, reply.value().revision());
-          List<Item> items = reply.value().items();
+          List<KeyValue> items = reply.value().items();
           ranges.get(prefix).addAll(items);
           if (reply.value().more() && !items.isEmpty()) {
             readRange(prefix, items.get(items.size() - 1).key());
--- a/src/main/java/madderrudder/coordination/scaleout/ListedMachines.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ListedMachines.java
@@ -62,8 +62,8 @@
   }
 
   private static void update(Machine machine, CloudCodec.ListedMachine entry) {
-    if (machine.addr.isEmpty()) {
-      machine.addr = entry.addr();
+    if (machine.address.isEmpty()) {
+      machine.address = entry.address();
     }
     machine.failed |= entry.state() == CloudCodec.MachineState.FAILED;
   }
@@ -117,7 +117,7 @@
             entry.spot(),
             owned,
             term.scheduler.wallMicros() - entry.ageMicros());
-    machine.addr = entry.addr();
+    machine.address = entry.address();
     return machine;
   }
 
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -48,7 +48,7 @@
   }
 
   /** Decides on each machine and acts on it. */
-  void run(long nowMicros, ClusterCoverage confidence) {
+  void run(long nowMicros, ClusterCoverage coverage) {
     boolean mayRetire = placingLongEnough(nowMicros);
     boolean mostSilent = mostAreSilent();
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
@@ -56,7 +56,7 @@
           MachineReconciler.of(facts(machine, nowMicros, mostSilent), requests.ownedStillOpen());
       switch (decision.verdict()) {
         case RETURN -> {
-          if (mayRetire && (!idle(machine) || confidence.suffices())) {
+          if (mayRetire && (!idle(machine) || coverage.suffices())) {
             retire(machine, decision.reason(), nowMicros);
           }
         }
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -16,7 +16,7 @@
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.RentalRecord;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -51,7 +51,7 @@
   /** Takes over the budget and the open requests of earlier leaders, and sends these again. */
   void load(StoredState found) throws MalformedMessageException {
     intents.load(found);
-    for (Item item : found.rentals()) {
+    for (KeyValue item : found.rentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
       openRequests.put(requestId, rental);
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -124,9 +124,9 @@
    * idle or does not work, and removes what is gone.
    *
    * @param nowMicros the time on the scheduler's clock
-   * @param confidence how much of the cluster has been heard in this term
+   * @param coverage how much of the cluster has been heard in this term
    */
-  public void reconcileMachines(long nowMicros, ClusterCoverage confidence) {
-    reconciliation.run(nowMicros, confidence);
+  public void reconcileMachines(long nowMicros, ClusterCoverage coverage) {
+    reconciliation.run(nowMicros, coverage);
   }
 }
--- a/src/main/java/madderrudder/coordination/state/Assignment.java
+++ b/src/main/java/madderrudder/coordination/state/Assignment.java
@@ -56,10 +56,10 @@
   public boolean startSent;
 
   /** The sequence number of the heartbeat whose answer carried the start; -1 for none. */
-  public long startSeq = NONE;
+  public long startSequence = NONE;
 
-  /** The last heartbeat of this session that named the task; -1 for none. */
-  public long reportedSeq = NONE;
+  /** The last heartbeat of this epoch that named the task; -1 for none. */
+  public long reportedSequence = NONE;
 
   /** When a stop was last sent; -1 for never. */
   public long stopSentMicros = NONE;
@@ -123,12 +123,12 @@
   }
 
   /**
-   * Records that the worker's session has ended: its heartbeats no longer count, and no start given
+   * Records that the worker's epoch has ended: its heartbeats no longer count, and no start given
    * in it can arrive any more.
    */
-  public void endSession() {
-    reportedSeq = NONE;
-    startSeq = NONE;
+  public void endEpoch() {
+    reportedSequence = NONE;
+    startSequence = NONE;
     directToken = NONE;
     startSent = false;
   }
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -34,7 +34,7 @@
   public final BitSet done = new BitSet();
 
   /** Chunks of progress that the store lacks. */
-  public final BitSet unwritten = new BitSet();
+  public final BitSet unwrittenChunks = new BitSet();
 
   /** Its tasks that are, or may be, on machines. Changed by the cluster alone. */
   public final Set<Assignment> assignments = new LinkedHashSet<>();
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -55,7 +55,7 @@
   public boolean inherited;
 
   /** The address of its worker; "" until known. */
-  public String addr = "";
+  public String address = "";
 
   /** It is being returned to the cloud. */
   public boolean retiring;
@@ -69,11 +69,11 @@
   /** Its worker has reported to this leader. */
   public boolean reported;
 
-  /** The session of its newest heartbeat. */
-  public long session;
+  /** The epoch of its newest heartbeat. */
+  public long epoch;
 
   /** The sequence number of its newest heartbeat. */
-  public long seq;
+  public long sequence;
 
   /** The highest fencing token that its worker has seen, as its newest heartbeat says. */
   public long token;
@@ -91,9 +91,9 @@
    * The sequence number of the last heartbeat that its worker sent by itself rather than in answer
    * to a command; -1 for none.
    */
-  public long heartbeatSeq = NONE;
+  public long heartbeatSequence = NONE;
 
-  /** When the heartbeat of {@link #heartbeatSeq} came. */
+  /** When the heartbeat of {@link #heartbeatSequence} came. */
   public long heartbeatMicros;
 
   /**
@@ -253,7 +253,7 @@
 
   /**
    * Raises the token so that the next answer shows whether answers reach its worker: one was not
-   * heeded, or none is known to have been since its session began.
+   * heeded, or none is known to have been since its epoch began.
    */
   public void expectAcknowledgement(long sinceMicros) {
     if (!unacknowledged()) {
--- a/src/main/java/madderrudder/metrics/RunHistory.java
+++ b/src/main/java/madderrudder/metrics/RunHistory.java
@@ -19,7 +19,7 @@
   private static final int MAX_RUNS_PER_RESPONSE = 400;
 
   private final long term;
-  private final Deque<Ended> runs = new ArrayDeque<>();
+  private final Deque<EndedRun> runs = new ArrayDeque<>();
 
   /** The number of the latest run; 0 before the first. */
   private long lastNumber;
@@ -30,7 +30,7 @@
    * @param atWallMicros the time of day of its end, in microseconds since the epoch
    * @param run the run
    */
-  public record Ended(long atWallMicros, TaskRun run) {}
+  public record EndedRun(long atWallMicros, TaskRun run) {}
 
   /**
    * Creates an empty history.
@@ -51,7 +51,7 @@
     if (runs.size() == MAX_RUNS) {
       runs.removeFirst();
     }
-    runs.addLast(new Ended(atWallMicros, run));
+    runs.addLast(new EndedRun(atWallMicros, run));
     lastNumber++;
   }
 
@@ -79,7 +79,7 @@
   /** Writes the runs numbered above {@code from}, up to {@code last}. */
   private void writeRuns(JsonGenerator out, long from, long last) throws IOException {
     long number = lastNumber - runs.size();
-    for (Ended ended : runs) {
+    for (EndedRun ended : runs) {
       number++;
       if (number > last) {
         return;
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import madderrudder.estimates.TaskProfile;
 import madderrudder.estimates.TaskRun;
-import madderrudder.metrics.RunHistory.Ended;
-import madderrudder.protocol.Fields;
+import madderrudder.metrics.RunHistory.EndedRun;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 
@@ -49,7 +49,7 @@
    * @param ended the run
    * @throws IOException if the generator fails
    */
-  public static void write(JsonGenerator out, Ended ended) throws IOException {
+  public static void write(JsonGenerator out, EndedRun ended) throws IOException {
     TaskRun run = ended.run();
     TaskProfile profile = run.profile();
     out.writeNumberField("at_s", ended.atWallMicros() / 1e6);
@@ -76,7 +76,7 @@
    * @param in the fields of the run
    * @throws MalformedMessageException if a required field is missing, or any field is invalid
    */
-  public static Ended read(Fields in) throws MalformedMessageException {
+  public static EndedRun read(JsonFields in) throws MalformedMessageException {
     TaskProfile profile =
         new TaskProfile(
             in.text("job"),
@@ -97,11 +97,11 @@
             in.secondsAsMicros("took_s"),
             complete);
     // A time of day is more seconds than any duration may be.
-    return new Ended(Math.round(1e6 * in.amount("at_s", 0)), run);
+    return new EndedRun(Math.round(1e6 * in.amount("at_s", 0)), run);
   }
 
   /** Whether {@code end} tells of a complete run. */
-  private static boolean readComplete(Fields in) throws MalformedMessageException {
+  private static boolean readComplete(JsonFields in) throws MalformedMessageException {
     return switch (in.text("end")) {
       case COMPLETE -> true;
       case PARTIAL -> false;
@@ -112,7 +112,7 @@
   }
 
   /** Reads a decimal as whole thousandths, the unit of {@link Resources}; 0 when it is absent. */
-  private static long thousandths(Fields in, String name) throws MalformedMessageException {
+  private static long thousandths(JsonFields in, String name) throws MalformedMessageException {
     return Math.round(1e3 * in.amount(name, 0));
   }
 }
--- a/src/main/java/madderrudder/persistence/FencedCommitter.java
+++ b/src/main/java/madderrudder/persistence/FencedCommitter.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import madderrudder.persistence.StoreReply.Outcome;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec.Condition;
 import madderrudder.protocol.StoreCodec.Write;
@@ -136,7 +136,7 @@
         });
   }
 
-  private void compareTermKey(Transaction transaction, Fields termKey, long version) {
+  private void compareTermKey(Transaction transaction, JsonFields termKey, long version) {
     boolean ours;
     try {
       ours =
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -2,11 +2,11 @@
 
 import java.util.Base64;
 import java.util.BitSet;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobCodec;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
 /**
@@ -49,7 +49,7 @@
    *
    * @throws MalformedMessageException if the record is not valid
    */
-  public static Live readLive(Fields in) throws MalformedMessageException {
+  public static Live readLive(JsonFields in) throws MalformedMessageException {
     return new Live(JobCodec.read(in), in.count("accepted_us"));
   }
 
@@ -67,7 +67,7 @@
    *
    * @throws MalformedMessageException if a field is missing or has the wrong type
    */
-  public static Finished readFinished(Fields in) throws MalformedMessageException {
+  public static Finished readFinished(JsonFields in) throws MalformedMessageException {
     JobState state =
         in.text("state").equals(JobCodec.nameOf(JobState.DONE))
             ? JobState.DONE
@@ -98,7 +98,7 @@
    *
    * @throws MalformedMessageException if the field is not a boolean
    */
-  public static boolean readFaulty(Fields in) throws MalformedMessageException {
+  public static boolean readFailing(JsonFields in) throws MalformedMessageException {
     return in.flag("faulty", false);
   }
 
@@ -107,7 +107,7 @@
    *
    * @throws MalformedMessageException if the chunk is not valid; the set is not changed
    */
-  public static void readProgress(Fields in, int chunk, BitSet done)
+  public static void readProgress(JsonFields in, int chunk, BitSet done)
       throws MalformedMessageException {
     byte[] bits;
     try {
--- a/src/main/java/madderrudder/persistence/LiveJobChecker.java
+++ b/src/main/java/madderrudder/persistence/LiveJobChecker.java
@@ -52,7 +52,7 @@
    * @param answer called once, on the event loop
    */
   public void ask(String job, long version, Consumer<Answer> answer) {
-    if (inFlight && !store.answersLately()) {
+    if (inFlight && !store.isResponsive()) {
       answer.accept(Answer.UNKNOWN);
       return;
     }
--- a/src/main/java/madderrudder/persistence/LogSegment.java
+++ b/src/main/java/madderrudder/persistence/LogSegment.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
@@ -92,7 +92,7 @@
    *
    * @throws MalformedMessageException if a field is missing or an entry cannot be parsed
    */
-  public static LogSegment read(Fields in) throws MalformedMessageException {
+  public static LogSegment read(JsonFields in) throws MalformedMessageException {
     return new LogSegment(
         in.count("n"),
         readMachines(in),
@@ -102,9 +102,9 @@
         readImages(in));
   }
 
-  private static List<MachineEntry> readMachines(Fields in) throws MalformedMessageException {
+  private static List<MachineEntry> readMachines(JsonFields in) throws MalformedMessageException {
     List<MachineEntry> machines = new ArrayList<>();
-    for (Fields group : in.objects("machines")) {
+    for (JsonFields group : in.objects("machines")) {
       MachineKind kind =
           new MachineKind(
               group.text("type"), group.text("zone"), group.flag("spot"), group.flag("owned"));
@@ -116,9 +116,9 @@
     return machines;
   }
 
-  private static List<Placement> readPlacements(Fields in) throws MalformedMessageException {
+  private static List<Placement> readPlacements(JsonFields in) throws MalformedMessageException {
     List<Placement> placed = new ArrayList<>();
-    for (Fields group : in.objects("placed")) {
+    for (JsonFields group : in.objects("placed")) {
       String job = group.text("j");
       Usage usage =
           new Usage(
@@ -133,9 +133,9 @@
     return placed;
   }
 
-  private static List<EndedAttempt> readEnded(Fields in) throws MalformedMessageException {
+  private static List<EndedAttempt> readEnded(JsonFields in) throws MalformedMessageException {
     List<EndedAttempt> ended = new ArrayList<>();
-    for (Fields group : in.objects("ended")) {
+    for (JsonFields group : in.objects("ended")) {
       String job = group.text("j");
       for (String item : group.texts("of")) {
         String[] parts = item.split(" ");
@@ -147,9 +147,9 @@
     return ended;
   }
 
-  private static List<CachedImage> readImages(Fields in) throws MalformedMessageException {
+  private static List<CachedImage> readImages(JsonFields in) throws MalformedMessageException {
     List<CachedImage> images = new ArrayList<>();
-    for (Fields group : in.objects("images")) {
+    for (JsonFields group : in.objects("images")) {
       for (String machine : group.texts("of")) {
         images.add(new CachedImage(group.text("i"), group.amount("gb"), machine));
       }
--- a/src/main/java/madderrudder/persistence/RentalBudget.java
+++ b/src/main/java/madderrudder/persistence/RentalBudget.java
@@ -5,8 +5,8 @@
 import java.util.Comparator;
 import java.util.Deque;
 import java.util.List;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
 /**
@@ -98,9 +98,9 @@
    *
    * @throws MalformedMessageException if the record is not valid; nothing is replaced
    */
-  public void load(Fields in) throws MalformedMessageException {
+  public void load(JsonFields in) throws MalformedMessageException {
     List<Reservation> all = new ArrayList<>();
-    for (Fields entry : in.objects("spent")) {
+    for (JsonFields entry : in.objects("spent")) {
       long wallMicros = entry.count("us");
       all.add(new Reservation(wallMicros, wallMicros, entry.smallCount("n")));
     }
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -1,7 +1,7 @@
 package madderrudder.persistence;
 
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
 /**
@@ -33,7 +33,7 @@
    *
    * @throws MalformedMessageException if the record is not valid
    */
-  public static RentalRecord read(String request, Fields in) throws MalformedMessageException {
+  public static RentalRecord read(String request, JsonFields in) throws MalformedMessageException {
     return new RentalRecord(
         request,
         in.text("type"),
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -7,7 +7,7 @@
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.StoreCodec;
 import madderrudder.protocol.StoreCodec.Condition;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.protocol.StoreCodec.Page;
 import madderrudder.protocol.StoreCodec.Write;
 import madderrudder.transport.HttpCaller;
@@ -59,7 +59,7 @@
    * @param address host and port of the state service
    * @param requestsPerSecond this node's share of the request rate, for users
    * @param writesPerSecond this node's share of the write rate, for users, until {@link
-   *     #userWrites} changes it
+   *     #setUserWritesPerSecond} changes it
    */
   public StoreClient(
       Scheduler scheduler,
@@ -77,12 +77,12 @@
   }
 
   /** Whether the store has answered this node within the last seconds. */
-  public boolean answersLately() {
+  public boolean isResponsive() {
     return scheduler.nowMicros() - lastOkMicros < SILENT_MICROS;
   }
 
   /** Sets the rate of users' writes on this node, in writes a second. */
-  public void userWrites(double perSecond) {
+  public void setUserWritesPerSecond(double perSecond) {
     writes.setRate(perSecond);
     userWritesPerSecond = perSecond;
   }
@@ -93,7 +93,7 @@
   }
 
   /** Returns the writes users asked for since the last call of this method, refused ones too. */
-  public double takeWanted() {
+  public double takeRequestedUserWrites() {
     double result = requestedUserWrites;
     requestedUserWrites = 0;
     return result;
@@ -103,12 +103,12 @@
    * Reads a key for a user: waits its turn, and is refused at once if that would take too long. The
    * outcome is {@link Outcome#GONE} if the key does not exist.
    */
-  public void get(String key, Consumer<StoreReply<Item>> answer) {
+  public void get(String key, Consumer<StoreReply<KeyValue>> answer) {
     forUser(HttpRequest.get("/store/" + key), requests, 1, StoreCodec::readItem, answer);
   }
 
   /** Reads a key for the leadership or the leader, never queued behind users. */
-  public void getUrgent(String key, Consumer<StoreReply<Item>> answer) {
+  public void getUrgent(String key, Consumer<StoreReply<KeyValue>> answer) {
     call(HttpRequest.get("/store/" + key), TIMEOUT_MICROS, StoreCodec::readItem, answer);
   }
 
@@ -134,8 +134,7 @@
    * @param since the revision after which changes are wanted
    * @param waitMicros how long the store waits for a change before it answers without any
    */
-  public void follow(
-      String prefix, long since, long waitMicros, Consumer<StoreReply<Page>> answer) {
+  public void watch(String prefix, long since, long waitMicros, Consumer<StoreReply<Page>> answer) {
     call(
         HttpRequest.get(
             "/follow?under=" + prefix + "&since=" + since + "&wait_ms=" + waitMicros / 1000),
@@ -217,7 +216,7 @@
       Decoder<T> decoder,
       Consumer<StoreReply<T>> answer) {
     boolean refused =
-        (openForUsers > 0 && !answersLately())
+        (openForUsers > 0 && !isResponsive())
             || !limiter.runWithin(
                 cost,
                 MAX_WAIT_MICROS,
--- a/src/main/java/madderrudder/persistence/TermKey.java
+++ b/src/main/java/madderrudder/persistence/TermKey.java
@@ -1,7 +1,7 @@
 package madderrudder.persistence;
 
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
 /**
@@ -33,7 +33,7 @@
    *
    * @throws MalformedMessageException if the field is missing or not a count
    */
-  public static long readTerm(Fields value) throws MalformedMessageException {
+  public static long readTerm(JsonFields value) throws MalformedMessageException {
     return value.count("term");
   }
 
@@ -42,7 +42,7 @@
    *
    * @throws MalformedMessageException if the field is missing or not a count
    */
-  static long readSerial(Fields value) throws MalformedMessageException {
+  static long readSerial(JsonFields value) throws MalformedMessageException {
     return value.count("serial");
   }
 }
--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -25,7 +25,7 @@
    * A machine in the cloud's list, which lags behind.
    *
    * @param id the machine's id
-   * @param addr the address of its worker; empty if it is not known yet
+   * @param address the address of its worker; empty if it is not known yet
    * @param type the name of its machine type
    * @param zone its zone
    * @param spot whether it is a spot machine
@@ -34,7 +34,7 @@
    */
   public record ListedMachine(
       String id,
-      String addr,
+      String address,
       String type,
       String zone,
       boolean spot,
@@ -56,15 +56,15 @@
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
-  public static List<MachineType> readCatalog(Fields body) throws MalformedMessageException {
+  public static List<MachineType> readCatalog(JsonFields body) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
-    for (Fields type : body.objects(CloudFields.MACHINE_TYPES)) {
+    for (JsonFields type : body.objects(CloudFields.MACHINE_TYPES)) {
       types.add(readType(type));
     }
     return types;
   }
 
-  private static MachineType readType(Fields in) throws MalformedMessageException {
+  private static MachineType readType(JsonFields in) throws MalformedMessageException {
     return new MachineType(
         in.text(CloudFields.TYPE_NAME),
         Resources.of(
@@ -122,15 +122,15 @@
    * @throws MalformedMessageException if the body is not such a page
    */
   public static Page readPage(byte[] body) throws MalformedMessageException {
-    Fields in = Json.readObject(body);
+    JsonFields in = Json.readObject(body);
     List<ListedMachine> machines = new ArrayList<>();
-    for (Fields machine : in.objects(CloudFields.MACHINES)) {
+    for (JsonFields machine : in.objects(CloudFields.MACHINES)) {
       machines.add(readMachine(machine));
     }
     return new Page(machines, in.flag(CloudFields.MORE, false));
   }
 
-  private static ListedMachine readMachine(Fields in) throws MalformedMessageException {
+  private static ListedMachine readMachine(JsonFields in) throws MalformedMessageException {
     MachineState state = STATES.valueOf(in.text(CloudFields.STATE), MachineState.RUNNING);
     return new ListedMachine(
         in.text(CloudFields.ID),
--- a/src/main/java/madderrudder/protocol/EnumNames.java
+++ b/src/main/java/madderrudder/protocol/EnumNames.java
@@ -34,7 +34,7 @@
   }
 
   /** The value that the object's field names; the message is malformed if there is none. */
-  E read(Fields in, String field) throws MalformedMessageException {
+  E read(JsonFields in, String field) throws MalformedMessageException {
     String name = in.text(field);
     E value = values.get(name);
     if (value == null) {
--- a/src/main/java/madderrudder/protocol/Heartbeat.java
+++ b/src/main/java/madderrudder/protocol/Heartbeat.java
@@ -6,12 +6,12 @@
  * A worker's report about its machine, which also renews its lease.
  *
  * @param machine the machine's id
- * @param addr the worker's address for direct commands; empty if it gives none
+ * @param address the worker's address for direct commands; empty if it gives none
  * @param type the name of the machine's type
  * @param zone the machine's zone
  * @param spot whether it is a spot machine
- * @param session the incarnation of the worker, which grows each time its lease expires
- * @param seq the sequence number of the heartbeat in its session
+ * @param epoch the incarnation of the worker, which grows each time its lease expires
+ * @param sequence the sequence number of the heartbeat in its epoch
  * @param token the highest fencing token that the worker has seen; 0 if none
  * @param reclaimNoticeMicros the time until the cloud takes the spot machine back; -1 without
  *     notice
@@ -19,18 +19,18 @@
  */
 public record Heartbeat(
     String machine,
-    String addr,
+    String address,
     String type,
     String zone,
     boolean spot,
-    long session,
-    long seq,
+    long epoch,
+    long sequence,
     long token,
     long reclaimNoticeMicros,
     List<TaskStatus> tasks) {
 
-  /** Whether this one is newer: it has the larger pair of session and sequence number. */
-  public boolean newerThan(long otherSession, long otherSeq) {
-    return session > otherSession || (session == otherSession && seq > otherSeq);
+  /** Whether this one is newer: it has the larger pair of epoch and sequence number. */
+  public boolean newerThan(long otherEpoch, long otherSeq) {
+    return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSeq);
   }
 }
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -50,7 +50,7 @@
    *
    * @throws MalformedMessageException if there is no valid id
    */
-  public static String readId(Fields in) throws MalformedMessageException {
+  public static String readId(JsonFields in) throws MalformedMessageException {
     String id = in.text(JobFields.ID);
     if (!validId(id)) {
       throw MalformedMessageException.missingOrInvalid(JobFields.ID, id);
@@ -64,7 +64,7 @@
    *
    * @throws MalformedMessageException with the name of a field that is missing or invalid
    */
-  public static JobSpec read(Fields in) throws MalformedMessageException {
+  public static JobSpec read(JsonFields in) throws MalformedMessageException {
     // Which of several invalid fields is named depends on this order.
     JobKind kind = KINDS.read(in, JobFields.KIND);
     Priority priority = PRIORITIES.read(in, JobFields.PRIORITY);
@@ -93,7 +93,7 @@
         deadlineMicros);
   }
 
-  private static int readTaskCount(Fields in) throws MalformedMessageException {
+  private static int readTaskCount(JsonFields in) throws MalformedMessageException {
     long tasks = in.count(JobFields.TASKS);
     if (tasks < 1 || tasks > MAX_TASKS) {
       throw MalformedMessageException.ofField(JobFields.TASKS, "is out of range", tasks);
@@ -101,7 +101,7 @@
     return (int) tasks;
   }
 
-  private static Resources readResources(Fields in) throws MalformedMessageException {
+  private static Resources readResources(JsonFields in) throws MalformedMessageException {
     Resources perTask =
         Resources.of(
             in.amount(JobFields.CPUS), in.amount(JobFields.GPUS), in.amount(JobFields.MEMORY_GB));
@@ -113,7 +113,7 @@
   }
 
   /** The allowed machine types; null if any is. */
-  private static Set<String> readMachineTypes(Fields in) throws MalformedMessageException {
+  private static Set<String> readMachineTypes(JsonFields in) throws MalformedMessageException {
     if (!in.has(JobFields.MACHINE_TYPES)) {
       return null;
     }
@@ -124,7 +124,7 @@
     return types;
   }
 
-  private static String readName(Fields in, String field) throws MalformedMessageException {
+  private static String readName(JsonFields in, String field) throws MalformedMessageException {
     String text = in.text(field);
     if (text.isEmpty() || text.length() > MAX_NAME) {
       throw MalformedMessageException.missingOrInvalid(field, text);
--- a/src/main/java/madderrudder/protocol/Json.java
+++ b/src/main/java/madderrudder/protocol/Json.java
@@ -81,10 +81,10 @@
    *
    * @throws MalformedMessageException if the text is not JSON, or anything but one object
    */
-  public static Fields readObject(byte[] bytes) throws MalformedMessageException {
+  public static JsonFields readObject(byte[] bytes) throws MalformedMessageException {
     Object value = read(bytes);
     if (value instanceof Map<?, ?> map) {
-      return new Fields(map);
+      return new JsonFields(map);
     }
     throw new MalformedMessageException("not a JSON object");
   }
--- a/src/main/java/madderrudder/protocol/Fields.java
+++ b/src/main/java/madderrudder/protocol/JsonFields.java
@@ -12,7 +12,7 @@
  * field is absent or not what the method reads. Those that take a default return it if the field is
  * absent, and throw if it is there and invalid.
  */
-public final class Fields {
+public final class JsonFields {
   private static final double MAX_AMOUNT = 1e15;
   private static final double MAX_SECONDS = 1e9;
 
@@ -21,7 +21,7 @@
 
   private final Map<?, ?> map;
 
-  Fields(Map<?, ?> map) {
+  JsonFields(Map<?, ?> map) {
     this.map = map;
   }
 
@@ -137,21 +137,21 @@
   }
 
   /** An object. */
-  public Fields object(String name) throws MalformedMessageException {
+  public JsonFields object(String name) throws MalformedMessageException {
     if (map.get(name) instanceof Map<?, ?> object) {
-      return new Fields(object);
+      return new JsonFields(object);
     }
     throw invalid(name);
   }
 
   /** An array of objects. */
-  public List<Fields> objects(String name) throws MalformedMessageException {
-    List<Fields> objects = new ArrayList<>();
+  public List<JsonFields> objects(String name) throws MalformedMessageException {
+    List<JsonFields> objects = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof Map<?, ?> object)) {
         throw invalid(name);
       }
-      objects.add(new Fields(object));
+      objects.add(new JsonFields(object));
     }
     return objects;
   }
--- a/src/main/java/madderrudder/protocol/StoreCodec.java
+++ b/src/main/java/madderrudder/protocol/StoreCodec.java
@@ -15,7 +15,7 @@
    * @param value the value; null where a watch says that the key was deleted
    * @param version the revision of the key's last change
    */
-  public record Item(String key, Fields value, long version) {}
+  public record KeyValue(String key, JsonFields value, long version) {}
 
   /**
    * A page of a range, or a batch of changes.
@@ -24,7 +24,7 @@
    * @param more whether the range goes on behind them
    * @param revision the revision of the store that the answer reflects
    */
-  public record Page(List<Item> items, boolean more, long revision) {}
+  public record Page(List<KeyValue> items, boolean more, long revision) {}
 
   /**
    * A write of a transaction.
@@ -131,12 +131,12 @@
    *
    * @throws MalformedMessageException if the body is not such an answer
    */
-  public static Item readItem(byte[] body) throws MalformedMessageException {
+  public static KeyValue readItem(byte[] body) throws MalformedMessageException {
     return readItem(Json.readObject(body));
   }
 
-  private static Item readItem(Fields in) throws MalformedMessageException {
-    return new Item(
+  private static KeyValue readItem(JsonFields in) throws MalformedMessageException {
+    return new KeyValue(
         in.text(StoreFields.KEY), in.object(StoreFields.VALUE), in.count(StoreFields.VERSION));
   }
 
@@ -146,9 +146,9 @@
    * @throws MalformedMessageException if the body is not such a page
    */
   public static Page readRange(byte[] body) throws MalformedMessageException {
-    Fields in = Json.readObject(body);
-    List<Item> items = new ArrayList<>();
-    for (Fields item : in.objects(StoreFields.ITEMS)) {
+    JsonFields in = Json.readObject(body);
+    List<KeyValue> items = new ArrayList<>();
+    for (JsonFields item : in.objects(StoreFields.ITEMS)) {
       items.add(readItem(item));
     }
     return new Page(items, in.flag(StoreFields.MORE, false), in.count(StoreFields.REVISION));
@@ -160,21 +160,21 @@
    * @throws MalformedMessageException if the body is not such an answer
    */
   public static Page readEvents(byte[] body) throws MalformedMessageException {
-    Fields in = Json.readObject(body);
-    List<Item> changes = new ArrayList<>();
+    JsonFields in = Json.readObject(body);
+    List<KeyValue> changes = new ArrayList<>();
     if (in.has(StoreFields.EVENTS)) {
-      for (Fields event : in.objects(StoreFields.EVENTS)) {
+      for (JsonFields event : in.objects(StoreFields.EVENTS)) {
         changes.add(readEvent(event));
       }
     }
     return new Page(changes, false, in.count(StoreFields.REVISION));
   }
 
-  private static Item readEvent(Fields in) throws MalformedMessageException {
+  private static KeyValue readEvent(JsonFields in) throws MalformedMessageException {
     if (in.has(StoreFields.DELETE)) {
-      return new Item(in.text(StoreFields.DELETE), null, in.count(StoreFields.VERSION));
+      return new KeyValue(in.text(StoreFields.DELETE), null, in.count(StoreFields.VERSION));
     }
-    return new Item(
+    return new KeyValue(
         in.text(StoreFields.PUT), in.object(StoreFields.VALUE), in.count(StoreFields.VERSION));
   }
 }
--- a/src/main/java/madderrudder/protocol/WorkerCodec.java
+++ b/src/main/java/madderrudder/protocol/WorkerCodec.java
@@ -43,7 +43,7 @@
    *     invalid
    */
   public static Heartbeat readHeartbeat(byte[] body) throws MalformedMessageException {
-    Fields in = Json.readObject(body);
+    JsonFields in = Json.readObject(body);
     // Read first: which of several invalid fields is named depends on the order.
     List<TaskStatus> tasks = readTasks(in);
     return new Heartbeat(
@@ -59,17 +59,17 @@
         tasks);
   }
 
-  private static List<TaskStatus> readTasks(Fields in) throws MalformedMessageException {
+  private static List<TaskStatus> readTasks(JsonFields in) throws MalformedMessageException {
     List<TaskStatus> tasks = new ArrayList<>();
     if (in.has(WorkerFields.TASKS)) {
-      for (Fields task : in.objects(WorkerFields.TASKS)) {
+      for (JsonFields task : in.objects(WorkerFields.TASKS)) {
         tasks.add(readTask(task));
       }
     }
     return tasks;
   }
 
-  private static TaskStatus readTask(Fields in) throws MalformedMessageException {
+  private static TaskStatus readTask(JsonFields in) throws MalformedMessageException {
     Phase phase = PHASES.read(in, WorkerFields.PHASE);
     ExitReason exitReason = phase == Phase.EXITED ? readExitReason(in) : null;
     return new TaskStatus(
@@ -81,7 +81,7 @@
   }
 
   /** A reason that is unknown here, or absent, counts as an error of the task. */
-  private static ExitReason readExitReason(Fields in) throws MalformedMessageException {
+  private static ExitReason readExitReason(JsonFields in) throws MalformedMessageException {
     return EXIT_REASONS.valueOf(in.text(WorkerFields.EXIT_REASON, ""), ExitReason.ERROR);
   }
 
@@ -94,12 +94,12 @@
         });
   }
 
-  /** The body of direct commands to a worker, which it refuses in another session than this. */
-  public static byte[] directCommands(long token, long session, List<WorkerCommand> commands) {
+  /** The body of direct commands to a worker, which it refuses in another epoch than this. */
+  public static byte[] directCommands(long token, long epoch, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
           out.writeNumberField(WorkerFields.FENCING_TOKEN, token);
-          out.writeNumberField(WorkerFields.SESSION, session);
+          out.writeNumberField(WorkerFields.SESSION, epoch);
           writeCommands(out, commands);
         });
   }
--- a/src/main/java/madderrudder/protocol/WorkerFields.java
+++ b/src/main/java/madderrudder/protocol/WorkerFields.java
@@ -8,7 +8,7 @@
   /** The machine's id: {@link Heartbeat#machine()}. */
   static final String MACHINE = "vessel";
 
-  /** The worker's own address, for direct commands: {@link Heartbeat#addr()}. */
+  /** The worker's own address, for direct commands: {@link Heartbeat#address()}. */
   static final String ADDRESS = "addr";
 
   /** The machine's type: {@link Heartbeat#type()}. */
@@ -20,10 +20,10 @@
   /** Whether the machine is a spot machine: {@link Heartbeat#spot()}. */
   static final String SPOT = "driftwood";
 
-  /** The incarnation of the worker, called its session: {@link Heartbeat#session()}. */
+  /** The incarnation of the worker, called its epoch: {@link Heartbeat#epoch()}. */
   static final String SESSION = "watch";
 
-  /** The sequence number of the heartbeat in its session: {@link Heartbeat#seq()}. */
+  /** The sequence number of the heartbeat in its epoch: {@link Heartbeat#sequence()}. */
   static final String SEQUENCE = "knot";
 
   /** The fencing token, which is the leader's term: {@link Heartbeat#token()}. */
--- a/src/main/java/madderrudder/protocol/package-info.java
+++ b/src/main/java/madderrudder/protocol/package-info.java
@@ -42,10 +42,10 @@
  *     <td>{@link madderrudder.protocol.JobState}</td></tr>
  * <tr><td>vessel</td><td>machine id</td>
  *     <td>{@link madderrudder.protocol.Heartbeat#machine()}</td></tr>
- * <tr><td>watch</td><td>session: the incarnation (epoch) of a worker</td>
- *     <td>{@link madderrudder.protocol.Heartbeat#session()}</td></tr>
+ * <tr><td>watch</td><td>epoch: the incarnation of the agent on a worker</td>
+ *     <td>{@link madderrudder.protocol.Heartbeat#epoch()}</td></tr>
  * <tr><td>knot</td><td>sequence number of a heartbeat</td>
- *     <td>{@link madderrudder.protocol.Heartbeat#seq()}</td></tr>
+ *     <td>{@link madderrudder.protocol.Heartbeat#sequence()}</td></tr>
  * <tr><td>helm</td><td>fencing token, the leader's term</td>
  *     <td>{@link madderrudder.protocol.Heartbeat#token()}</td></tr>
  * <tr><td>recall_s</td><td>reclaim notice of a spot machine</td>
@@ -70,9 +70,9 @@
  * <tr><td>trim (of a machine): booting, running, failed</td><td>machine state</td>
  *     <td>{@link madderrudder.protocol.CloudCodec.MachineState}</td></tr>
  * <tr><td>path, data</td><td>key, value</td>
- *     <td>{@link madderrudder.protocol.StoreCodec.Item}</td></tr>
+ *     <td>{@link madderrudder.protocol.StoreCodec.KeyValue}</td></tr>
  * <tr><td>entry</td><td>version of a key</td>
- *     <td>{@link madderrudder.protocol.StoreCodec.Item#version()}</td></tr>
+ *     <td>{@link madderrudder.protocol.StoreCodec.KeyValue#version()}</td></tr>
  * <tr><td>logline</td><td>revision of the store</td>
  *     <td>{@link madderrudder.protocol.StoreCodec.Page#revision()}</td></tr>
  * <tr><td>when</td><td>conditions of a transaction (compare-and-swap)</td>
--- a/src/main/java/madderrudder/replay/HistoryClient.java
+++ b/src/main/java/madderrudder/replay/HistoryClient.java
@@ -8,8 +8,8 @@
 import java.time.Duration;
 import java.util.List;
 import madderrudder.metrics.RunHistoryCodec;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
 /**
@@ -50,15 +50,15 @@
    */
   public int collect(HistoryReader.RunConsumer consumer) throws IOException, InterruptedException {
     try {
-      Fields answer = request(next);
+      JsonFields answer = request(next);
       if (term >= 0 && answer.count("term") != term) {
         next = 0;
         answer = request(0);
       }
       term = answer.count("term");
       missed += answer.count("missed");
-      List<Fields> runs = answer.objects("runs");
-      for (Fields run : runs) {
+      List<JsonFields> runs = answer.objects("runs");
+      for (JsonFields run : runs) {
         consumer.accept(RunHistoryCodec.read(run), 0);
       }
       next = answer.count("next");
@@ -68,7 +68,7 @@
     }
   }
 
-  private Fields request(long after)
+  private JsonFields request(long after)
       throws IOException, InterruptedException, MalformedMessageException {
     StringBuilder failures = new StringBuilder("no controller answers as the leader:");
     for (URI controller : controllers) {
--- a/src/main/java/madderrudder/replay/HistoryGenerator.java
+++ b/src/main/java/madderrudder/replay/HistoryGenerator.java
@@ -9,7 +9,7 @@
 import java.util.PriorityQueue;
 import madderrudder.estimates.TaskProfile;
 import madderrudder.estimates.TaskRun;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 import madderrudder.protocol.Resources;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -89,7 +89,7 @@
   private record JobTimes(double ownerEstimate, double median, double jobFactor) {}
 
   /** A run and what an oracle would predict of it. */
-  private record GeneratedRun(Ended ended, long oracleMicros) {
+  private record GeneratedRun(EndedRun ended, long oracleMicros) {
     private long endMicros() {
       return ended.atWallMicros();
     }
@@ -196,7 +196,7 @@
             micros(times.ownerEstimate()),
             micros(duration),
             !stopped);
-    return new GeneratedRun(new Ended(micros(clockSeconds + duration), run), micros(oracle));
+    return new GeneratedRun(new EndedRun(micros(clockSeconds + duration), run), micros(oracle));
   }
 
   private double noise(Shape shape) {
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 import madderrudder.estimates.TaskRun;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 import madderrudder.metrics.RunHistoryCodec;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.util.BoundedMap;
 import org.apache.commons.csv.CSVFormat;
@@ -76,7 +76,7 @@
      *     not say
      * @throws IOException ends the reading
      */
-    void accept(Ended ended, long oracleMicros) throws IOException;
+    void accept(EndedRun ended, long oracleMicros) throws IOException;
   }
 
   /** Takes the malformed lines of a history. */
@@ -171,10 +171,10 @@
   }
 
   private void readRun(byte[] json, RunConsumer consumer) throws IOException {
-    Ended ended;
+    EndedRun ended;
     long oracleMicros;
     try {
-      Fields fields = Json.readObject(json);
+      JsonFields fields = Json.readObject(json);
       ended = RunHistoryCodec.read(fields);
       oracleMicros = fields.secondsAsMicros(ORACLE_FIELD, 0);
     } catch (MalformedMessageException e) {
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -4,10 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 import madderrudder.metrics.RunHistoryCodec;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
@@ -55,7 +55,7 @@
    * @param oracleMicros what an oracle would predict, or 0 if that is not known
    * @throws IOException if {@code out} fails
    */
-  public void write(Ended ended, long oracleMicros) throws IOException {
+  public void write(EndedRun ended, long oracleMicros) throws IOException {
     lines++;
     byte[] json = json(ended, oracleMicros);
     if (table == null) {
@@ -65,7 +65,7 @@
     }
   }
 
-  private static byte[] json(Ended ended, long oracleMicros) {
+  private static byte[] json(EndedRun ended, long oracleMicros) {
     return Json.object(
         json -> {
           RunHistoryCodec.write(json, ended);
@@ -77,7 +77,7 @@
 
   private void writeRow(byte[] json, boolean withOracle) throws IOException {
     try {
-      Fields fields = Json.readObject(json);
+      JsonFields fields = Json.readObject(json);
       for (String name : RunHistoryCodec.FIELDS) {
         table.print(fields.plain(name));
       }
--- a/src/main/java/madderrudder/replay/Replay.java
+++ b/src/main/java/madderrudder/replay/Replay.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import madderrudder.estimates.Estimate;
 import madderrudder.estimates.TaskRun;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -56,7 +56,7 @@
   }
 
   /** Takes the next run; {@code oracleMicros} is what an oracle would predict, or 0. */
-  void accept(Ended ended, long oracleMicros) {
+  void accept(EndedRun ended, long oracleMicros) {
     TaskRun run = ended.run();
     if (ended.atWallMicros() < lastEndMicros) {
       runsOutOfOrder++;
--- a/src/main/java/madderrudder/replay/ReplayRunner.java
+++ b/src/main/java/madderrudder/replay/ReplayRunner.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import madderrudder.estimates.Estimator;
 import madderrudder.estimates.LearningMethod;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 
 /** Feeds histories from files to replays and estimators. */
 public final class ReplayRunner {
@@ -16,7 +16,7 @@
 
   private ReplayRunner() {}
 
-  private record BufferedRun(Ended ended, long oracleMicros) {}
+  private record BufferedRun(EndedRun ended, long oracleMicros) {}
 
   /**
    * Replays a file.
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -138,7 +138,7 @@
             new WorkerRedirects(random, settings.maxSockets()),
             new HeartbeatForwarder(scheduler, peers, settings.member()),
             settings.member(),
-            store::answersLately),
+            store::isResponsive),
         policy.delegation(),
         LEADERLESS_LEASES * policy.leaseMicros(),
         settings.maxSockets());
@@ -165,7 +165,7 @@
 
   private RequestRouter requestRouter() {
     HealthCheck health =
-        new HealthCheck(scheduler, catalog::known, store::answersLately, peerStatus.peerStatuses());
+        new HealthCheck(scheduler, catalog::known, store::isResponsive, peerStatus.peerStatuses());
     DiagnosticsEndpoint diagnostics =
         new DiagnosticsEndpoint(settings.member(), election, leader, heartbeats, health, metrics);
     JobEndpoint jobs =
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -14,11 +14,11 @@
 import madderrudder.persistence.Keys;
 import madderrudder.persistence.StoreClient;
 import madderrudder.persistence.StoreReply.Outcome;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobCodec;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.JobState;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.PeerMessage.JobProgress;
 import madderrudder.protocol.StoreCodec.Condition;
@@ -94,7 +94,7 @@
   }
 
   private void validate(byte[] body, Consumer<HttpResponse> answer) {
-    Fields fields;
+    JsonFields fields;
     String id;
     try {
       fields = Json.readObject(body);
--- a/src/main/java/madderrudder/service/JobReader.java
+++ b/src/main/java/madderrudder/service/JobReader.java
@@ -9,7 +9,7 @@
 import madderrudder.persistence.StoreReply;
 import madderrudder.persistence.StoreReply.Outcome;
 import madderrudder.protocol.MalformedMessageException;
-import madderrudder.protocol.StoreCodec.Item;
+import madderrudder.protocol.StoreCodec.KeyValue;
 import madderrudder.util.BoundedMap;
 
 /**
@@ -90,7 +90,7 @@
     store.get(Keys.finished(id), reply -> found.accept(decodeFinished(id, reply)));
   }
 
-  private JobLookup decodeLive(String id, Item item) {
+  private JobLookup decodeLive(String id, KeyValue item) {
     try {
       JobLookup.Live live = new JobLookup.Live(JobRecords.readLive(item.value()), item.version());
       seenLive.put(id, live);
@@ -100,7 +100,7 @@
     }
   }
 
-  private JobLookup decodeFinished(String id, StoreReply<Item> reply) {
+  private JobLookup decodeFinished(String id, StoreReply<KeyValue> reply) {
     if (reply.is(Outcome.GONE)) {
       return new JobLookup.Absent();
     }
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -112,11 +112,11 @@
 
   private void shareWriteRate(double spareWrites, long sinceMicros, long nowMicros) {
     StoreClient store = parts.store();
-    writeRate.recordDemand(store.takeWanted() * 1e6 / Math.max(1, sinceMicros));
+    writeRate.recordDemand(store.takeRequestedUserWrites() * 1e6 / Math.max(1, sinceMicros));
     if (leader.isPresent()) {
       writeRate.recordSpare(spareWrites, nowMicros);
     }
-    store.userWrites(writeRate.sharePerSecond(nowMicros));
+    store.setUserWritesPerSecond(writeRate.sharePerSecond(nowMicros));
   }
 
   private void sendNodeStatus(double spareWrites) {
@@ -125,7 +125,7 @@
             parts.member(),
             election.highestTerm(),
             election.leader().orElse(""),
-            parts.store().answersLately(),
+            parts.store().isResponsive(),
             (int) (1000 * spareWrites),
             (int) (1000 * writeRate.demandPerSecond())));
   }
--- a/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
@@ -171,7 +171,7 @@
     assertEquals(answer(heartbeat), answer(heartbeat));
     assertEquals(direct(0), direct(0));
     assertFalse(start.startSent);
-    assertEquals(-1, start.startSeq);
+    assertEquals(-1, start.startSequence);
     assertEquals(-1, stop.stopSentMicros);
     assertEquals(FIRST_TOKEN, machine.issuedToken);
   }
--- a/src/test/java/madderrudder/coordination/heartbeat/FreshnessTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/FreshnessTest.java
@@ -16,11 +16,11 @@
   private final Machine machine = fixture.machine;
 
   /** The last heartbeat sent by itself was number 3; a response to a command was number 5. */
-  private Freshness freshness(long session, long seq, long afterMicros) {
-    machine.session = SESSION;
-    machine.heartbeatSeq = SEQ - 2;
+  private Freshness freshness(long epoch, long sequence, long afterMicros) {
+    machine.epoch = SESSION;
+    machine.heartbeatSequence = SEQ - 2;
     machine.heartbeatMicros = ARRIVED_MICROS;
-    return Freshness.of(machine, fixture.heartbeat(session, seq), ARRIVED_MICROS + afterMicros);
+    return Freshness.of(machine, fixture.heartbeat(epoch, sequence), ARRIVED_MICROS + afterMicros);
   }
 
   @ParameterizedTest
@@ -35,8 +35,8 @@
     "2,9,0,STALE"
   })
   void aHeartbeatIsComparedWithTheNewestReportAndTheLastHeartbeat(
-      long session, long seq, long afterMicros, Freshness expected) {
-    assertEquals(expected, freshness(session, seq, afterMicros));
+      long epoch, long sequence, long afterMicros, Freshness expected) {
+    assertEquals(expected, freshness(epoch, sequence, afterMicros));
   }
 
   @Test
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -32,10 +32,10 @@
   final Machine machine = new Machine("m-0", TYPE, "east", false, true, 0, 0);
 
   MachineFixture() {
-    machine.addr = "10.0.1.1:80";
+    machine.address = "10.0.1.1:80";
     machine.reported = true;
-    machine.session = SESSION;
-    machine.seq = SEQ;
+    machine.epoch = SESSION;
+    machine.sequence = SEQ;
     machine.token = FencingToken.first(TERM);
     machine.issuedToken = FencingToken.first(TERM);
   }
@@ -78,7 +78,7 @@
   /** A durable record of a task that the newest heartbeat names. */
   Assignment placeReported(Job job, int index) {
     Assignment assignment = place(job, index, false);
-    assignment.reportedSeq = SEQ;
+    assignment.reportedSequence = SEQ;
     assignment.phase = Phase.RUNNING;
     return assignment;
   }
@@ -97,15 +97,15 @@
     return heartbeat(SESSION, SEQ, tasks);
   }
 
-  Heartbeat heartbeat(long session, long seq, TaskStatus... tasks) {
+  Heartbeat heartbeat(long epoch, long sequence, TaskStatus... tasks) {
     return new Heartbeat(
         machine.id,
-        machine.addr,
+        machine.address,
         "box",
         "east",
         false,
-        session,
-        seq,
+        epoch,
+        sequence,
         machine.token,
         -1,
         List.of(tasks));
--- a/src/test/java/madderrudder/coordination/heartbeat/SentCommandsTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/SentCommandsTest.java
@@ -30,7 +30,7 @@
   void aStartInAnAnswerIsTiedToItsHeartbeat() {
     SentCommands.noteAnswer(machine, start, SEQ, SECOND);
     assertTrue(assignment.startSent);
-    assertEquals(SEQ, assignment.startSeq);
+    assertEquals(SEQ, assignment.startSequence);
     assertEquals(-1, assignment.directToken);
   }
 
@@ -39,7 +39,7 @@
     SentCommands.noteAnswer(machine, start, SEQ, SECOND);
     SentCommands.noteAnswer(machine, start, SEQ + 1, 2 * SECOND);
     assertEquals(SECOND, assignment.startSentMicros);
-    assertEquals(SEQ + 1, assignment.startSeq);
+    assertEquals(SEQ + 1, assignment.startSequence);
   }
 
   @Test
@@ -48,7 +48,7 @@
     assertTrue(assignment.startSent);
     assertEquals(FIRST_TOKEN, assignment.directToken);
     assertEquals(FIRST_TOKEN, machine.directToken);
-    assertEquals(-1, assignment.startSeq);
+    assertEquals(-1, assignment.startSequence);
   }
 
   @Test
--- a/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
+++ b/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
@@ -39,8 +39,8 @@
     clock.advance(SAFETY.leaderSilenceMicros() + 1);
   }
 
-  private static Heartbeat heartbeat(String machine, long seq) {
-    return new Heartbeat(machine, "", "box", "east", false, 1, seq, 3, -1, List.of());
+  private static Heartbeat heartbeat(String machine, long sequence) {
+    return new Heartbeat(machine, "", "box", "east", false, 1, sequence, 3, -1, List.of());
   }
 
   private void answerHeartbeatsOf(int machines) {
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -43,7 +43,7 @@
       int tasks,
       int terms,
       int reports,
-      int sessions,
+      int epochs,
       int attempts,
       int heldReports,
       int heldStarts,
@@ -159,7 +159,7 @@
       c.reports.add(
           new Report(
               m,
-              c.workerSession[m],
+              c.workerEpoch[m],
               c.workerSeq[m],
               c.workerToken[m],
               c.workerState[m].clone(),
@@ -170,9 +170,9 @@
 
   private void leaseExpires(
       ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
-    if (s.workerSession[m] < bounds.sessions()) {
+    if (s.workerEpoch[m] < bounds.epochs()) {
       ReconciliationModelState c = s.copy();
-      c.workerSession[m]++;
+      c.workerEpoch[m]++;
       Arrays.fill(c.workerState[m], NONE);
       next.add(c);
     }
@@ -181,9 +181,9 @@
   /** The leader has waited for longer than any lease lasts. */
   private void leaseExpiryLearned(
       ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
-    if (s.workerSession[m] > s.lastCountedSession[m]) {
+    if (s.workerEpoch[m] > s.lastCountedEpoch[m]) {
       ReconciliationModelState c = s.copy();
-      c.lastCountedSession[m] = c.workerSession[m];
+      c.lastCountedEpoch[m] = c.workerEpoch[m];
       for (int t = 0; t < bounds.tasks(); t++) {
         if (c.placed[t].machine == m) {
           c.placed[t] = new TaskRecord();
@@ -266,11 +266,11 @@
       ReconciliationModelState c = s.copy();
       c.term++;
       c.attempts = 0;
-      c.seq = new int[] {-1, -1};
+      c.sequence = new int[] {-1, -1};
       c.reported = new boolean[MACHINES];
       c.issuedToken = new int[MACHINES];
       c.orphaned = new boolean[MACHINES][bounds.tasks()];
-      c.lastCountedSession = c.workerSession.clone();
+      c.lastCountedEpoch = c.workerEpoch.clone();
       for (int t = 0; t < bounds.tasks(); t++) {
         c.done[t] = c.logDone[t];
         c.placed[t] = new TaskRecord();
@@ -290,7 +290,7 @@
     if (!s.reported[placed.machine]) {
       return ReportedState.UNREPORTED;
     }
-    return placed.reportedSeq == s.seq[placed.machine]
+    return placed.reportedSequence == s.sequence[placed.machine]
         ? ReportedState.PRESENT
         : ReportedState.ABSENT;
   }
@@ -307,7 +307,7 @@
     int m = placed.machine;
     boolean mayCome =
         (placed.directToken >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED)
-            || placed.startSeq >= s.seq[m]
+            || placed.startSequence >= s.sequence[m]
             || (placed.inherited
                 && s.token[m] < firstToken(s.term)
                 && fault != Fault.TOKEN_IGNORED);
@@ -341,25 +341,25 @@
     }
     next.add(c);
     if (c.reported[m]
-        && (report.session() < c.session[m]
-            || (report.session() == c.session[m] && report.seq() <= c.seq[m]))) {
+        && (report.epoch() < c.epoch[m]
+            || (report.epoch() == c.epoch[m] && report.sequence() <= c.sequence[m]))) {
       return;
     }
-    if (c.reported[m] && report.session() > c.session[m]) {
-      newSession(c, m);
+    if (c.reported[m] && report.epoch() > c.epoch[m]) {
+      newEpoch(c, m);
     }
     // Whether or not its answer arrives, the leader counts the worker's lease from now on.
-    c.lastCountedSession[m] = c.workerSession[m];
+    c.lastCountedEpoch[m] = c.workerEpoch[m];
     c.reported[m] = true;
-    c.session[m] = report.session();
-    c.seq[m] = report.seq();
+    c.epoch[m] = report.epoch();
+    c.sequence[m] = report.sequence();
     c.token[m] = report.token();
     for (int t = 0; t < bounds.tasks(); t++) {
       TaskRecord placed = c.placed[t];
       boolean named = placed.machine == m && placed.attempt == report.attempts()[t];
       c.orphaned[m][t] = !named && report.states()[t] == PRESENT;
       if (named && report.states()[t] != NONE) {
-        placed.reportedSeq = report.seq();
+        placed.reportedSequence = report.sequence();
         if (report.states()[t] == EXITED) {
           if (exit(c, t).verdict() == TaskDecision.Verdict.RECORD_EXIT) {
             c.placed[t] = new TaskRecord();
@@ -384,7 +384,7 @@
       // What it would have carried counts as sent.
       for (int t = 0; t < bounds.tasks(); t++) {
         if (c.placed[t].machine == m && decision(c, t).verdict() == TaskDecision.Verdict.START) {
-          c.placed[t].startSeq = report.seq();
+          c.placed[t].startSequence = report.sequence();
         }
       }
     }
@@ -404,7 +404,7 @@
             GangState.GATHERING));
   }
 
-  private void newSession(ReconciliationModelState c, int m) {
+  private void newEpoch(ReconciliationModelState c, int m) {
     for (int t = 0; t < bounds.tasks(); t++) {
       TaskRecord placed = c.placed[t];
       if (placed.machine != m) {
@@ -413,8 +413,8 @@
       if (!placed.inherited) {
         c.placed[t] = new TaskRecord();
       } else {
-        placed.reportedSeq = -1;
-        placed.startSeq = -1;
+        placed.reportedSequence = -1;
+        placed.startSequence = -1;
         placed.directToken = -1;
       }
     }
@@ -457,8 +457,8 @@
     int m = report.machine();
     int token = tokenFor(c, report);
     boolean heeded =
-        c.workerSeq[m] == report.seq()
-            && c.workerSession[m] == report.session()
+        c.workerSeq[m] == report.sequence()
+            && c.workerEpoch[m] == report.epoch()
             && c.workerToken[m] <= token;
     c.workerToken[m] = heeded ? token : c.workerToken[m];
     for (int t = 0; t < bounds.tasks(); t++) {
@@ -489,7 +489,7 @@
       }
       TaskDecision.Verdict verdict = decision(c, t).verdict();
       if (verdict == TaskDecision.Verdict.START) {
-        placed.startSeq = report.seq();
+        placed.startSequence = report.sequence();
         if (heeded) {
           begin(c, m, t, placed.attempt);
         }
@@ -515,9 +515,9 @@
       TaskRecord placed = c.placed[t];
       if (placed.keepCompleted
           && !c.logDone[t]
-          && c.workerSession[placed.machine] == c.session[placed.machine]
+          && c.workerEpoch[placed.machine] == c.epoch[placed.machine]
           && c.workerState[placed.machine][t] != DONE
-          && placed.reportedSeq == c.seq[placed.machine]) {
+          && placed.reportedSequence == c.sequence[placed.machine]) {
         c.broken = "a completed task is kept nowhere";
       }
     }
@@ -528,7 +528,7 @@
     TaskRecord placed = s.placed[t];
     if (placed.machine >= 0
         && placed.directToken < 0
-        && placed.startSeq < 0
+        && placed.startSequence < 0
         && s.starts.size() < bounds.heldStarts()
         && decision(s, t).verdict() == TaskDecision.Verdict.START) {
       ReconciliationModelState c = s.copy();
@@ -538,7 +538,7 @@
               c.issuedToken[m],
               Math.max(firstToken(c.term), c.token[m] / 100 == c.term ? c.token[m] : 0));
       c.placed[t].directToken = c.issuedToken[m];
-      c.starts.add(new Start(m, c.issuedToken[m], c.session[m], t, placed.attempt));
+      c.starts.add(new Start(m, c.issuedToken[m], c.epoch[m], t, placed.attempt));
       next.add(c);
     }
   }
@@ -561,7 +561,7 @@
       c.starts.remove(start);
     }
     c.workerSeq[m]++;
-    boolean executed = c.workerToken[m] <= start.token() && c.workerSession[m] == start.session();
+    boolean executed = c.workerToken[m] <= start.token() && c.workerEpoch[m] == start.epoch();
     if (executed) {
       c.workerToken[m] = start.token();
       begin(c, m, t, start.attempt());
@@ -573,14 +573,14 @@
       placed = answered.placed[t];
       placed.directToken = executed ? placed.directToken : -1;
       if (executed
-          && answered.session[m] == start.session()
-          && answered.workerSeq[m] > answered.seq[m]) {
-        answered.seq[m] = answered.workerSeq[m];
-        placed.startSeq = Math.max(placed.startSeq, answered.seq[m]);
+          && answered.epoch[m] == start.epoch()
+          && answered.workerSeq[m] > answered.sequence[m]) {
+        answered.sequence[m] = answered.workerSeq[m];
+        placed.startSequence = Math.max(placed.startSequence, answered.sequence[m]);
         answered.token[m] = Math.max(answered.token[m], answered.workerToken[m]);
         if (answered.workerState[m][t] == PRESENT
             && answered.workerAttempt[m][t] == placed.attempt) {
-          placed.reportedSeq = answered.seq[m];
+          placed.reportedSequence = answered.sequence[m];
           placed.seen = true;
         }
       }
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModelState.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModelState.java
@@ -21,8 +21,8 @@
     int directToken = -1;
     boolean evicting;
     boolean keepCompleted;
-    int startSeq = -1;
-    int reportedSeq = -1;
+    int startSequence = -1;
+    int reportedSequence = -1;
 
     @Override
     public TaskRecord clone() {
@@ -45,20 +45,20 @@
               + directToken
               + (evicting ? "u" : "")
               + (keepCompleted ? "k" : "")
-              + startSeq
+              + startSequence
               + ","
-              + reportedSeq;
+              + reportedSequence;
     }
   }
 
-  /** A report on its way: machine, session, seq, token, and state and attempt of each task. */
-  record Report(int machine, int session, int seq, int token, int[] states, int[] attempts) {
+  /** A report on its way: machine, epoch, seq, token, and state and attempt of each task. */
+  record Report(int machine, int epoch, int sequence, int token, int[] states, int[] attempts) {
     String key() {
       return machine
           + ","
-          + session
+          + epoch
           + ","
-          + seq
+          + sequence
           + ","
           + token
           + Arrays.toString(states)
@@ -67,7 +67,7 @@
   }
 
   /** A direct start on its way. */
-  record Start(int machine, int token, int session, int task, int attempt) {}
+  record Start(int machine, int token, int epoch, int task, int attempt) {}
 
   final int tasks;
   int term = 1;
@@ -83,14 +83,14 @@
   TaskRecord[] placed;
   boolean[] done;
   boolean[] reported = new boolean[MACHINES];
-  int[] session = new int[MACHINES];
-  int[] seq = {-1, -1};
+  int[] epoch = new int[MACHINES];
+  int[] sequence = {-1, -1};
   int[] token = new int[MACHINES];
   int[] issuedToken = new int[MACHINES];
   boolean[][] orphaned;
-  int[] lastCountedSession = new int[MACHINES];
+  int[] lastCountedEpoch = new int[MACHINES];
   // Workers.
-  int[] workerSession = new int[MACHINES];
+  int[] workerEpoch = new int[MACHINES];
   int[] workerSeq = new int[MACHINES];
   int[] workerToken = new int[MACHINES];
   int[][] workerState;
@@ -130,11 +130,11 @@
     }
     c.done = done.clone();
     c.reported = reported.clone();
-    c.session = session.clone();
-    c.seq = seq.clone();
+    c.epoch = epoch.clone();
+    c.sequence = sequence.clone();
     c.token = token.clone();
-    c.lastCountedSession = lastCountedSession.clone();
-    c.workerSession = workerSession.clone();
+    c.lastCountedEpoch = lastCountedEpoch.clone();
+    c.workerEpoch = workerEpoch.clone();
     c.workerSeq = workerSeq.clone();
     c.workerToken = workerToken.clone();
     for (int m = 0; m < MACHINES; m++) {
@@ -164,12 +164,12 @@
       key.append(one.key()).append(';');
     }
     key.append(Arrays.toString(reported))
-        .append(Arrays.toString(session))
-        .append(Arrays.toString(seq))
+        .append(Arrays.toString(epoch))
+        .append(Arrays.toString(sequence))
         .append(Arrays.toString(token))
         .append(Arrays.deepToString(orphaned))
-        .append(Arrays.toString(lastCountedSession))
-        .append(Arrays.toString(workerSession))
+        .append(Arrays.toString(lastCountedEpoch))
+        .append(Arrays.toString(workerEpoch))
         .append(Arrays.toString(workerSeq))
         .append(Arrays.toString(workerToken))
         .append(Arrays.deepToString(workerState))
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -37,7 +37,7 @@
       int tasks,
       int terms,
       int reports,
-      int sessions,
+      int epochs,
       int attempts,
       int heldReports,
       int heldStarts,
@@ -49,7 +49,7 @@
                 tasks,
                 terms,
                 reports,
-                sessions,
+                epochs,
                 attempts,
                 heldReports,
                 heldStarts,
@@ -70,7 +70,7 @@
       int tasks,
       int terms,
       int reports,
-      int sessions,
+      int epochs,
       int attempts,
       int heldReports,
       int heldStarts,
@@ -79,16 +79,7 @@
     ReconciliationModel model =
         new ReconciliationModel(
             new Bounds(
-                tasks,
-                terms,
-                reports,
-                sessions,
-                attempts,
-                heldReports,
-                heldStarts,
-                copies,
-                exits,
-                0),
+                tasks, terms, reports, epochs, attempts, heldReports, heldStarts, copies, exits, 0),
             Fault.NONE);
     assertNull(model.walk(1, COURSES, 60));
     assertTrue(model.explored() > 30 * COURSES, "only " + model.explored() + " steps");
@@ -106,16 +97,10 @@
     "TOKEN_NOT_RAISED,1,0,1,1,1,1"
   })
   void eachRuleIsNeeded(
-      Fault fault,
-      int terms,
-      int sessions,
-      int heldReports,
-      int heldStarts,
-      int copies,
-      int exits) {
+      Fault fault, int terms, int epochs, int heldReports, int heldStarts, int copies, int exits) {
     ReconciliationModel model =
         new ReconciliationModel(
-            new Bounds(1, terms, 8, sessions, 2, heldReports, heldStarts, copies, exits, 0), fault);
+            new Bounds(1, terms, 8, epochs, 2, heldReports, heldStarts, copies, exits, 0), fault);
     String found = model.walk(1, 200_000, 40);
     assertNotNull(found);
   }
--- a/src/test/java/madderrudder/persistence/LogSegmentTest.java
+++ b/src/test/java/madderrudder/persistence/LogSegmentTest.java
@@ -8,8 +8,8 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
@@ -95,7 +95,7 @@
   /** An entry of blanks once ended the reading of the whole log with an unchecked exception. */
   @Test
   void aSegmentWithoutAMachinesNameIsMalformed() throws MalformedMessageException {
-    Fields segment =
+    JsonFields segment =
         Json.readObject(
             ("{\"n\":1,\"machines\":[{\"type\":\"a\",\"zone\":\"b\",\"spot\":true,\"owned\":true,"
                     + "\"of\":[\" \"]}],\"gone\":[],\"placed\":[],\"ended\":[],\"images\":[]}")
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -82,7 +82,7 @@
     JobRecords.readProgress(Json.readObject(bytes(PROGRESS)), 1, done);
     assertEquals(BitSet.valueOf(new long[] {5}), done.get(JobRecords.CHUNK, 2 * JobRecords.CHUNK));
     assertEquals(2, done.cardinality());
-    assertTrue(JobRecords.readFaulty(Json.readObject(bytes(PROGRESS))));
+    assertTrue(JobRecords.readFailing(Json.readObject(bytes(PROGRESS))));
   }
 
   @Test
--- a/src/test/java/madderrudder/protocol/JsonTest.java
+++ b/src/test/java/madderrudder/protocol/JsonTest.java
@@ -30,7 +30,7 @@
   /** Read as infinite, a number beyond a double's range was written again as a string. */
   @Test
   void rendersNumbersBeyondADoublesRangeAsTheyCame() throws MalformedMessageException {
-    Fields read = Json.readObject(json("{'a':1e999,'b':-1e-999,'c':-1e99999999999999}"));
+    JsonFields read = Json.readObject(json("{'a':1e999,'b':-1e-999,'c':-1e99999999999999}"));
     assertEquals(
         "{\"a\":1e999,\"b\":-0.0,\"c\":-1e99999999999999}",
         new String(read.render(), StandardCharsets.UTF_8));
@@ -38,7 +38,7 @@
 
   @Test
   void numbersBeyondADoublesRangeAreNoAmounts() throws MalformedMessageException {
-    Fields read = Json.readObject(json("{'a':1e999}"));
+    JsonFields read = Json.readObject(json("{'a':1e999}"));
     assertThrows(MalformedMessageException.class, () -> read.amount("a"));
     assertThrows(MalformedMessageException.class, () -> read.count("a"));
   }
--- a/src/test/java/madderrudder/protocol/WorkerCodecTest.java
+++ b/src/test/java/madderrudder/protocol/WorkerCodecTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void theLargerSessionAndSequenceNumberIsNewer() throws MalformedMessageException {
+  void theLargerEpochAndSequenceNumberIsNewer() throws MalformedMessageException {
     Heartbeat heartbeat = read(HEARTBEAT);
     assertTrue(heartbeat.newerThan(2, 87));
     assertTrue(heartbeat.newerThan(1, 99));
--- a/src/test/java/madderrudder/replay/Histories.java
+++ b/src/test/java/madderrudder/replay/Histories.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 
 /** History files for tests. */
 final class Histories {
@@ -36,8 +36,8 @@
     return new HistoryReader(file, true, (where, line, problem) -> {});
   }
 
-  static List<Ended> read(Path file) throws IOException {
-    List<Ended> all = new ArrayList<>();
+  static List<EndedRun> read(Path file) throws IOException {
+    List<EndedRun> all = new ArrayList<>();
     reader(file).read((ended, oracleMicros) -> all.add(ended));
     return all;
   }
--- a/src/test/java/madderrudder/replay/HistoryClientTest.java
+++ b/src/test/java/madderrudder/replay/HistoryClientTest.java
@@ -15,7 +15,7 @@
 import madderrudder.estimates.TaskProfile;
 import madderrudder.estimates.TaskRun;
 import madderrudder.metrics.RunHistory;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.Resources;
 import org.junit.jupiter.api.AfterEach;
@@ -24,7 +24,7 @@
 
 /** Collecting the history from a follower and a leader. */
 class HistoryClientTest {
-  private final List<Ended> runs = new ArrayList<>();
+  private final List<EndedRun> runs = new ArrayList<>();
   private HttpServer follower;
   private HttpServer leader;
 
--- a/src/test/java/madderrudder/replay/HistoryFilesTest.java
+++ b/src/test/java/madderrudder/replay/HistoryFilesTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import madderrudder.estimates.TaskProfile;
 import madderrudder.estimates.TaskRun;
-import madderrudder.metrics.RunHistory.Ended;
+import madderrudder.metrics.RunHistory.EndedRun;
 import madderrudder.protocol.Resources;
 import madderrudder.replay.HistoryReader.MalformedLineException;
 import org.junit.jupiter.api.Test;
@@ -27,13 +27,13 @@
 class HistoryFilesTest {
   @TempDir Path folder;
 
-  private List<Ended> generated(long seed, HistoryWriter.Format format) throws IOException {
+  private List<EndedRun> generated(long seed, HistoryWriter.Format format) throws IOException {
     return read(Histories.generated(folder, seed, 500, format));
   }
 
   @Test
   void sameSeedGeneratesTheSameHistoryInBothFormats() throws IOException {
-    List<Ended> ofLines = generated(3, HistoryWriter.Format.JSONL);
+    List<EndedRun> ofLines = generated(3, HistoryWriter.Format.JSONL);
     assertEquals(500, ofLines.size());
     assertEquals(ofLines, generated(3, HistoryWriter.Format.CSV));
   }
@@ -50,8 +50,8 @@
       throws IOException {
     TaskProfile profile =
         new TaskProfile("a,b", "say \"x\"", "team\nof two", "7", new Resources(1_500, 250, 1));
-    Ended ended =
-        new Ended(
+    EndedRun ended =
+        new EndedRun(
             1_790_000_000_123_456L, new TaskRun(profile, 2, 9, "", "m;1", 0, 1_250_000, false));
     StringWriter out = new StringWriter();
     new HistoryWriter(out, format, false).write(ended, 0);
@@ -90,7 +90,7 @@
   @MethodSource("malformedLines")
   void malformedLinesAreReportedAndLeftOut(String line) throws IOException {
     List<String> reported = new ArrayList<>();
-    List<Ended> runs = new ArrayList<>();
+    List<EndedRun> runs = new ArrayList<>();
     HistoryReader reader =
         new HistoryReader(
             historyWith(line), false, (file, number, why) -> reported.add(number + ": " + why));
--- a/src/test/java/madderrudder/sim/LeaderFailoverTest.java
+++ b/src/test/java/madderrudder/sim/LeaderFailoverTest.java
@@ -36,10 +36,10 @@
   }
 
   /**
-   * Heartbeats of two sessions, delayed until another led, once made it take for lost what the
-   * leader before had started in the later session: a seed of the random faults had those tasks run
-   * twice. Nor may a late report of a task's exit end anything: its worker may have been told since
-   * to start the same attempt again.
+   * Heartbeats of two epochs, delayed until another led, once made it take for lost what the leader
+   * before had started in the later epoch: a seed of the random faults had those tasks run twice.
+   * Nor may a late report of a task's exit end anything: its worker may have been told since to
+   * start the same attempt again.
    */
   @ParameterizedTest(name = "seed {0}, exits {1}")
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "1,true", "2,true"})
@@ -60,10 +60,10 @@
         .forEach(name -> cluster.network.partition(name, busiest.id, false, 9 * SECOND));
     cluster.runUntil(49 * SECOND);
     assertNotEquals(before, cluster.leader(), "leader, seed " + seed);
-    for (int session = 0; session < 2; session++) {
+    for (int epoch = 0; epoch < 2; epoch++) {
       cluster.deliverLateHeartbeat(
-          cluster.leader(), busiest, exits ? busiest.session() : session, session, exits);
-      cluster.runUntil((50 + session) * SECOND);
+          cluster.leader(), busiest, exits ? busiest.epoch() : epoch, epoch, exits);
+      cluster.runUntil((50 + epoch) * SECOND);
     }
     cluster.runUntil(70 * SECOND);
     cluster.assertNoViolations("late heartbeats, exits " + exits);
@@ -77,17 +77,16 @@
   @ValueSource(longs = {1, 2, 4, 5})
   void leasesOutliveALeaderThatCrashesInAStoreOutage(long seed) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, true);
-    Map<SimWorker, Long> sessions = cluster.busySessions("east");
-    sessions.putAll(cluster.busySessions("west"));
+    Map<SimWorker, Long> epochs = cluster.busyEpochs("east");
+    epochs.putAll(cluster.busyEpochs("west"));
     cluster.store.outage(40 * SECOND);
     cluster.runUntil(62 * SECOND);
     cluster.crash(cluster.leader(), 60 * SECOND);
     cluster.runUntil(100 * SECOND);
+    assertTrue(epochs.size() > 3, "only " + epochs.size() + " machines have tasks, seed " + seed);
     assertTrue(
-        sessions.size() > 3, "only " + sessions.size() + " machines have tasks, seed " + seed);
-    assertTrue(
-        sessions.entrySet().stream()
-            .allMatch(e -> e.getKey().gone() || e.getKey().session() == e.getValue()),
+        epochs.entrySet().stream()
+            .allMatch(e -> e.getKey().gone() || e.getKey().epoch() == e.getValue()),
         "a lease expired, seed " + seed);
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("leader crashed in a store outage");
@@ -168,8 +167,7 @@
                 .workers()
                 .forEach(
                     worker ->
-                        cluster.deliverLateHeartbeat(
-                            restarted, worker, worker.session(), 0, false)));
+                        cluster.deliverLateHeartbeat(restarted, worker, worker.epoch(), 0, false)));
     cluster.runUntil(63 * SECOND);
     assertEquals(leader, cluster.query(restarted, "/metrics").text("leader"), "seed " + seed);
     cluster.runUntil(120 * SECOND);
--- a/src/test/java/madderrudder/sim/NetworkFaults.java
+++ b/src/test/java/madderrudder/sim/NetworkFaults.java
@@ -171,7 +171,7 @@
               .filter(
                   worker -> cluster.invariants.tasksOn(worker) > 0 && cluster.scheduler.chance(0.6))
               .toList();
-      before = blocked.stream().mapToLong(SimWorker::session).sum();
+      before = blocked.stream().mapToLong(SimWorker::epoch).sum();
       blocked.forEach(
           worker ->
               cluster.network.blockOutbound(
@@ -179,7 +179,7 @@
       in(cluster, 2, () -> cluster.users.cancelRunning(3));
       in(cluster, 5, () -> cluster.crash(cluster.leader(), 2 * SECOND));
       in(cluster, 17, () -> cluster.users.cancelRunning(3));
-      in(cluster, 38, () -> seen = blocked.stream().mapToLong(SimWorker::session).sum());
+      in(cluster, 38, () -> seen = blocked.stream().mapToLong(SimWorker::epoch).sum());
     }
 
     @Override
@@ -198,11 +198,11 @@
       String leaders = cluster.zoneOf(cluster.leader());
       String other = leaders.equals("east") ? "west" : "east";
       String zone = cluster.scheduler.chance(0.3) ? leaders : other;
-      before = cluster.busySessions(zone).size();
+      before = cluster.busyEpochs(zone).size();
       // The controller that answers for the leader there doesn't know of what is cancelled while
       // its machine hangs.
       cluster
-          .busySessions(zone)
+          .busyEpochs(zone)
           .keySet()
           .forEach(
               worker -> worker.hang(5 * SECOND + cluster.scheduler.random.nextLong(2 * SECOND)));
--- a/src/test/java/madderrudder/sim/PlacementLog.java
+++ b/src/test/java/madderrudder/sim/PlacementLog.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import madderrudder.persistence.LogSegment;
 import madderrudder.persistence.LogState;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.TaskId;
 
@@ -31,9 +31,9 @@
   }
 
   /** Reads the segments among the writes of a transaction. */
-  void read(List<Fields> writes) throws MalformedMessageException {
+  void read(List<JsonFields> writes) throws MalformedMessageException {
     boolean segmentWritten = false;
-    for (Fields write : writes) {
+    for (JsonFields write : writes) {
       String key = write.text("write", "");
       if (key.startsWith("s/")) {
         segments.put(key, LogSegment.read(write.object("data")));
--- a/src/test/java/madderrudder/sim/RunTimeLearningTest.java
+++ b/src/test/java/madderrudder/sim/RunTimeLearningTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.persistence.Keys;
-import madderrudder.protocol.Fields;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -26,12 +26,12 @@
     return cluster;
   }
 
-  private static Fields learned(SimulatedCluster cluster) throws MalformedMessageException {
+  private static JsonFields learned(SimulatedCluster cluster) throws MalformedMessageException {
     return cluster.query(cluster.leader(), "/metrics").object("run_times");
   }
 
   private static long runs(SimulatedCluster cluster) throws MalformedMessageException {
-    Fields classes = learned(cluster).object("ratio_to_guess");
+    JsonFields classes = learned(cluster).object("ratio_to_guess");
     return classes.has("sweep") ? classes.object("sweep").count("runs") : 0;
   }
 
@@ -49,7 +49,7 @@
     assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs learned");
     long kinds = learned(cluster).count("kinds");
     failOver(cluster, 128);
-    Fields after = learned(cluster);
+    JsonFields after = learned(cluster);
     assertTrue(
         after.count("learned") < 8, "already it has itself learned " + after.count("learned"));
     assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs known after the failover");
@@ -135,7 +135,7 @@
     long next = 0;
     int runs = 0;
     while (true) {
-      Fields part = cluster.query(cluster.leader(), "/history/" + next);
+      JsonFields part = cluster.query(cluster.leader(), "/history/" + next);
       assertEquals(0, part.count("missed"));
       if (part.objects("runs").isEmpty()) {
         break;
--- a/src/test/java/madderrudder/sim/SimCloud.java
+++ b/src/test/java/madderrudder/sim/SimCloud.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.transport.HttpHandler;
@@ -128,7 +128,7 @@
 
   /** The machine ends: the cloud reclaims it, or it dies. */
   void terminate(SimWorker worker) {
-    network.stopServing(worker.addr);
+    network.stopServing(worker.address);
     worker.vanish();
     if (worker.spot) {
       machines.remove(worker.id);
@@ -229,7 +229,7 @@
     return HttpResponse.of(200, best.body());
   }
 
-  private HttpResponse rent(Fields in) throws MalformedMessageException {
+  private HttpResponse rent(JsonFields in) throws MalformedMessageException {
     String requestId = in.text("charter");
     List<String> rented = rentalsByRequest.get(requestId);
     if (rented == null) {
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -13,8 +13,8 @@
 import madderrudder.coordination.policy.Deployment;
 import madderrudder.persistence.JobRecords;
 import madderrudder.persistence.Keys;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.TaskId;
 import madderrudder.transport.HttpHandler;
@@ -115,7 +115,7 @@
     scheduler.after(forMicros, () -> lostReplyRate = 0);
   }
 
-  private void commitLater(Fields transaction) {
+  private void commitLater(JsonFields transaction) {
     scheduler.after(
         2 * SimulatedCluster.SECOND + scheduler.random.nextLong(10 * SimulatedCluster.SECOND),
         () -> {
@@ -247,12 +247,13 @@
     return damaged.size();
   }
 
-  private void commit(Fields in, Consumer<HttpResponse> answer) throws MalformedMessageException {
-    List<Fields> writes = in.objects("writes");
+  private void commit(JsonFields in, Consumer<HttpResponse> answer)
+      throws MalformedMessageException {
+    List<JsonFields> writes = in.objects("writes");
     if (writes.size() > maxWrites) {
       throw new AssertionError("a transaction of " + writes.size() + " writes");
     }
-    for (Fields write : writes) {
+    for (JsonFields write : writes) {
       if (write.has("mooring") && !leases.containsKey(write.count("mooring"))) {
         answer.accept(HttpResponse.of(400, Json.error("no such lease")));
         return;
@@ -260,7 +261,7 @@
     }
     List<String> failed = new ArrayList<>();
     boolean conditionalOnTerm = false;
-    for (Fields condition : in.objects("when")) {
+    for (JsonFields condition : in.objects("when")) {
       conditionalOnTerm |= condition.text("path").equals(Keys.TERM);
       Entry entry = keys.get(condition.text("path"));
       if ((entry == null ? 0 : entry.version()) != condition.count("entry")) {
@@ -284,7 +285,7 @@
     }
     revision++;
     placementLog.read(writes);
-    for (Fields write : writes) {
+    for (JsonFields write : writes) {
       String key = write.text(write.has("drop") ? "drop" : "write");
       if (key.startsWith(Keys.RUN_TIMES)) {
         runTimeWrites++;
--- a/src/test/java/madderrudder/sim/SimUsers.java
+++ b/src/test/java/madderrudder/sim/SimUsers.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobCodec;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Priority;
 import madderrudder.protocol.Resources;
@@ -397,7 +397,7 @@
 
   private static String state(HttpResponse response) {
     try {
-      Fields in =
+      JsonFields in =
           response.status() == 200 || response.status() == 201
               ? Json.readObject(response.body())
               : null;
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import madderrudder.coordination.policy.Deployment;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.JobKind;
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
@@ -34,7 +34,7 @@
   private static final int MAX_MESSAGE_BYTES = 64 * 1024;
 
   final String id;
-  final String addr;
+  final String address;
   final String type;
   final String zone;
   final boolean spot;
@@ -51,8 +51,8 @@
   private final List<Runnable> deferred = new ArrayList<>();
   int starts;
   int answeredHeartbeats;
-  private long session = 1;
-  private long seq;
+  private long epoch = 1;
+  private long sequence;
   private long token;
   private int controllerIndex;
   private Scheduler.Timer next;
@@ -69,7 +69,7 @@
       InvariantChecker invariants,
       Deployment.WorkerTimes times,
       String id,
-      String addr,
+      String address,
       String type,
       String zone,
       boolean spot,
@@ -79,7 +79,7 @@
     this.invariants = invariants;
     this.times = times;
     this.id = id;
-    this.addr = addr;
+    this.address = address;
     this.type = type;
     this.zone = zone;
     this.spot = spot;
@@ -90,7 +90,7 @@
     calls = network.clientOf(id, clock);
     controllerIndex = scheduler.random.nextInt(controllers.size());
     network.setZone(id, zone);
-    network.serve(addr, id, this);
+    network.serve(address, id, this);
     lastAnsweredSentMicros = clock.nowMicros();
     reportAfter(scheduler.random.nextLong(times.reportMicros()));
     watchLease();
@@ -110,7 +110,7 @@
     if (leaseExpired()) {
       tasks.values().forEach(this::leaveMachine);
       tasks.clear();
-      session++;
+      epoch++;
       lastAnsweredSentMicros = clock.nowMicros();
       reportSoon();
     }
@@ -124,14 +124,14 @@
     tasks.clear();
   }
 
-  /** The machine restarts and loses all that is on it, in its old session or in the next. */
+  /** The machine restarts and loses all that is on it, in its old epoch or in the next. */
   void restart(boolean newSession) {
     tasks.values().forEach(this::leaveMachine);
     tasks.clear();
     deferred.clear();
     inFlight = false;
     if (newSession) {
-      session++;
+      epoch++;
     }
     lastAnsweredSentMicros = newSession ? clock.nowMicros() : lastAnsweredSentMicros;
     reportSoon();
@@ -199,8 +199,8 @@
     return token;
   }
 
-  long session() {
-    return session;
+  long epoch() {
+    return epoch;
   }
 
   private void leaveMachine(SimTask task) {
@@ -239,15 +239,15 @@
     inFlight = true;
     reportPending = false;
     long sentMicros = clock.nowMicros();
-    long sentSession = session;
+    long sentEpoch = epoch;
     calls.call(
         addresses.get(controllers.get(controllerIndex)),
         HttpRequest.post("/hello", body()),
         REPLY_TIMEOUT_MICROS,
-        response -> whenAwake(() -> onReply(response, sentMicros, sentSession)));
+        response -> whenAwake(() -> onReply(response, sentMicros, sentEpoch)));
   }
 
-  private void onReply(HttpResponse response, long sentMicros, long sentSession) {
+  private void onReply(HttpResponse response, long sentMicros, long sentEpoch) {
     inFlight = false;
     long nextMicros = (long) (times.reportMicros() * (0.75 + scheduler.random.nextDouble() / 2));
     try {
@@ -256,9 +256,9 @@
           response.body().length <= MAX_MESSAGE_BYTES,
           () -> "an answer of " + response.body().length + " bytes");
       if (inTime && response.status() == 200) {
-        Fields in = Json.readObject(response.body());
+        JsonFields in = Json.readObject(response.body());
         long given = in.count("helm", 0);
-        if (given >= token && sentSession == session) {
+        if (given >= token && sentEpoch == epoch) {
           token = given;
           lastAnsweredSentMicros = sentMicros;
           answeredHeartbeats++;
@@ -284,17 +284,17 @@
   }
 
   private byte[] body() {
-    seq++;
+    sequence++;
     byte[] body =
         Json.object(
             out -> {
               out.writeStringField("vessel", id);
-              out.writeStringField("addr", addr);
+              out.writeStringField("addr", address);
               out.writeStringField("build", type);
               out.writeStringField("berth", zone);
               out.writeBooleanField("driftwood", spot);
-              out.writeNumberField("watch", session);
-              out.writeNumberField("knot", seq);
+              out.writeNumberField("watch", epoch);
+              out.writeNumberField("knot", sequence);
               out.writeNumberField("helm", token);
               if (reclaimAtMicros >= 0) {
                 out.writeNumberField(
@@ -321,8 +321,8 @@
         () -> {
           try {
             expireLease();
-            Fields in = Json.readObject(request.body());
-            boolean fits = in.count("helm") >= token && in.count("watch") == session;
+            JsonFields in = Json.readObject(request.body());
+            boolean fits = in.count("helm") >= token && in.count("watch") == epoch;
             if (fits) {
               token = in.count("helm");
               execute(in.objects("orders"));
@@ -334,8 +334,8 @@
         });
   }
 
-  private void execute(List<Fields> orders) throws MalformedMessageException {
-    for (Fields order : orders) {
+  private void execute(List<JsonFields> orders) throws MalformedMessageException {
+    for (JsonFields order : orders) {
       String key = order.text("stroke") + "@" + order.count("launch");
       SimTask task = tasks.get(key);
       switch (order.text("order")) {
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -22,8 +22,8 @@
 import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.coordination.policy.ServiceLevelObjectives;
 import madderrudder.coordination.policy.TeamQuota;
-import madderrudder.protocol.Fields;
 import madderrudder.protocol.Json;
+import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
@@ -273,8 +273,8 @@
   }
 
   /** The answer of a controller to an operator's GET request. */
-  Fields query(String name, String path) {
-    List<Fields> answers = new ArrayList<>();
+  JsonFields query(String name, String path) {
+    List<JsonFields> answers = new ArrayList<>();
     processes
         .get(name)
         .node()
@@ -304,13 +304,13 @@
     return controllers().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
   }
 
-  /** The workers of a zone that run tasks, with their sessions. */
-  Map<SimWorker, Long> busySessions(String zone) {
-    Map<SimWorker, Long> sessions = new LinkedHashMap<>();
+  /** The workers of a zone that run tasks, with their epochs. */
+  Map<SimWorker, Long> busyEpochs(String zone) {
+    Map<SimWorker, Long> epochs = new LinkedHashMap<>();
     cloud.workers().stream()
         .filter(worker -> worker.zone.equals(zone) && invariants.tasksOn(worker) > 0)
-        .forEach(worker -> sessions.put(worker, worker.session()));
-    return sessions;
+        .forEach(worker -> epochs.put(worker, worker.epoch()));
+    return epochs;
   }
 
   /** The controller that leads, or the first one if none does. */
@@ -322,7 +322,8 @@
    * Delivers a heartbeat of a machine without tasks, or with all its tasks ended by an error, as
    * one that was delayed for long; its reply is dropped.
    */
-  void deliverLateHeartbeat(String node, SimWorker worker, long session, long seq, boolean exits) {
+  void deliverLateHeartbeat(
+      String node, SimWorker worker, long epoch, long sequence, boolean exits) {
     HttpRequest heartbeat =
         HttpRequest.post(
             "/hello",
@@ -331,8 +332,8 @@
                   out.writeStringField("vessel", worker.id);
                   out.writeStringField("build", worker.type);
                   out.writeStringField("berth", worker.zone);
-                  out.writeNumberField("watch", session);
-                  out.writeNumberField("knot", seq);
+                  out.writeNumberField("watch", epoch);
+                  out.writeNumberField("knot", sequence);
                   out.writeNumberField("helm", worker.token());
                   out.writeArrayFieldStart("strokes");
                   if (exits) {
--- a/src/test/java/madderrudder/sim/ZonePartitionTest.java
+++ b/src/test/java/madderrudder/sim/ZonePartitionTest.java
@@ -31,20 +31,18 @@
   private static boolean tasksOutliveZonePartition(long seed, boolean delegation) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, delegation);
     String zone = Scenarios.zoneWithoutLeader(cluster);
-    Map<SimWorker, Long> sessions = cluster.busySessions(zone);
-    assertTrue(
-        sessions.size() > 1, "only " + sessions.size() + " machines have tasks, seed " + seed);
+    Map<SimWorker, Long> epochs = cluster.busyEpochs(zone);
+    assertTrue(epochs.size() > 1, "only " + epochs.size() + " machines have tasks, seed " + seed);
     cluster.partitionZone(zone, seed % 2 == 0, 40 * SECOND);
     boolean kept = true;
     for (int second = 61; second <= 100; second++) {
       List<SimWorker> busy =
-          sessions.keySet().stream()
+          epochs.keySet().stream()
               .filter(worker -> cluster.invariants.tasksOn(worker) > 0)
               .toList();
       cluster.runUntil(second * SECOND);
       kept &=
-          busy.stream()
-              .allMatch(worker -> worker.gone() || worker.session() == sessions.get(worker));
+          busy.stream().allMatch(worker -> worker.gone() || worker.epoch() == epochs.get(worker));
     }
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("zone partition, delegation " + delegation);
@@ -163,16 +161,16 @@
         .filter(worker -> worker.zone.equals(zone))
         .forEach(
             worker -> cluster.network.partition(leader, worker.id, seed % 2 == 0, 60 * SECOND));
-    Map<SimWorker, Long> sessions = cluster.busySessions(zone);
+    Map<SimWorker, Long> epochs = cluster.busyEpochs(zone);
     cluster.runUntil(80 * SECOND);
-    int started = sessions.keySet().stream().mapToInt(worker -> worker.starts).sum();
+    int started = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
     cluster.runUntil(118 * SECOND);
     assertEquals(leader, cluster.leader(), "leader, seed " + seed);
     assertTrue(
-        sessions.entrySet().stream()
-            .allMatch(e -> e.getKey().gone() || e.getKey().session() == e.getValue()),
+        epochs.entrySet().stream()
+            .allMatch(e -> e.getKey().gone() || e.getKey().epoch() == e.getValue()),
         "a lease expired, seed " + seed);
-    int later = sessions.keySet().stream().mapToInt(worker -> worker.starts).sum();
+    int later = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
     assertTrue(later > started, "nothing started there, seed " + seed);
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("workers without a way to the leader");
