--- a/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
@@ -102,7 +102,9 @@
 
   @Test
   void keepsACompletedTaskOnItsWorkerUntilThatIsDurable() {
-    fixture.placeReported(job(false), 0).completed = true;
+    Assignment assignment = fixture.placeReported(job(false), 0);
+    assignment.completed = true;
+    assignment.evicting = true;
     assertEquals(List.of(), answer(fixture.newest(status(0, Phase.EXITED))).commands());
   }
 
