--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -110,12 +110,12 @@
       Machine machine, long epoch, List<Assignment> starts, HttpResponse response) {
     try {
       Heartbeat report = WorkerCodec.readHeartbeat(response.body());
-      if (FencingToken.term(report.token()) > term.term) {
+      if (FencingToken.term(report.token()) > term.number) {
         term.election.observeToken(report.token());
       } else if (response.status() == OK && report.machine().equals(machine.id)) {
         mergeReport(machine, epoch, starts, report);
       }
-      return FencingToken.term(report.token()) == term.term && report.epoch() == epoch;
+      return FencingToken.term(report.token()) == term.number && report.epoch() == epoch;
     } catch (MalformedMessageException e) {
       LOG.info("malformed response of {} to direct commands: {}", machine.id, e.getMessage());
       return false;
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -40,11 +40,11 @@
       Runnable onCapacityFreed,
       Predicate<Job> startDeferred) {
     this.term = term;
-    TaskFactsBuilder facts = new TaskFactsBuilder(term.term, startDeferred);
+    TaskFactsBuilder facts = new TaskFactsBuilder(term.number, startDeferred);
     TaskExitHandler exits = new TaskExitHandler(term, machines, jobs);
     TaskStatusIngest tasks = new TaskStatusIngest(term, machines, facts, exits);
     planner = new CommandPlanner(facts, term.deployment.workers().gangPeerMicros());
-    sent = new SentCommands(term.term);
+    sent = new SentCommands(term.number);
     ingest = new HeartbeatIngest(term, machines, scaleOut, tasks, onCapacityFreed);
     direct = new DirectCommandSender(term, planner, sent, tasks, onCapacityFreed);
   }
@@ -131,7 +131,7 @@
   public long tokenFor(Heartbeat heartbeat) {
     Machine machine = machineOf(heartbeat);
     return machine == null
-        ? FencingToken.echo(heartbeat.token(), term.term)
+        ? FencingToken.echo(heartbeat.token(), term.number)
         : sent.issueToken(machine, heartbeat.token());
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -115,7 +115,7 @@
 
   private void expectAcknowledgementUnlessSeen(
       Machine machine, Heartbeat heartbeat, long sinceMicros) {
-    if (FencingToken.term(heartbeat.token()) < term.term) {
+    if (FencingToken.term(heartbeat.token()) < term.number) {
       machine.expectAcknowledgement(sinceMicros);
     }
   }
@@ -139,7 +139,7 @@
     machine.epoch = heartbeat.epoch();
     machine.sequence = heartbeat.sequence();
     machine.token = heartbeat.token();
-    machine.reportedInTerm |= FencingToken.term(heartbeat.token()) >= term.term;
+    machine.reportedInTerm |= FencingToken.term(heartbeat.token()) >= term.number;
     machine.heartbeatSequence = heartbeat.sequence();
     machine.heartbeatMicros = nowMicros;
     machine.address = heartbeat.address().isEmpty() ? machine.address : heartbeat.address();
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -48,7 +48,7 @@
     readyMicros = term.scheduler.nowMicros();
     LOG.info(
         "term {}: took over {} jobs and {} machines",
-        term.term,
+        term.number,
         term.cluster.jobs.size(),
         term.cluster.machines.size());
     coverage = assess();
@@ -57,7 +57,7 @@
     coverage = assess();
     LOG.info(
         "term {}: the store was read in {} ms; {} of the machines that were up have reported{}",
-        term.term,
+        term.number,
         (readyMicros - beginMicros) / 1000,
         percent(coverage.share()),
         coverage.suffices() ? "" : ", scale-out and preemption wait for more");
@@ -78,7 +78,7 @@
     if (!sufficed && coverage.suffices()) {
       LOG.info(
           "term {}: {} of the machines that were up have reported after {} ms",
-          term.term,
+          term.number,
           percent(coverage.share()),
           (term.scheduler.nowMicros() - readyMicros) / 1000);
     }
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -26,7 +26,7 @@
     this.term = term;
     this.jobs = jobs;
     this.otherMembers = otherMembers;
-    termAcknowledgements = new TermAcknowledgements(term.term, otherMembers);
+    termAcknowledgements = new TermAcknowledgements(term.number, otherMembers);
   }
 
   /**
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -91,7 +91,7 @@
 
   /** The number of the term. */
   public long number() {
-    return term.term;
+    return term.number;
   }
 
   /** Whether the stored state has been read, so that commands are given. */
--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -48,7 +48,7 @@
   public final Metrics metrics;
 
   /** The number of the term; a later leader has a higher one. */
-  public final long term;
+  public final long number;
 
   /** The queue through which this term's changes are committed. */
   public final CommitQueue commits;
@@ -72,11 +72,12 @@
    * Creates the context of a term that was won.
    *
    * @param dependencies the controller's collaborators
-   * @param term the number of the term
+   * @param number the number of the term
    * @param termVersion the version of the term key that this leader wrote
    * @param onLost called when another leader has taken over; see {@link CommitQueue}
    */
-  public LeaderTerm(LeaderDependencies dependencies, long term, long termVersion, Runnable onLost) {
+  public LeaderTerm(
+      LeaderDependencies dependencies, long number, long termVersion, Runnable onLost) {
     scheduler = dependencies.scheduler();
     store = dependencies.store();
     calls = dependencies.calls();
@@ -85,22 +86,22 @@
     policy = dependencies.policy();
     metrics = dependencies.metrics();
     safety = SafetyBounds.of(deployment.workers());
-    this.term = term;
+    this.number = number;
     commits =
         new CommitQueue(
             scheduler,
             store,
             dependencies.member(),
-            term,
+            number,
             termVersion,
             deployment.state().transactionWrites(),
             deployment.state().writesPerSecond() * LEADER_SHARE,
             onLost);
     learned = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
-    history = new RunHistory(term);
+    history = new RunHistory(number);
     cluster = new Cluster(deployment, learned == null ? new EstimatedRunTimes() : learned);
     delegation = new DelegationTracker(safety, scheduler.nowMicros());
-    ids = new TermScopedIds(term);
+    ids = new TermScopedIds(number);
   }
 
   /** Returns an attempt number that no leader has given before; see {@link TermScopedIds}. */
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -71,7 +71,7 @@
     }
     Machine machine =
         new Machine(id, known, zone, spot, owned, rentedWallMicros, term.scheduler.nowMicros());
-    machine.issuedToken = FencingToken.first(term.term);
+    machine.issuedToken = FencingToken.first(term.number);
     term.cluster.add(machine);
     return machine;
   }
--- a/src/main/java/madderrudder/coordination/scheduling/Placement.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placement.java
@@ -9,6 +9,5 @@
  * @param job the job
  * @param task the index of the task
  * @param machine the machine
- * @param attempt the attempt number of the gang that the task joins; 0 for a new one
  */
-public record Placement(Job job, int task, Machine machine, long attempt) {}
+public record Placement(Job job, int task, Machine machine) {}
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -143,7 +143,7 @@
         return;
       }
       boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
-      if (place(job, task, candidates, rentedAllowed, 0) && job.failing()) {
+      if (place(job, task, candidates, rentedAllowed) && job.failing()) {
         return;
       }
     }
@@ -202,7 +202,7 @@
   private boolean placeMember(
       Job job, int task, PriorityQueue<Candidate> candidates, boolean ownedFits) {
     boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
-    return place(job, task, candidates, rentedAllowed, job.gangAttempt);
+    return place(job, task, candidates, rentedAllowed);
   }
 
   /**
@@ -250,7 +250,7 @@
    * @return false if no machine takes the task
    */
   private boolean place(
-      Job job, int task, PriorityQueue<Candidate> candidates, boolean rentedAllowed, long attempt) {
+      Job job, int task, PriorityQueue<Candidate> candidates, boolean rentedAllowed) {
     while (!candidates.isEmpty()) {
       Machine machine = candidates.peek().machine();
       if (!machine.owned && !rentedAllowed) {
@@ -263,7 +263,7 @@
       }
       usage.take(job, machine);
       freeMilliCpus -= job.spec.perTask().milliCpus();
-      placements.add(new Placement(job, task, machine, attempt));
+      placements.add(new Placement(job, task, machine));
       if (fits(job, machine) && !machine.atTaskLimit(usage.added(job, machine))) {
         candidates.add(new Candidate(machine, cost(job, machine)));
       }
