--- a/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
@@ -72,7 +72,7 @@
     for (Assignment assignment : machine.assignments.values()) {
       TaskDecision decision = facts.decide(assignment);
       settleDirectStarts |=
-          decision.verdict() == Verdict.AWAIT && assignment.directToken >= machine.token;
+          decision.verdict() == Verdict.AWAIT && assignment.directToken >= machine.seenToken;
       if (commands.size() < MAX_COMMANDS && startable(assignment, decision, holdsLease)) {
         commands.add(WorkerCommand.start(assignment.task, assignment.attempt));
         starts.add(assignment);
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -63,7 +63,7 @@
     if (plan.commands().isEmpty() || !Addresses.valid(machine.address)) {
       return false;
     }
-    long token = sent.issueToken(machine, machine.token);
+    long token = sent.issueToken(machine, machine.seenToken);
     SentCommands.noteDirectStarts(machine, plan, token, nowMicros);
     machine.directInFlight = true;
     long epoch = machine.epoch;
@@ -131,7 +131,7 @@
       return;
     }
     machine.sequence = report.sequence();
-    machine.token = Math.max(machine.token, report.token());
+    machine.seenToken = Math.max(machine.seenToken, report.token());
     starts.forEach(start -> start.startSequence = Math.max(start.startSequence, report.sequence()));
     if (tasks.applyStatuses(machine, report, term.scheduler.nowMicros())) {
       onCapacityFreed.run();
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -138,7 +138,7 @@
     machine.failed = false;
     machine.epoch = heartbeat.epoch();
     machine.sequence = heartbeat.sequence();
-    machine.token = heartbeat.token();
+    machine.seenToken = heartbeat.token();
     machine.reportedInTerm |= FencingToken.term(heartbeat.token()) >= term.number;
     machine.heartbeatSequence = heartbeat.sequence();
     machine.heartbeatMicros = nowMicros;
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
@@ -116,9 +116,9 @@
    */
   private boolean startMayArrive(Assignment assignment) {
     Machine machine = assignment.machine;
-    return assignment.directToken >= machine.token
+    return assignment.directToken >= machine.seenToken
         || assignment.startSequence >= machine.sequence
-        || (assignment.inherited && FencingToken.term(machine.token) < term);
+        || (assignment.inherited && FencingToken.term(machine.seenToken) < term);
   }
 
   private static ReportedState exitState(TaskStatus task) {
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -63,7 +63,7 @@
         coverage.suffices() ? "" : ", scale-out and preemption wait for more");
   }
 
-  /** The confidence as last assessed; full before {@link #begin}. */
+  /** The coverage as last assessed; full before {@link #begin}. */
   ClusterCoverage coverage() {
     return coverage;
   }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -195,7 +195,7 @@
     sendDirect();
   }
 
-  /** Repeats stops that show no effect, and sends starts that confidence allows by now. */
+  /** Repeats stops that show no effect, and sends starts that the coverage allows by now. */
   private void sendDirect() {
     int sent = 0;
     for (Machine machine : term.cluster.machines.values()) {
--- a/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
+++ b/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
@@ -66,10 +66,10 @@
     if (term.learned != null) {
       term.learned.write(out);
     }
-    writeConfidence(out, coverage.coverage());
+    writeCoverage(out, coverage.coverage());
   }
 
-  private void writeConfidence(JsonGenerator out, ClusterCoverage now) throws IOException {
+  private void writeCoverage(JsonGenerator out, ClusterCoverage now) throws IOException {
     out.writeObjectFieldStart("heard");
     out.writeNumberField("share", now.share());
     out.writeBooleanField("overdue", now.overdue());
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -76,7 +76,7 @@
   public long sequence;
 
   /** The highest fencing token that its worker has seen, as its newest heartbeat says. */
-  public long token;
+  public long seenToken;
 
   /** The highest fencing token that it was given in this term, or is to be given first. */
   public long issuedToken;
--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -52,7 +52,7 @@
   private CloudCodec() {}
 
   /**
-   * Reads the catalogue of machine types.
+   * Reads the catalog of machine types.
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
--- a/src/main/java/madderrudder/protocol/CloudFields.java
+++ b/src/main/java/madderrudder/protocol/CloudFields.java
@@ -5,7 +5,7 @@
  * each constant is named for the standard term that the rest of the program uses.
  */
 final class CloudFields {
-  /** The machine types of the catalogue. */
+  /** The machine types of the catalog. */
   static final String MACHINE_TYPES = "builds";
 
   /** The name of a machine type: {@link MachineType#name()}. */
--- a/src/main/java/madderrudder/protocol/Heartbeat.java
+++ b/src/main/java/madderrudder/protocol/Heartbeat.java
@@ -30,7 +30,7 @@
     List<TaskStatus> tasks) {
 
   /** Whether this one is newer: it has the larger pair of epoch and sequence number. */
-  public boolean newerThan(long otherEpoch, long otherSeq) {
-    return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSeq);
+  public boolean newerThan(long otherEpoch, long otherSequence) {
+    return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
 }
--- a/src/main/java/madderrudder/protocol/MachineType.java
+++ b/src/main/java/madderrudder/protocol/MachineType.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A machine type of the cloud's catalogue.
+ * A machine type of the cloud's catalog.
  *
  * @param name the type's name
  * @param capacity what a machine of the type has
--- a/src/main/java/madderrudder/protocol/WorkerCodec.java
+++ b/src/main/java/madderrudder/protocol/WorkerCodec.java
@@ -52,7 +52,7 @@
         in.text(WorkerFields.MACHINE_TYPE),
         in.text(WorkerFields.ZONE),
         in.flag(WorkerFields.SPOT, false),
-        in.count(WorkerFields.SESSION),
+        in.count(WorkerFields.EPOCH),
         in.count(WorkerFields.SEQUENCE),
         in.count(WorkerFields.FENCING_TOKEN, 0),
         in.secondsAsMicros(WorkerFields.RECLAIM_NOTICE_SECONDS, -1),
@@ -99,7 +99,7 @@
     return Json.object(
         out -> {
           out.writeNumberField(WorkerFields.FENCING_TOKEN, token);
-          out.writeNumberField(WorkerFields.SESSION, epoch);
+          out.writeNumberField(WorkerFields.EPOCH, epoch);
           writeCommands(out, commands);
         });
   }
--- a/src/main/java/madderrudder/protocol/WorkerFields.java
+++ b/src/main/java/madderrudder/protocol/WorkerFields.java
@@ -21,7 +21,7 @@
   static final String SPOT = "driftwood";
 
   /** The incarnation of the worker, called its epoch: {@link Heartbeat#epoch()}. */
-  static final String SESSION = "watch";
+  static final String EPOCH = "watch";
 
   /** The sequence number of the heartbeat in its epoch: {@link Heartbeat#sequence()}. */
   static final String SEQUENCE = "knot";
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -36,7 +36,7 @@
     machine.reported = true;
     machine.epoch = SESSION;
     machine.sequence = SEQ;
-    machine.token = FencingToken.first(TERM);
+    machine.seenToken = FencingToken.first(TERM);
     machine.issuedToken = FencingToken.first(TERM);
   }
 
@@ -106,7 +106,7 @@
         false,
         epoch,
         sequence,
-        machine.token,
+        machine.seenToken,
         -1,
         List.of(tasks));
   }
