--- /dev/null
+++ b/src/test/java/madderrudder/sim/FailoverFaults.java
@@ -0,0 +1,206 @@
+package madderrudder.sim;
+
+import madderrudder.protocol.JobSpec;
+
+/**
+ * Scripts of controllers that crash, flap and take over from each other. See {@link
+ * FaultCombination}.
+ */
+final class FailoverFaults {
+  private FailoverFaults() {}
+
+  /** Jobs of two and three tasks, which end far apart, and a failover after each end. */
+  static final class FailoverBetweenTaskEnds extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      cluster.store.slowDown(30, 45 * SECOND);
+      for (int i = 0; i < 9; i++) {
+        JobSpec job =
+            JobSpecBuilder.job("req-70000" + i, "pair")
+                .tasks(2 + i % 2)
+                .perTask(0.5, 1)
+                .estimateMicros(4_000_000)
+                .build();
+        cluster.invariants.staggeredJobs.add(job.id());
+        cluster.users.submitJob(job);
+      }
+      for (int second = 8; second < 70; second += 7) {
+        in(
+            cluster,
+            second,
+            () -> {
+              seen = Math.max(seen, cluster.invariants.partlyDoneJobs());
+              if (cluster.scheduler.chance(0.5)) {
+                cluster.crash(
+                    cluster.leader(), SECOND + cluster.scheduler.random.nextLong(3 * SECOND));
+              } else {
+                cluster.store.refuse(cluster.leader(), 4 * SECOND);
+              }
+            });
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 2;
+    }
+  }
+
+  /**
+   * Leadership moves away and back, all controllers crash, and one is back within a second: several
+   * terms within a lease.
+   */
+  static final class RepeatedFailovers extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.term();
+      cluster.store.refuse(cluster.leader(), 4 * SECOND);
+      for (double second : new double[] {4.5, 7, 9.5, 10, 10.4}) {
+        cluster.scheduler.after((long) (second * SECOND), () -> cluster.flap(cluster.leader()));
+      }
+      in(
+          cluster,
+          13,
+          () ->
+              cluster
+                  .controllers()
+                  .forEach(
+                      name ->
+                          cluster.crash(
+                              name,
+                              SECOND / 5
+                                  + (name.equals(cluster.controllers().get(1))
+                                      ? 0
+                                      : 12 * SECOND))));
+      in(cluster, 15, () -> cluster.store.outage(4 * SECOND));
+      in(cluster, 17, () -> cluster.flap(cluster.controllers().get(1)));
+      in(cluster, 30, () -> cluster.controllers().forEach(cluster::flap));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.term() >= before + 4;
+    }
+  }
+
+  /**
+   * New machines are up within two seconds and get work at once while writes lag and the leader
+   * crashes.
+   */
+  static final class FastBootsDuringFailovers extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.cloud.machinesCreated();
+      cluster.cloud.slowBoots(0, 0.05, 45 * SECOND);
+      cluster.cloud.workers().stream()
+          .filter(worker -> cluster.scheduler.chance(0.6))
+          .forEach(cluster.cloud::terminate);
+      cluster.store.slowDown(25, 40 * SECOND);
+      cluster.store.delayCommits(0.15, 30 * SECOND);
+      submitServices(cluster, 5);
+      for (int second = 2; second < 40; second += 9) {
+        in(
+            cluster,
+            second + cluster.scheduler.random.nextInt(3),
+            () -> cluster.crash(cluster.leader(), SECOND / 2));
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.cloud.machinesCreated() > before;
+    }
+  }
+
+  /** Jobs are cancelled in the seconds of a failover, up to one every tenth of a second. */
+  static final class CancellationsDuringFailovers extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.term();
+      // Records that are read slowly, in several ranges, change between two ranges.
+      cluster.store.slowDown(30, 45 * SECOND);
+      submitServices(cluster, 8);
+      for (int second = 5; second < 40; second += 9) {
+        in(
+            cluster,
+            second,
+            () -> {
+              if (cluster.scheduler.chance(0.5)) {
+                cluster.crash(cluster.leader(), 2 * SECOND);
+              } else {
+                cluster.store.refuse(cluster.leader(), 6 * SECOND);
+              }
+              for (int tenth = 0; tenth < 80; tenth += 1 + cluster.scheduler.random.nextInt(4)) {
+                cluster.scheduler.after(
+                    tenth * SECOND / 10, () -> seen += cluster.users.cancelRunning(1).size());
+              }
+            });
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 5 && cluster.term() > before + 1;
+    }
+  }
+
+  /**
+   * All controllers are down for longer than a lease, with cancellations just before and right
+   * after.
+   */
+  static final class AllControllersDown extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.invariants.runningTasks();
+      cluster.users.cancelRunning(4);
+      cluster.scheduler.after(
+          cluster.scheduler.random.nextLong(SECOND),
+          () ->
+              cluster.crashAll(
+                  12 * SECOND + cluster.scheduler.random.nextLong(15 * SECOND),
+                  14 * SECOND,
+                  13 * SECOND));
+      in(cluster, 14, () -> cluster.users.cancelRunning(3));
+      in(cluster, 16, () -> cluster.users.cancelRunning(3));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return before > 5;
+    }
+  }
+
+  /**
+   * The leader changes ten times within a minute, also in a store outage; processes are back within
+   * a fraction of a second.
+   */
+  static final class LeaderFlapping extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.term();
+      for (int second = 0; second < 60; second += 4) {
+        in(
+            cluster,
+            second,
+            () -> {
+              switch (cluster.scheduler.random.nextInt(3)) {
+                case 0 ->
+                    cluster.crash(
+                        cluster.leader(), SECOND / 20 + cluster.scheduler.random.nextLong(SECOND));
+                case 1 -> cluster.store.refuse(cluster.leader(), 3 * SECOND + SECOND / 2);
+                default -> cluster.flap(cluster.leader());
+              }
+              if (cluster.scheduler.chance(0.4)) {
+                cluster.users.cancelRunning(1);
+              }
+            });
+      }
+      in(cluster, 24, () -> cluster.store.outage(9 * SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.term() >= before + 7;
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/FaultScript.java
@@ -0,0 +1,77 @@
+package madderrudder.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import madderrudder.protocol.JobKind;
+import madderrudder.protocol.JobSpec;
+import madderrudder.protocol.Priority;
+import madderrudder.protocol.Resources;
+
+/**
+ * A script of faults that takes a minute of virtual time at most, and tells whether the situation
+ * that it is about has come about. One instance serves one run. The order of random draws is part
+ * of a script: a seed replays it only as long as the order stays.
+ */
+abstract class FaultScript {
+  static final long SECOND = SimulatedCluster.SECOND;
+  static final List<String> TEAMS = List.of("alto", "basso", "canto");
+
+  /** What each task of {@link #submitServices} takes. */
+  private static final Resources SERVICE_TASK = Resources.of(4, 0, 8);
+
+  /** A count when the script began, for comparison at its end. */
+  long before;
+
+  /** How often, or how much of, what the script is about has been observed. */
+  long seen;
+
+  /** Schedules the faults. */
+  abstract void inject(SimulatedCluster cluster);
+
+  /** Whether the situation has come about; asked once all faults are over. */
+  abstract boolean tookEffect(SimulatedCluster cluster);
+
+  /** Submits services of every team, more than its limit allows, and cancels them later. */
+  static List<String> submitServices(SimulatedCluster cluster, int perTeam) {
+    List<String> jobs = new ArrayList<>();
+    for (int i = 0; i < TEAMS.size() * perTeam; i++) {
+      JobSpec job =
+          JobSpecBuilder.job("req-" + (300_000 + cluster.users.submitted.size()), "stand")
+              .team(TEAMS.get(i % TEAMS.size()))
+              .kind(JobKind.SERVICE)
+              .priority(Priority.PRODUCTION)
+              .perTask(4, 8)
+              .image("img-" + i % 4, 0.5)
+              .build();
+      cluster.users.submitJob(job);
+      in(cluster, 45 + cluster.scheduler.random.nextInt(40), () -> cluster.users.cancel(job.id()));
+      jobs.add(job.id());
+    }
+    return jobs;
+  }
+
+  /** Those of the jobs that are live and have a task on a machine. */
+  static List<String> running(SimulatedCluster cluster, List<String> jobs) {
+    return jobs.stream()
+        .filter(
+            job -> cluster.invariants.isLive(job) && !cluster.invariants.machinesOf(job).isEmpty())
+        .toList();
+  }
+
+  /**
+   * Runs the action, and counts it as seen, at the first of so many seconds at which every team is
+   * at its limit.
+   */
+  void whenAtLimit(SimulatedCluster cluster, int seconds, Runnable action) {
+    if (TEAMS.stream().allMatch(team -> cluster.invariants.atLimit(team, SERVICE_TASK))) {
+      seen++;
+      action.run();
+    } else if (seconds > 0) {
+      in(cluster, 1, () -> whenAtLimit(cluster, seconds - 1, action));
+    }
+  }
+
+  static void in(SimulatedCluster cluster, int seconds, Runnable action) {
+    cluster.scheduler.after(seconds * SECOND, action);
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/FreeCapacity.java
@@ -0,0 +1,46 @@
+package madderrudder.sim;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import madderrudder.protocol.JobSpec;
+import madderrudder.protocol.TaskId;
+
+/** How much of a job fits on the machines as they are, by its constraints on placement. */
+final class FreeCapacity {
+  private FreeCapacity() {}
+
+  /**
+   * How many more tasks of the job fit.
+   *
+   * @param held the workers that hold tasks, of all jobs
+   */
+  static int tasksThatFit(JobSpec job, Map<TaskId, SimWorker> held, List<SimWorker> machines) {
+    Map<String, Integer> inZones = new HashMap<>();
+    held.forEach(
+        (task, machine) -> {
+          if (task.job().equals(job.id())) {
+            inZones.merge(machine.zone, 1, Integer::sum);
+          }
+        });
+    Map<String, Integer> fitting = new HashMap<>();
+    for (SimWorker machine : machines) {
+      if (isSuitable(job, machine)
+          && (!job.oneZone() || inZones.isEmpty() || inZones.containsKey(machine.zone))) {
+        fitting.merge(machine.zone, (int) job.perTask().timesIn(machine.free()), Integer::sum);
+      }
+    }
+    fitting.replaceAll(
+        (zone, tasks) -> Math.min(tasks, job.mostPerZone() - inZones.getOrDefault(zone, 0)));
+    return job.oneZone()
+        ? fitting.values().stream().max(Integer::compare).orElse(0)
+        : fitting.values().stream().mapToInt(Integer::intValue).sum();
+  }
+
+  /** Whether the job may run on the machine, by type, zone and purchase kind. */
+  static boolean isSuitable(JobSpec job, SimWorker machine) {
+    return (job.types() == null || job.types().contains(machine.type))
+        && (job.zone() == null || job.zone().equals(machine.zone))
+        && (!machine.spot || job.spotAllowed());
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/NetworkFaults.java
@@ -0,0 +1,231 @@
+package madderrudder.sim;
+
+import java.util.List;
+
+/** Scripts of messages that come late, twice or not at all. See {@link FaultCombination}. */
+final class NetworkFaults {
+  private NetworkFaults() {}
+
+  /**
+   * Copies of heartbeats arrive after newer ones, up to four leases late, at old and new leaders
+   * and at other controllers.
+   */
+  static final class LateHeartbeats extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      cluster.network.delayHeartbeatCopies(0.4, 50 * SECOND, 40 * SECOND);
+      in(cluster, 12, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+      in(
+          cluster,
+          25,
+          () ->
+              cluster.cloud.workers().stream()
+                  .filter(worker -> cluster.scheduler.chance(0.2))
+                  .forEach(cluster.cloud::terminate));
+      in(cluster, 32, () -> cluster.store.failRangeReads(3 * SECOND));
+      in(cluster, 32, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.network.lateHeartbeats > 20;
+    }
+  }
+
+  /** The leader crashes while some machines can't be reached, or receive no answer. */
+  static final class FailoverWithUnreachableMachines extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.invariants.runningTasks();
+      for (SimWorker worker : cluster.cloud.workers()) {
+        long forMicros = 3 * SECOND + cluster.scheduler.random.nextLong(25 * SECOND);
+        switch (cluster.scheduler.random.nextInt(3)) {
+          case 0 -> cluster.network.blockInbound(worker.id, forMicros);
+          case 1 ->
+              cluster
+                  .controllers()
+                  .forEach(
+                      name ->
+                          cluster.network.partition(
+                              name, worker.id, cluster.scheduler.chance(0.5), forMicros));
+          default -> {}
+        }
+      }
+      in(cluster, 1, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+      in(cluster, 14, () -> cluster.crash(cluster.leader(), SECOND / 3));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return before > 5;
+    }
+  }
+
+  /**
+   * The leader keeps only its workers and users, while jobs are cancelled through its successor.
+   */
+  static final class IsolatedLeaderDuringCancellations extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      cluster.isolateFromStoreAndPeers(
+          cluster.leader(), cluster.scheduler.chance(0.5), 45 * SECOND);
+      in(cluster, 6, () -> cluster.users.cancelRunning(5));
+      for (int second = 7; second < 40; second++) {
+        in(
+            cluster,
+            second,
+            () -> seen = Math.max(seen, cluster.invariants.runningCancelledTasks()));
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > 0;
+    }
+  }
+
+  /**
+   * Commands and answers are buffered for seconds and then delivered; machines hang for almost a
+   * lease.
+   */
+  static final class DelayedCommands extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.invariants.starts;
+      for (int second = 0; second < 40; second += 4) {
+        in(
+            cluster,
+            second,
+            () -> {
+              for (SimWorker worker : cluster.cloud.workers()) {
+                switch (cluster.scheduler.random.nextInt(5)) {
+                  case 0 ->
+                      cluster.network.partition(
+                          cluster.leader(),
+                          worker.id,
+                          true,
+                          SECOND + cluster.scheduler.random.nextLong(8 * SECOND));
+                  case 1 -> worker.hang(SECOND + cluster.scheduler.random.nextLong(8 * SECOND));
+                  default -> {}
+                }
+              }
+            });
+      }
+      in(cluster, 20, () -> cluster.users.cancelRunning(3));
+      in(cluster, 22, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.invariants.starts > before;
+    }
+  }
+
+  /**
+   * Old heartbeats reach every controller just as another one becomes leader, and again after it
+   * has acted.
+   */
+  static final class HeartbeatsReplayedToNextLeader extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      before = cluster.heartbeatReplay.delivered;
+      List<String> services = submitServices(cluster, 8);
+      for (int second = 0; second < 54; second += 18) {
+        in(
+            cluster,
+            second,
+            () -> cluster.replayHeartbeatsToNextLeader(0.5, 9 * SECOND, 17 * SECOND));
+        // The captured heartbeats don't show what is started after them and cancelled just before
+        // the leader crashes; all teams are at their limits, and other jobs wait for the capacity.
+        in(
+            cluster,
+            second + 9,
+            () -> {
+              List<String> known = running(cluster, services);
+              known.stream()
+                  .filter(job -> cluster.scheduler.chance(0.5))
+                  .forEach(cluster.users::cancel);
+              in(cluster, 3, () -> services.addAll(submitServices(cluster, 2)));
+              cluster.scheduler.after(
+                  3 * SECOND + cluster.scheduler.random.nextLong(SECOND),
+                  () ->
+                      running(cluster, services).stream()
+                          .filter(job -> !known.contains(job))
+                          .forEach(cluster.users::cancel));
+            });
+        in(
+            cluster,
+            second + 13,
+            () -> {
+              if (cluster.scheduler.chance(0.7)) {
+                cluster.crash(
+                    cluster.leader(), SECOND / 2 + cluster.scheduler.random.nextLong(4 * SECOND));
+              } else {
+                cluster.store.refuse(cluster.leader(), 6 * SECOND);
+              }
+            });
+      }
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return cluster.heartbeatReplay.delivered > before + 15;
+    }
+  }
+
+  /** Workers can't open connections to any controller, while direct commands still reach them. */
+  static final class OutboundBlockedWorkers extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      List<SimWorker> blocked =
+          cluster.cloud.workers().stream()
+              .filter(
+                  worker -> cluster.invariants.tasksOn(worker) > 0 && cluster.scheduler.chance(0.6))
+              .toList();
+      before = blocked.stream().mapToLong(SimWorker::session).sum();
+      blocked.forEach(
+          worker ->
+              cluster.network.blockOutbound(
+                  worker.id, 20 * SECOND + cluster.scheduler.random.nextLong(20 * SECOND)));
+      in(cluster, 2, () -> cluster.users.cancelRunning(3));
+      in(cluster, 5, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+      in(cluster, 17, () -> cluster.users.cancelRunning(3));
+      in(cluster, 38, () -> seen = blocked.stream().mapToLong(SimWorker::session).sum());
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return seen > before;
+    }
+  }
+
+  /**
+   * A zone with workers and a controller is partitioned for longer than a lease, with the leader in
+   * it or without.
+   */
+  static final class ZonePartitioned extends FaultScript {
+    @Override
+    void inject(SimulatedCluster cluster) {
+      String leaders = cluster.zoneOf(cluster.leader());
+      String other = leaders.equals("east") ? "west" : "east";
+      String zone = cluster.scheduler.chance(0.3) ? leaders : other;
+      before = cluster.busySessions(zone).size();
+      // The controller that answers for the leader there doesn't know of what is cancelled while
+      // its machine hangs.
+      cluster
+          .busySessions(zone)
+          .keySet()
+          .forEach(
+              worker -> worker.hang(5 * SECOND + cluster.scheduler.random.nextLong(2 * SECOND)));
+      cluster.scheduler.after(SECOND / 5, () -> cluster.users.cancelRunning(8));
+      in(cluster, 3, () -> cluster.partitionZone(zone, cluster.scheduler.chance(0.5), 45 * SECOND));
+      in(cluster, 10, () -> cluster.users.cancelRunning(4));
+      in(cluster, 28, () -> cluster.users.cancelRunning(2));
+    }
+
+    @Override
+    boolean tookEffect(SimulatedCluster cluster) {
+      return before > 0;
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/PartialFailuresTest.java
@@ -0,0 +1,394 @@
+package madderrudder.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.LongStream;
+import java.util.stream.Stream;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.protocol.JobSpec;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.Priority;
+import madderrudder.protocol.TaskId;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Partial failures: one-way partitions, duplicated messages, isolated controllers, processes that
+ * flap and machines that restart. Each is played alone, beside another, beside a crash of the
+ * leader and beside a store outage. Every invariant is checked after each step, and at the end that
+ * nobody was forgotten and everybody served. A longer search: {@code mvn -B test
+ * -Dtest=PartialFailuresTest -DargLine=-DpartialSeeds=500}.
+ */
+@Timeout(60)
+class PartialFailuresTest {
+  private static final long SEEDS = Long.getLong("partialSeeds", 5);
+  private static final long SECOND = SimulatedCluster.SECOND;
+  private static final OperatorPolicy POLICY = SimPolicies.smallCluster(60, true, false);
+  private static final long NEVER_ENDS = 1_000 * SECOND;
+  private static final long[] DURATIONS = {5 * SECOND, 25 * SECOND, NEVER_ENDS};
+
+  /** A partial failure; those that may last for the rest of the run do with each third seed. */
+  private enum PartialFailure {
+    ONE_MACHINE_INBOUND_BLOCKED {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.network.blockInbound(busiest(cluster).id, forMicros);
+      }
+    },
+    SOME_MACHINES_INBOUND_BLOCKED {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.cloud.workers().stream()
+            .filter(worker -> cluster.scheduler.chance(0.2))
+            .forEach(worker -> cluster.network.blockInbound(worker.id, forMicros));
+      }
+    },
+    ZONE_INBOUND_BLOCKED {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.cloud.workers().stream()
+            .filter(worker -> worker.zone.equals("west"))
+            .forEach(
+                worker ->
+                    cluster.network.blockInbound(worker.id, Math.min(forMicros, 40 * SECOND)));
+      }
+    },
+    DUPLICATED_MESSAGES {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.network.duplicateMessages(Math.min(forMicros, 60 * SECOND), 40 * SECOND);
+      }
+    },
+    LEADER_ISOLATED {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.isolateFromStoreAndPeers(
+            cluster.leader(), cluster.scheduler.chance(0.5), Math.min(forMicros, 120 * SECOND));
+      }
+    },
+    FOLLOWER_ISOLATED {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.isolateFromStoreAndPeers(
+            follower(cluster), cluster.scheduler.chance(0.5), Math.min(forMicros, 120 * SECOND));
+      }
+    },
+    LEADER_FLAPPING {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.flap(cluster.leader());
+      }
+    },
+    /** The leader crashes, and then whoever stands for election, again and again. */
+    CANDIDATES_FLAPPING {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        cluster.crash(cluster.leader(), 2 * SECOND);
+        for (int tenth = 25; tenth < 60; tenth += 5) {
+          cluster.scheduler.after(
+              tenth * SECOND / 10, () -> cluster.controllers().forEach(cluster::flap));
+        }
+      }
+    },
+    MACHINES_RESTART {
+      @Override
+      void inject(SimulatedCluster cluster, long forMicros) {
+        for (SimWorker worker : cluster.cloud.workers()) {
+          if (cluster.scheduler.chance(0.4)) {
+            cluster.scheduler.after(
+                cluster.scheduler.random.nextLong(20 * SECOND),
+                () -> worker.restart(cluster.scheduler.chance(0.5)));
+          }
+        }
+      }
+    };
+
+    abstract void inject(SimulatedCluster cluster, long forMicros);
+  }
+
+  /** What goes wrong besides. */
+  private enum AdditionalFault {
+    NOTHING,
+    LEADER_CRASHES,
+    STORE_OUTAGE
+  }
+
+  private static SimWorker busiest(SimulatedCluster cluster) {
+    return cluster.cloud.workers().stream()
+        .max(Comparator.comparingLong(cluster.invariants::tasksOn))
+        .orElseThrow();
+  }
+
+  private static String follower(SimulatedCluster cluster) {
+    return cluster.controllers().stream()
+        .filter(name -> !name.equals(cluster.leader()))
+        .findFirst()
+        .orElseThrow();
+  }
+
+  private static SimulatedCluster clusterAfterOneMinute(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, POLICY);
+    cluster.users.addGuestsAndFailingJobs();
+    cluster.users.submitRandomJobs(3_000_000, 140 * SECOND);
+    cluster.runUntil(60 * SECOND);
+    return cluster;
+  }
+
+  private static void assertEverybodyServedAtEnd(SimulatedCluster cluster, String scenario) {
+    cluster.runUntil(200 * SECOND);
+    cluster.users.pollAllJobs();
+    cluster.runUntil(290 * SECOND);
+    cluster.invariants.checkAtEnd();
+    cluster.assertNoViolations(scenario);
+  }
+
+  static Stream<Arguments> failures() {
+    return LongStream.rangeClosed(1, SEEDS)
+        .boxed()
+        .flatMap(
+            seed ->
+                Arrays.stream(PartialFailure.values())
+                    .flatMap(
+                        failure ->
+                            Arrays.stream(AdditionalFault.values())
+                                .map(additional -> Arguments.of(failure, additional, seed))));
+  }
+
+  @ParameterizedTest(name = "{0} beside {1}, seed {2}")
+  @MethodSource("failures")
+  @Timeout(20)
+  void invariantsHoldAndEverybodyIsServed(
+      PartialFailure failure, AdditionalFault additional, long seed) {
+    SimulatedCluster cluster = clusterAfterOneMinute(seed);
+    failure.inject(cluster, DURATIONS[(int) (seed % DURATIONS.length)]);
+    cluster.runUntil(62 * SECOND);
+    switch (additional) {
+      case LEADER_CRASHES -> cluster.crash(cluster.leader(), 3 * SECOND);
+      case STORE_OUTAGE -> cluster.store.outage(12 * SECOND);
+      case NOTHING -> {}
+    }
+    assertEverybodyServedAtEnd(cluster, failure + " beside " + additional);
+  }
+
+  static Stream<Arguments> pairs() {
+    return LongStream.rangeClosed(1, (SEEDS + 4) / 5)
+        .boxed()
+        .flatMap(
+            seed ->
+                SimulatedCluster.pairs(PartialFailure.values())
+                    .map(pair -> Arguments.of(pair, 100 + seed)));
+  }
+
+  @ParameterizedTest(name = "{0}, seed {1}")
+  @MethodSource("pairs")
+  void invariantsHoldThroughTwoFailures(List<PartialFailure> pair, long seed) {
+    SimulatedCluster cluster = clusterAfterOneMinute(seed);
+    for (PartialFailure failure : pair) {
+      failure.inject(cluster, DURATIONS[(int) ((seed - 100) % DURATIONS.length)]);
+      cluster.runUntil(cluster.scheduler.nowMicros + cluster.scheduler.random.nextLong(8 * SECOND));
+    }
+    assertEverybodyServedAtEnd(cluster, pair.toString());
+  }
+
+  /**
+   * The tasks of a machine that no reply reaches any more run elsewhere two leases and a few
+   * heartbeats later, and nothing is started there in vain. What an earlier leader had started
+   * there once stayed recorded for the rest of the run.
+   */
+  @ParameterizedTest(name = "leader crashes {0}")
+  @ValueSource(booleans = {false, true})
+  void tasksOfAMachineThatNoReplyReachesAreMoved(boolean leaderCrashes)
+      throws MalformedMessageException {
+    for (long seed = 1; seed <= 4; seed++) {
+      SimulatedCluster cluster = clusterAfterOneMinute(seed);
+      SimWorker unreached = busiest(cluster);
+      assertTrue(
+          cluster.invariants.tasksOn(unreached) > 1,
+          "only " + cluster.invariants.tasksOn(unreached) + " tasks to lose");
+      cluster.network.blockInbound(unreached.id, NEVER_ENDS);
+      if (leaderCrashes) {
+        cluster.crash(cluster.leader(), 3 * SECOND);
+      }
+      // A worker that gets no reply sends a heartbeat each five seconds, to each controller in
+      // turn.
+      long suspected = 0;
+      for (int second = 65; second <= 110; second++) {
+        cluster.runUntil(second * SECOND);
+        suspected =
+            Math.max(
+                suspected,
+                cluster.query(cluster.leader(), "/metrics").count("machines_in_doubt", 0));
+      }
+      assertTrue(suspected > 0, "no machine was suspected, seed " + seed);
+      for (int second = 111; second < 140; second++) {
+        cluster.runUntil(second * SECOND);
+        Set<TaskId> there =
+            cluster.store.placementLog.tasks().stream()
+                .filter(task -> unreached.id.equals(cluster.store.placementLog.machineOf(task)))
+                .filter(task -> cluster.invariants.isLive(task.job()))
+                .collect(Collectors.toSet());
+        assertEquals(Set.of(), there, "recorded at " + second + " s, seed " + seed);
+      }
+      cluster.assertNoViolations("inbound blocked, leader crashes " + leaderCrashes);
+    }
+  }
+
+  /**
+   * A late copy of a heartbeat does not bring back a machine that was returned: nothing is placed
+   * there.
+   */
+  @Test
+  void lateHeartbeatsDoNotReviveAReturnedMachine() {
+    SimulatedCluster cluster = clusterAfterOneMinute(1);
+    SimWorker gone =
+        cluster.cloud.workers().stream().filter(worker -> worker.spot).findFirst().orElseThrow();
+    cluster.cloud.terminate(gone);
+    cluster.runUntil(80 * SECOND);
+    cluster.crash(cluster.leader(), 3 * SECOND);
+    cluster.runUntil(82 * SECOND);
+    assertTrue(gone.token() > 0);
+    for (int second = 82; second < 110; second++) {
+      cluster.deliverLateHeartbeat(cluster.leader(), gone, 1, second, false);
+      cluster.runUntil(second * SECOND + SECOND / 2);
+      assertTrue(
+          cluster.store.placementLog.tasks().stream()
+              .noneMatch(task -> gone.id.equals(cluster.store.placementLog.machineOf(task))),
+          "a task is placed there at " + second + " s");
+    }
+    cluster.assertNoViolations("late heartbeats of a returned machine");
+  }
+
+  /**
+   * Heartbeats that can't be true are refused, or taken for what they say, and disturb nothing
+   * else.
+   */
+  @Test
+  void impossibleHeartbeatsDisturbNothing() {
+    SimulatedCluster cluster = clusterAfterOneMinute(1);
+    String leader = cluster.leader();
+    String job =
+        cluster.users.submitted.stream()
+            .filter(one -> !cluster.invariants.finished(one))
+            .findFirst()
+            .orElseThrow();
+    String head =
+        "{\"vessel\":\"%s\",\"addr\":\"%s\",\"build\":\"%s\",\"berth\":\"%s\",\"watch\":1,\"knot\":1,\"helm\":%s,";
+    String tail = "\"strokes\":[{\"stroke\":\"%s\",\"launch\":%s,\"trim\":\"running\"}]}";
+    List<Integer> statuses = new ArrayList<>();
+    for (String report :
+        List.of(
+            head.formatted("m-900000", "10.9.0.1:1", "small", "east", Long.MAX_VALUE)
+                + tail.formatted(job + "/0", 1),
+            head.formatted("m-900001", "nowhere", "small", "east", "18446744073709551615")
+                + tail.formatted(job + "/0", 1),
+            head.formatted("m-900002", "10.9.0.1:1", "no-such-type", "no-such-zone", 0)
+                + tail.formatted(job + "/999999", 7),
+            head.formatted("m-900003", "10.9.0.1:1", "small", "east", 0)
+                + tail.formatted("req-999999/0", Long.MAX_VALUE),
+            "{\"vessel\":7}",
+            "[]")) {
+      cluster.sendHeartbeat(leader, report, response -> statuses.add(response.status()));
+    }
+    cluster.runUntil(cluster.scheduler.nowMicros + SECOND);
+    assertEquals(List.of(200, 200, 400, 400, 400, 400), statuses.stream().sorted().toList());
+    assertEquals(leader, cluster.leader());
+    int starts = cluster.invariants.starts;
+    assertEverybodyServedAtEnd(cluster, "impossible heartbeats");
+    assertTrue(cluster.invariants.starts > starts + 20, "nothing runs any more, seed 1");
+  }
+
+  /**
+   * A controller without store and peers sends users and workers elsewhere, reports itself
+   * unhealthy at once, and serves again afterwards.
+   */
+  @ParameterizedTest(name = "leader {0}")
+  @ValueSource(booleans = {false, true})
+  void anIsolatedControllerIsUnhealthyUntilReconnected(boolean leads) {
+    SimulatedCluster cluster = clusterAfterOneMinute(1);
+    String isolated = leads ? cluster.leader() : follower(cluster);
+    cluster.isolateFromStoreAndPeers(isolated, false, 40 * SECOND);
+    assertEquals(200, cluster.statusOf(isolated, "/healthz", SECOND));
+    cluster.runUntil(70 * SECOND);
+    assertEquals(503, cluster.statusOf(isolated, "/healthz", SECOND));
+    for (String name : cluster.controllers()) {
+      assertTrue(name.equals(isolated) || cluster.statusOf(name, "/healthz", SECOND) == 200, name);
+    }
+    // One request probes whether the store is back; those beside it don't wait for it.
+    String job =
+        cluster.users.submitted.stream()
+            .filter(one -> !cluster.invariants.finished(one))
+            .findFirst()
+            .orElseThrow();
+    List<Integer> answers = new ArrayList<>();
+    for (int i = 0; i < 5; i++) {
+      cluster.requestStatus(isolated, "/v1/jobs/" + job, answers::add);
+    }
+    cluster.runUntil(cluster.scheduler.nowMicros + SECOND / 2);
+    assertTrue(answers.size() >= 4, "only " + answers);
+    assertEquals(Set.of(503), Set.copyOf(answers));
+    cluster.runUntil(106 * SECOND);
+    assertEquals(200, cluster.statusOf(isolated, "/healthz", SECOND));
+    assertEquals(200, cluster.statusOf(isolated, "/v1/jobs/" + job, SECOND));
+  }
+
+  /**
+   * One array of 25,000 tasks of a quarter of a processor beside the ordinary load, leaders
+   * crashing in the middle of it: it completes, nobody else is starved, and heartbeats, replies,
+   * values and rates keep within their bounds, which the simulated services check.
+   */
+  @Test
+  void aHugeArrayCompletesBesideOrdinaryJobs() {
+    OperatorPolicy policy = SimPolicies.largeCluster(600, false);
+    SimulatedCluster cluster = new SimulatedCluster(7, policy, SimulatedCluster.Size.LARGE);
+    cluster.users.submitRandomJobs(4_000_000, 100 * SECOND);
+    cluster.runUntil(20 * SECOND);
+    JobSpec huge =
+        JobSpecBuilder.job("req-500000", "huge")
+            .priority(Priority.LOW)
+            .tasks(25_000)
+            .perTask(0.25, 0.9)
+            .image("img-huge", 0.5)
+            .estimateMicros(4_000_000)
+            .build();
+    cluster.users.submitJob(huge);
+    cluster.scheduler.after(15 * SECOND, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+    cluster.scheduler.after(40 * SECOND, () -> cluster.crash(cluster.leader(), SECOND / 5));
+    cluster.runUntil(170 * SECOND);
+    cluster.users.pollAllJobs();
+    cluster.runUntil(260 * SECOND);
+    cluster.invariants.checkAtEnd();
+    cluster.assertNoViolations("huge array");
+    assertTrue(cluster.invariants.finished(huge.id()), "the huge array did not complete");
+  }
+
+  /**
+   * A store outage that empties the machines does not have them returned: waiting jobs find them
+   * there when it is over.
+   */
+  @ParameterizedTest(name = "seed {0}")
+  @ValueSource(longs = {2, 3, 5})
+  void machinesEmptiedByAnOutageAreKept(long seed) {
+    SimulatedCluster cluster = clusterAfterOneMinute(seed);
+    List<SimWorker> rented =
+        cluster.cloud.workers().stream().filter(worker -> !cluster.cloud.isOwned(worker)).toList();
+    assertTrue(rented.size() > 1, "only " + rented.size() + " machines are rented");
+    cluster.store.outage(60 * SECOND);
+    cluster.runUntil(118 * SECOND);
+    assertEquals(0, cluster.invariants.runningTasks(), "leases last longer than thought");
+    cluster.runUntil(126 * SECOND);
+    assertEquals(
+        List.of(), rented.stream().filter(SimWorker::gone).map(worker -> worker.id).toList());
+    assertEverybodyServedAtEnd(cluster, "store outage of a minute");
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/RunTimeLearningTest.java
@@ -0,0 +1,155 @@
+package madderrudder.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.persistence.Keys;
+import madderrudder.protocol.Fields;
+import madderrudder.protocol.MalformedMessageException;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What controllers learn of run times survives failovers, and costs few writes. */
+@Timeout(60)
+class RunTimeLearningTest {
+  private static final long SECOND = SimulatedCluster.SECOND;
+
+  private static SimulatedCluster cluster(long seed, SimulatedCluster.Size size) {
+    OperatorPolicy policy = SimPolicies.largeCluster(600, true);
+    SimulatedCluster cluster = new SimulatedCluster(seed, policy, size);
+    cluster.users.submitRandomJobs(2_000_000, 200 * SECOND);
+    return cluster;
+  }
+
+  private static Fields learned(SimulatedCluster cluster) throws MalformedMessageException {
+    return cluster.query(cluster.leader(), "/metrics").object("run_times");
+  }
+
+  private static long runs(SimulatedCluster cluster) throws MalformedMessageException {
+    Fields classes = learned(cluster).object("ratio_to_guess");
+    return classes.has("sweep") ? classes.object("sweep").count("runs") : 0;
+  }
+
+  private static void failOver(SimulatedCluster cluster, long untilSecond) {
+    String before = cluster.leader();
+    cluster.crash(before, 60 * SECOND);
+    cluster.runUntil(untilSecond * SECOND);
+    assertNotEquals(before, cluster.leader());
+  }
+
+  @Test
+  void aNewLeaderKnowsWhatEarlierOnesLearned() throws MalformedMessageException {
+    SimulatedCluster cluster = cluster(2, SimulatedCluster.Size.SMALL);
+    cluster.runUntil(120 * SECOND);
+    assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs learned");
+    long kinds = learned(cluster).count("kinds");
+    failOver(cluster, 128);
+    Fields after = learned(cluster);
+    assertTrue(
+        after.count("learned") < 8, "already it has itself learned " + after.count("learned"));
+    assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs known after the failover");
+    assertTrue(after.count("kinds") >= kinds / 2, after.count("kinds") + " kinds of " + kinds);
+    cluster.assertNoViolations("failover");
+  }
+
+  /**
+   * Stored run times that can't be read once would have ended each failover: now learning starts
+   * afresh.
+   */
+  @ParameterizedTest(name = "{0}")
+  @ValueSource(
+      strings = {
+        "{}",
+        "{\"d\":7}",
+        "{\"d\":\"\"}",
+        "{\"d\":\"AgAAAAAAAAAA\"}",
+        "{\"d\":\"no base64!\"}",
+        "{\"d\":\"AQAAAAAAAAAAeJwDAAAAAAE=\"}"
+      })
+  void unreadableRunTimesAreIgnoredAtFailover(String value) throws MalformedMessageException {
+    SimulatedCluster cluster = cluster(2, SimulatedCluster.Size.SMALL);
+    cluster.runUntil(100 * SECOND);
+    String before = cluster.leader();
+    cluster.crash(before, 200 * SECOND);
+    assertTrue(
+        cluster.store.corrupt(Keys.RUN_TIMES, value.getBytes(StandardCharsets.UTF_8)) > 0,
+        "no run times to damage");
+    cluster.runUntil(110 * SECOND);
+    assertNotEquals(before, cluster.leader());
+    int starts = cluster.invariants.starts;
+    cluster.runUntil(200 * SECOND);
+    assertTrue(cluster.invariants.starts > starts, "nothing starts any more");
+    assertTrue(learned(cluster).count("learned") > 0, "nothing is learned any more");
+    cluster.assertNoViolations("unreadable run times");
+  }
+
+  /**
+   * A leader that was paused beyond its lease goes on with what it was about to do, the next write
+   * of run times too.
+   */
+  @Test
+  void aReplacedLeaderWritesNoRunTimes() {
+    SimulatedCluster cluster = cluster(3, SimulatedCluster.Size.SMALL);
+    for (int round = 0; round < 4; round++) {
+      cluster.runUntil((50 + 35 * round) * SECOND);
+      String before = cluster.leader();
+      cluster.pause(before, 12 * SECOND);
+      cluster.runUntil((60 + 35 * round) * SECOND);
+      assertNotEquals(before, cluster.leader());
+    }
+    cluster.runUntil(200 * SECOND);
+    assertTrue(
+        cluster.store.runTimeWrites > 5,
+        "only " + cluster.store.runTimeWrites + " values were written");
+    cluster.assertNoViolations("paused leaders");
+  }
+
+  /** With about 400 machines, at most a hundredth of all writes are of run times. */
+  @Test
+  void learningTakesFewWrites() throws MalformedMessageException {
+    SimulatedCluster cluster = cluster(4, SimulatedCluster.Size.LARGE);
+    cluster.runUntil(60 * SECOND);
+    long written = cluster.store.writesApplied;
+    long runTimes = cluster.store.runTimeWrites;
+    cluster.runUntil(110 * SECOND);
+    written = cluster.store.writesApplied - written;
+    runTimes = cluster.store.runTimeWrites - runTimes;
+    assertTrue(runTimes >= 3, "only " + runTimes + " values were written");
+    assertTrue(
+        100 * runTimes <= written, runTimes + " of " + written + " writes were of run times");
+    assertTrue(
+        learned(cluster).count("learned") > 500,
+        "only " + learned(cluster).count("learned") + " runs learned");
+  }
+
+  /** Operators collect what has run, a part a request. */
+  @Test
+  void theHistoryOfRunsIsServedInParts() throws MalformedMessageException {
+    SimulatedCluster cluster = cluster(5, SimulatedCluster.Size.LARGE);
+    cluster.runUntil(90 * SECOND);
+    long next = 0;
+    int runs = 0;
+    while (true) {
+      Fields part = cluster.query(cluster.leader(), "/history/" + next);
+      assertEquals(0, part.count("missed"));
+      if (part.objects("runs").isEmpty()) {
+        break;
+      }
+      runs += part.objects("runs").size();
+      assertEquals(runs, part.count("next"));
+      next = part.count("next");
+    }
+    assertTrue(runs > 500, "only " + runs + " runs");
+    String follower =
+        cluster.controllers().stream()
+            .filter(name -> !cluster.leads(name))
+            .findFirst()
+            .orElseThrow();
+    assertTrue(cluster.query(follower, "/history/0").text("error").contains(cluster.leader()));
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/SimNetwork.java
@@ -0,0 +1,282 @@
+package madderrudder.sim;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.function.Consumer;
+import madderrudder.transport.HttpCaller;
+import madderrudder.transport.HttpHandler;
+import madderrudder.transport.HttpRequest;
+import madderrudder.transport.HttpResponse;
+import madderrudder.transport.Scheduler;
+
+/**
+ * A network between named hosts, with delays, lost and duplicated messages and partitions. A
+ * partition either drops messages or buffers them and delivers them when it ends, even though the
+ * sender has given up. Faults end by themselves after the time given.
+ */
+final class SimNetwork {
+  private static final long LATENCY_MICROS = 800;
+
+  private final SimScheduler scheduler;
+  private final double lossRate;
+  private final Map<String, Endpoint> endpoints = new HashMap<>();
+  private final Map<String, Partition> partitions = new HashMap<>();
+
+  /** The zone of each host; store, cloud and users belong to the region, and are in no zone. */
+  private final Map<String, String> zones = new HashMap<>();
+
+  /** Hosts whose messages arrive while nothing reaches them. */
+  private final Set<String> inboundBlocked = new HashSet<>();
+
+  /** Machines that can open no connection to any controller, while direct commands reach them. */
+  private final Set<String> outboundBlocked = new HashSet<>();
+
+  /** Copies of heartbeats that wait for the next leader. */
+  private final List<Consumer<String>> captured = new ArrayList<>();
+
+  private double captureRate;
+  private int latencyFactor = 1;
+  private long duplicatesUntilMicros;
+  private long maxDuplicateDelayMicros;
+  private long lateHeartbeatsUntilMicros;
+  private long maxHeartbeatDelayMicros;
+  private double lateHeartbeatRate;
+
+  /** Copies of heartbeats that have arrived at least two seconds late. */
+  int lateHeartbeats;
+
+  /** What answers at an address, and on which host. */
+  private record Endpoint(String host, HttpHandler handler) {}
+
+  /** A partition between two hosts or around a zone, with what it buffers until it ends. */
+  private static final class Partition {
+    final boolean buffered;
+    final List<Runnable> messages = new ArrayList<>();
+
+    Partition(boolean buffered) {
+      this.buffered = buffered;
+    }
+  }
+
+  SimNetwork(SimScheduler scheduler, double lossRate) {
+    this.scheduler = scheduler;
+    this.lossRate = lossRate;
+  }
+
+  void serve(String address, String host, HttpHandler handler) {
+    endpoints.put(address, new Endpoint(host, handler));
+  }
+
+  void stopServing(String address) {
+    endpoints.remove(address);
+  }
+
+  private static String linkName(String a, String b) {
+    return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
+  }
+
+  void setZone(String host, String zone) {
+    zones.put(host, zone);
+  }
+
+  void partition(String a, String b, boolean buffered, long forMicros) {
+    partition(linkName(a, b), buffered, forMicros);
+  }
+
+  /**
+   * Partitions a zone from everything else; what is in it, now or later, goes on talking inside.
+   */
+  void partitionZone(String zone, boolean buffered, long forMicros) {
+    partition(zone, buffered, forMicros);
+  }
+
+  /** What the host sends arrives, and no reply and no message reaches it. */
+  void blockInbound(String host, long forMicros) {
+    if (inboundBlocked.add(host)) {
+      scheduler.after(forMicros, () -> inboundBlocked.remove(host));
+    }
+  }
+
+  /** All links take so many times as long. */
+  void slowDown(int factor, long forMicros) {
+    latencyFactor = factor;
+    scheduler.after(forMicros, () -> latencyFactor = 1);
+  }
+
+  /**
+   * The machine reaches no controller, while direct commands reach it, and its replies to them come
+   * back.
+   */
+  void blockOutbound(String machine, long forMicros) {
+    if (outboundBlocked.add(machine)) {
+      scheduler.after(forMicros, () -> outboundBlocked.remove(machine));
+    }
+  }
+
+  /** Keeps a copy of this share of heartbeats until {@link #deliverCaptured}. */
+  void captureHeartbeats(double share, long forMicros) {
+    captureRate = share;
+    scheduler.after(forMicros, () -> captureRate = 0);
+  }
+
+  /** Delivers the captured copies to the address, if a controller is there; returns how many. */
+  int deliverCaptured(String address) {
+    List.copyOf(captured).forEach(copy -> copy.accept(address));
+    return endpoints.containsKey(address) ? captured.size() : 0;
+  }
+
+  void discardCaptured() {
+    captured.clear();
+  }
+
+  /**
+   * Delivers further copies of some messages, one or several, each up to so long after the first:
+   * of a heartbeat to any controller, of everything else to its receiver. Replies to copies are
+   * dropped.
+   */
+  void duplicateMessages(long forMicros, long lateMicros) {
+    duplicatesUntilMicros = Math.max(duplicatesUntilMicros, scheduler.nowMicros + forMicros);
+    maxDuplicateDelayMicros = lateMicros;
+  }
+
+  /**
+   * Delivers a copy of this share of heartbeats to any controller, between two seconds and so long
+   * later.
+   */
+  void delayHeartbeatCopies(double share, long forMicros, long lateMicros) {
+    lateHeartbeatRate = share;
+    lateHeartbeatsUntilMicros = scheduler.nowMicros + forMicros;
+    maxHeartbeatDelayMicros = lateMicros;
+  }
+
+  private void deliverLateCopy(String from, HttpRequest report) {
+    if (scheduler.nowMicros < lateHeartbeatsUntilMicros && scheduler.chance(lateHeartbeatRate)) {
+      scheduler.after(
+          2 * SimulatedCluster.SECOND + scheduler.random.nextLong(maxHeartbeatDelayMicros),
+          () -> {
+            lateHeartbeats++;
+            deliver(from, randomController(), report, response -> {});
+          });
+    }
+  }
+
+  private void duplicate(Runnable message) {
+    while (scheduler.nowMicros < duplicatesUntilMicros && scheduler.chance(0.3)) {
+      scheduler.after(scheduler.random.nextLong(maxDuplicateDelayMicros), message);
+    }
+  }
+
+  private void partition(String key, boolean buffered, long forMicros) {
+    Partition partition = new Partition(buffered);
+    if (partitions.putIfAbsent(key, partition) == null) {
+      scheduler.after(
+          forMicros,
+          () -> {
+            partitions.remove(key);
+            partition.messages.forEach(message -> scheduler.after(LATENCY_MICROS, message));
+          });
+    }
+  }
+
+  private Partition partitionBetween(String from, String to) {
+    Partition partition = partitions.get(linkName(from, to));
+    String one = zones.get(from);
+    String other = zones.get(to);
+    if (partition != null || Objects.equals(one, other)) {
+      return partition;
+    }
+    return partitions.containsKey(one) ? partitions.get(one) : partitions.get(other);
+  }
+
+  /** Transmits one message, unless it is lost or a partition buffers it. */
+  private void transmit(String from, String to, Runnable message) {
+    Partition partition = partitionBetween(from, to);
+    if (partition != null) {
+      if (partition.buffered) {
+        partition.messages.add(message);
+      }
+      return;
+    }
+    if (!inboundBlocked.contains(to) && !scheduler.chance(lossRate)) {
+      scheduler.after(
+          latencyFactor * (LATENCY_MICROS / 2 + scheduler.random.nextLong(LATENCY_MICROS)),
+          message);
+    }
+  }
+
+  /** The HTTP client of a host. */
+  HttpCaller clientOf(String from, Scheduler clock) {
+    return (address, request, timeoutMicros, answer) -> {
+      boolean[] settled = new boolean[1];
+      Consumer<HttpResponse> once =
+          response -> {
+            if (!settled[0]) {
+              settled[0] = true;
+              answer.accept(response);
+            }
+          };
+      Endpoint target = endpoints.get(address);
+      if (target == null) {
+        clock.after(
+            scheduler.chance(0.5) ? LATENCY_MICROS : timeoutMicros,
+            () -> once.accept(HttpResponse.notSent()));
+        return;
+      }
+      if (outboundBlocked.contains(from)) {
+        clock.after(timeoutMicros, () -> once.accept(HttpResponse.notSent()));
+        return;
+      }
+      clock.after(timeoutMicros, () -> once.accept(HttpResponse.silent()));
+      transmit(
+          from,
+          target.host(),
+          () ->
+              deliver(
+                  from, address, request, response -> clock.execute(() -> once.accept(response))));
+      if (request.path().equals("/hello")) {
+        deliverLateCopy(from, request);
+        if (captureRate > 0 && scheduler.chance(captureRate)) {
+          captured.add(to -> deliver(from, to, request, response -> {}));
+        }
+      }
+      duplicate(
+          () ->
+              deliver(
+                  from,
+                  request.path().equals("/hello") ? randomController() : address,
+                  request,
+                  response -> {}));
+    };
+  }
+
+  private String randomController() {
+    List<String> controllers =
+        endpoints.keySet().stream()
+            .filter(address -> address.startsWith("10.0."))
+            .sorted()
+            .toList();
+    return controllers.isEmpty()
+        ? ""
+        : controllers.get(scheduler.random.nextInt(controllers.size()));
+  }
+
+  private void deliver(
+      String from, String address, HttpRequest request, Consumer<HttpResponse> back) {
+    Endpoint target = endpoints.get(address);
+    if (target != null) {
+      target
+          .handler()
+          .handle(request, response -> transmit(target.host(), from, () -> back.accept(response)));
+    }
+  }
+
+  void sendFrame(String from, String to, Runnable receive) {
+    transmit(from, to, receive);
+    duplicate(receive);
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/SimScheduler.java
@@ -0,0 +1,136 @@
+package madderrudder.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import madderrudder.transport.Scheduler;
+
+/**
+ * Virtual time for one simulated run, on one thread. Events run in the order of their time, and of
+ * their scheduling at the same time; between two events the clock jumps. All randomness of the run
+ * is drawn from {@link #random}, so a seed fixes the whole run.
+ */
+final class SimScheduler {
+  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  final SplittableRandom random;
+  long nowMicros;
+  private long sequence;
+
+  private record Event(long atMicros, long sequence, Runnable action) implements Comparable<Event> {
+    @Override
+    public int compareTo(Event other) {
+      int byTime = Long.compare(atMicros, other.atMicros);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
+    }
+  }
+
+  SimScheduler(long seed) {
+    random = new SplittableRandom(seed);
+  }
+
+  void after(long delayMicros, Runnable action) {
+    events.add(new Event(nowMicros + Math.max(0, delayMicros), sequence++, action));
+  }
+
+  /** Runs all events up to the time, with the check after each, and leaves the clock there. */
+  void runUntil(long untilMicros, Runnable check) {
+    while (!events.isEmpty() && events.peek().atMicros <= untilMicros) {
+      Event event = events.poll();
+      nowMicros = event.atMicros;
+      event.action.run();
+      check.run();
+    }
+    nowMicros = untilMicros;
+  }
+
+  boolean chance(double probability) {
+    return random.nextDouble() < probability;
+  }
+
+  /**
+   * The clocks and timers of one process. Its rate may be slightly wrong. Nothing of a process
+   * happens after it has ended, nor while it is paused.
+   */
+  final class HostClock implements Scheduler {
+    private final double rate;
+    private final long wallOffsetMicros;
+    private final List<Runnable> deferred = new ArrayList<>();
+    private long pausedUntilMicros;
+    boolean ended;
+
+    HostClock(double rate, long wallOffsetMicros) {
+      this.rate = rate;
+      this.wallOffsetMicros = wallOffsetMicros;
+    }
+
+    /**
+     * Pauses the process while its clocks run on; what was due meanwhile follows at once
+     * afterwards, in its order.
+     */
+    void pause(long forMicros) {
+      boolean paused = nowMicros < pausedUntilMicros;
+      pausedUntilMicros = Math.max(pausedUntilMicros, nowMicros + forMicros);
+      if (!paused) {
+        resumeLater();
+      }
+    }
+
+    private void resumeLater() {
+      SimScheduler.this.after(
+          pausedUntilMicros - nowMicros,
+          () -> {
+            if (nowMicros < pausedUntilMicros) {
+              resumeLater();
+              return;
+            }
+            List<Runnable> waiting = List.copyOf(deferred);
+            deferred.clear();
+            waiting.forEach(this::whenAwake);
+          });
+    }
+
+    /** Runs the action as the process: later if it is paused, never if it has ended. */
+    void whenAwake(Runnable action) {
+      if (ended) {
+        return;
+      }
+      if (nowMicros < pausedUntilMicros) {
+        deferred.add(action);
+      } else {
+        action.run();
+      }
+    }
+
+    @Override
+    public long nowMicros() {
+      return (long) (nowMicros * rate) + 77_000_000;
+    }
+
+    @Override
+    public long wallMicros() {
+      return 1_790_000_000_000_000L + nowMicros + wallOffsetMicros;
+    }
+
+    @Override
+    public Timer after(long delayMicros, Runnable action) {
+      boolean[] cancelled = new boolean[1];
+      SimScheduler.this.after(
+          (long) Math.ceil(delayMicros / rate),
+          () -> {
+            whenAwake(
+                () -> {
+                  if (!cancelled[0]) {
+                    action.run();
+                  }
+                });
+          });
+      return () -> cancelled[0] = true;
+    }
+
+    @Override
+    public void execute(Runnable action) {
+      after(0, action);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -0,0 +1,492 @@
+package madderrudder.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.IntConsumer;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+import madderrudder.config.PlatformSettings;
+import madderrudder.coordination.policy.Deployment;
+import madderrudder.coordination.policy.OperatorPolicy;
+import madderrudder.coordination.policy.ServiceLevelObjectives;
+import madderrudder.coordination.policy.TeamQuota;
+import madderrudder.protocol.Fields;
+import madderrudder.protocol.Json;
+import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.Resources;
+import madderrudder.protocol.TaskId;
+import madderrudder.service.ControllerNode;
+import madderrudder.transport.HttpRequest;
+import madderrudder.transport.HttpResponse;
+import madderrudder.transport.PeerMessenger;
+
+/**
+ * A whole deployment in one thread and in virtual time: three real controllers ({@link
+ * ControllerNode}) with simulated store, cloud, network, workers and users around them.
+ *
+ * <p>All randomness comes from one generator that the seed starts, so the same seed replays the
+ * same run. {@link #runUntil} lets virtual time pass and has the {@link InvariantChecker} look
+ * after each event. The methods named for faults inject one each; {@link RandomFaults} draws them.
+ */
+final class SimulatedCluster {
+  static final long SECOND = 1_000_000;
+  private static final double MESSAGE_LOSS = 0.0005;
+  private static final List<String> ZONES = List.of("east", "west");
+
+  final SimScheduler scheduler;
+  final SimNetwork network;
+  final SimStore store;
+  final SimCloud cloud;
+  final SimUsers users;
+  final InvariantChecker invariants;
+
+  /** What is really so. */
+  final Deployment deployment;
+
+  /** What the controllers' settings say; tests of the checker have it differ. */
+  private final Deployment believedDeployment;
+
+  private final long seed;
+  private final OperatorPolicy policy;
+  private final Map<String, String> addresses = new LinkedHashMap<>();
+  private final Map<String, ControllerProcess> processes = new LinkedHashMap<>();
+
+  final HeartbeatReplay heartbeatReplay = new HeartbeatReplay(this);
+
+  /** A controller process; a crash ends it, and a restart makes a new one of the same name. */
+  private record ControllerProcess(ControllerNode node, SimScheduler.HostClock clock) {}
+
+  /**
+   * How much there is of everything.
+   *
+   * @param ownedMachines machines that are there from the start and never returned
+   * @param capacityPerPool machines to be had of each type, zone and purchase kind
+   * @param guaranteedCpus the quota guaranteed to each team
+   * @param limitCpus the quota that each team can't exceed
+   * @param maxTasks the most tasks of a random job
+   */
+  record Size(
+      int ownedMachines,
+      int capacityPerPool,
+      double guaranteedCpus,
+      double limitCpus,
+      int maxTasks) {
+    /** Of so many machines at the most, an eighth of them owned. */
+    static Size of(int machines) {
+      return new Size(machines / 8, machines * 7 / 64, machines, 2.3 * machines, 300);
+    }
+
+    static final Size SMALL = new Size(4, 4, 8, 20, 8);
+
+    /** Up to 400 machines, and arrays of hundreds of tasks. */
+    static final Size LARGE = new Size(48, 44, 400, 900, 300);
+  }
+
+  /** A small cluster with the default times of workers. */
+  SimulatedCluster(long seed, OperatorPolicy policy) {
+    this(seed, policy, Size.SMALL);
+  }
+
+  SimulatedCluster(long seed, OperatorPolicy policy, Size size) {
+    this(seed, defaultWorkerTimes(), defaultWorkerTimes(), policy, size);
+  }
+
+  /**
+   * @param workers the times that the workers keep
+   * @param believed the times that the controllers take them to keep
+   */
+  SimulatedCluster(
+      long seed,
+      Deployment.WorkerTimes workers,
+      Deployment.WorkerTimes believed,
+      OperatorPolicy policy,
+      Size size) {
+    this.seed = seed;
+    this.policy = policy;
+    scheduler = new SimScheduler(seed);
+    deployment = deployment(workers, size);
+    believedDeployment = deployment(believed, size);
+    network = new SimNetwork(scheduler, MESSAGE_LOSS);
+    invariants = new InvariantChecker(scheduler, deployment);
+    store = new SimStore(scheduler, deployment.state());
+    invariants.loggedMachineOf = store.placementLog::machineOf;
+    invariants.recordsDone = store::recordsDone;
+    store.placementLog.holderOf = invariants::holderOf;
+    for (int i = 0; i < 3; i++) {
+      addresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
+    }
+    cloud =
+        new SimCloud(scheduler, network, invariants, deployment, addresses, size.capacityPerPool());
+    users = new SimUsers(scheduler, network, invariants, deployment, addresses, size.maxTasks());
+    network.serve("10.2.0.2:1", "cloud", cloud);
+    store.tick();
+    cloud.start(size.ownedMachines());
+    controllers().forEach(this::start);
+  }
+
+  private static Deployment deployment(Deployment.WorkerTimes times, Size size) {
+    return new Deployment(
+        ZONES,
+        quotas(size),
+        times,
+        new Deployment.StateLimits(200, 80, 16 * 1024, 24),
+        new Deployment.CloudLimits(4, 2 * SECOND),
+        3,
+        500_000,
+        objectives());
+  }
+
+  /** Three teams of equal quota, and a guest without a guarantee. */
+  private static Map<String, TeamQuota> quotas(Size size) {
+    Resources limit = Resources.of(size.limitCpus(), 0, 0);
+    Map<String, TeamQuota> teams = new LinkedHashMap<>();
+    for (String name : List.of("alto", "basso", "canto")) {
+      teams.put(name, new TeamQuota(name, Resources.of(size.guaranteedCpus(), 0, 0), limit));
+    }
+    teams.put(SimUsers.GUEST, new TeamQuota(SimUsers.GUEST, Resources.NONE, limit));
+    return teams;
+  }
+
+  private static ServiceLevelObjectives objectives() {
+    Map<String, Long> startWithin = new HashMap<>();
+    Map<String, List<Long>> endWithin = new HashMap<>();
+    for (String name : SimUsers.CLASSES.values()) {
+      startWithin.put(name, SECOND);
+      endWithin.put(name, List.of(60 * SECOND));
+    }
+    return new ServiceLevelObjectives(startWithin, endWithin, Map.of());
+  }
+
+  /** Heartbeats each 1.5 s, leases of 10 s, cancelled tasks gone within 30 s. */
+  static Deployment.WorkerTimes defaultWorkerTimes() {
+    return new Deployment.WorkerTimes(1_500_000, 10 * SECOND, 20 * SECOND, 4 * SECOND, 30 * SECOND);
+  }
+
+  /** Each two of the values, once. */
+  static <T> Stream<List<T>> pairs(T[] all) {
+    return IntStream.range(0, all.length)
+        .boxed()
+        .flatMap(i -> IntStream.range(i + 1, all.length).mapToObj(j -> List.of(all[i], all[j])));
+  }
+
+  List<String> controllers() {
+    return List.copyOf(addresses.keySet());
+  }
+
+  /** Where the controller serves users and workers. */
+  String addressOf(String name) {
+    return addresses.get(name);
+  }
+
+  private Map<String, String> peersOf(String name) {
+    Map<String, String> peers = new LinkedHashMap<>(addresses);
+    peers.remove(name);
+    return peers;
+  }
+
+  void start(String name) {
+    SimScheduler.HostClock clock =
+        scheduler.new HostClock(clockRate(scheduler), scheduler.random.nextLong(500_000));
+    // Each controller has its own address of the store, so that it alone can be refused.
+    String storeAddress = "10.2.1." + (controllers().indexOf(name) + 1) + ":1";
+    network.serve(storeAddress, "store", store.endpointFor(name));
+    network.setZone(name, zoneOf(name));
+    PlatformSettings settings =
+        new PlatformSettings(
+            name,
+            zoneOf(name),
+            addresses.get(name),
+            "10.0.0.9:1",
+            peersOf(name),
+            "10.2.0.2:1",
+            storeAddress,
+            believedDeployment,
+            1000);
+    ControllerNode node =
+        new ControllerNode(
+            clock,
+            network.clientOf(name, clock),
+            peersFor(name),
+            scheduler.random.split(),
+            settings,
+            policy);
+    processes.put(name, new ControllerProcess(node, clock));
+    network.serve(
+        addresses.get(name),
+        name,
+        (request, answer) -> clock.whenAwake(() -> node.handle(request, answer)));
+    node.start();
+  }
+
+  private PeerMessenger peersFor(String name) {
+    return new PeerMessenger() {
+      @Override
+      public void broadcast(ByteBuffer frame) {
+        controllers().stream()
+            .filter(other -> !other.equals(name))
+            .forEach(other -> send(other, frame));
+      }
+
+      @Override
+      public void send(String member, ByteBuffer frame) {
+        byte[] bytes = new byte[frame.remaining()];
+        frame.duplicate().get(bytes);
+        network.sendFrame(name, member, () -> receive(member, bytes));
+      }
+    };
+  }
+
+  /** The rate of a clock: wrong by 0.05 % at most, and often by just that. */
+  static double clockRate(SimScheduler scheduler) {
+    double off = scheduler.random.nextInt(3) - 1;
+    return 1 + 0.0005 * (off == 0 ? 2 * scheduler.random.nextDouble() - 1 : off);
+  }
+
+  /** Every other controller is in the second zone. */
+  String zoneOf(String name) {
+    return deployment.zones().get(controllers().indexOf(name) % 2);
+  }
+
+  private void receive(String name, byte[] bytes) {
+    ControllerProcess target = processes.get(name);
+    if (target != null) {
+      // The length prefix is read by the transport.
+      ByteBuffer body = ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice();
+      target.clock().whenAwake(() -> target.node().frame(body));
+    }
+  }
+
+  boolean leads(String name) {
+    return processes.containsKey(name) && processes.get(name).node().leads();
+  }
+
+  /** The answer of a controller to an operator's GET request. */
+  Fields query(String name, String path) {
+    List<Fields> answers = new ArrayList<>();
+    processes
+        .get(name)
+        .node()
+        .handle(
+            HttpRequest.get(path),
+            response -> {
+              try {
+                answers.add(Json.readObject(response.body()));
+              } catch (MalformedMessageException e) {
+                throw new AssertionError(path, e);
+              }
+            });
+    return answers.get(0);
+  }
+
+  /** A counter of GET /metrics, 0 if the controller is down. */
+  long metric(String name, String field) {
+    try {
+      return processes.containsKey(name) ? query(name, "/metrics").count(field) : 0;
+    } catch (MalformedMessageException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** The highest term that a controller knows of. */
+  long term() {
+    return controllers().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
+  }
+
+  /** The workers of a zone that run tasks, with their sessions. */
+  Map<SimWorker, Long> busySessions(String zone) {
+    Map<SimWorker, Long> sessions = new LinkedHashMap<>();
+    cloud.workers().stream()
+        .filter(worker -> worker.zone.equals(zone) && invariants.tasksOn(worker) > 0)
+        .forEach(worker -> sessions.put(worker, worker.session()));
+    return sessions;
+  }
+
+  /** The controller that leads, or the first one if none does. */
+  String leader() {
+    return controllers().stream().filter(this::leads).findFirst().orElse(controllers().get(0));
+  }
+
+  /**
+   * Delivers a heartbeat of a machine without tasks, or with all its tasks ended by an error, as
+   * one that was delayed for long; its reply is dropped.
+   */
+  void deliverLateHeartbeat(String node, SimWorker worker, long session, long seq, boolean exits) {
+    HttpRequest lateClient =
+        HttpRequest.post(
+            "/hello",
+            Json.object(
+                out -> {
+                  out.writeStringField("vessel", worker.id);
+                  out.writeStringField("build", worker.type);
+                  out.writeStringField("berth", worker.zone);
+                  out.writeNumberField("watch", session);
+                  out.writeNumberField("knot", seq);
+                  out.writeNumberField("helm", worker.token());
+                  out.writeArrayFieldStart("strokes");
+                  if (exits) {
+                    worker.writeTasks(out, true);
+                  }
+                  out.writeEndArray();
+                }));
+    network
+        .clientOf("late", scheduler.new HostClock(1, 0))
+        .call(addresses.get(node), lateClient, SECOND, response -> {});
+  }
+
+  /** The status of a controller's answer within the time, 0 for none. */
+  int statusOf(String node, String path, long withinMicros) {
+    int[] status = new int[1];
+    requestStatus(node, path, got -> status[0] = got);
+    runUntil(scheduler.nowMicros + withinMicros);
+    return status[0];
+  }
+
+  void requestStatus(String node, String path, IntConsumer status) {
+    network
+        .clientOf("asker", scheduler.new HostClock(1, 0))
+        .call(
+            addresses.get(node),
+            HttpRequest.get(path),
+            2 * SECOND,
+            response -> status.accept(response.status()));
+  }
+
+  /** Sends a heartbeat with the given body, whatever it says. */
+  void sendHeartbeat(String node, String deliverLateHeartbeat, Consumer<HttpResponse> answer) {
+    network
+        .clientOf("asker", scheduler.new HostClock(1, 0))
+        .call(
+            addresses.get(node),
+            HttpRequest.post("/hello", deliverLateHeartbeat.getBytes(StandardCharsets.UTF_8)),
+            2 * SECOND,
+            answer);
+  }
+
+  /** Partitions a controller from everybody but users and cloud. */
+  void isolate(String node, boolean buffered, long forMicros) {
+    partitionFromWorkers(node, buffered, forMicros);
+    network.partition(node, "store", buffered, forMicros);
+    controllers().forEach(other -> network.partition(node, other, buffered, forMicros));
+  }
+
+  void crash(String name, long forMicros) {
+    ControllerProcess ended = processes.remove(name);
+    if (ended != null) {
+      ended.clock().ended = true;
+      network.stopServing(addresses.get(name));
+      scheduler.after(forMicros, () -> start(name));
+    }
+  }
+
+  void pause(String name, long forMicros) {
+    ControllerProcess frozen = processes.get(name);
+    if (frozen != null) {
+      frozen.clock().pause(forMicros);
+    }
+  }
+
+  /** Partitions all controllers from one another. */
+  void partitionControllers(long forMicros) {
+    for (String one : controllers()) {
+      controllers().forEach(other -> network.partition(one, other, false, forMicros));
+    }
+  }
+
+  void partitionZone(String zone, boolean buffered, long forMicros) {
+    network.partitionZone(zone, buffered, forMicros);
+  }
+
+  void partitionFromWorkers(String node, boolean buffered, long forMicros) {
+    cloud.workers().forEach(worker -> network.partition(node, worker.id, buffered, forMicros));
+  }
+
+  /** All controllers crash; each restarts after its own time. */
+  void crashAll(long... forMicros) {
+    for (int i = 0; i < controllers().size(); i++) {
+      crash(controllers().get(i), forMicros[Math.min(i, forMicros.length - 1)]);
+    }
+  }
+
+  /**
+   * Tasks of live jobs whose record in the log diverges from the truth: where they are, or that
+   * they are somewhere.
+   */
+  Set<TaskId> divergentTasks() {
+    Set<TaskId> tasks = new HashSet<>(invariants.heldTasks());
+    tasks.addAll(store.placementLog.tasks());
+    tasks.removeIf(
+        task ->
+            !invariants.isLive(task.job())
+                || invariants.isCompleted(task)
+                || Objects.equals(invariants.holderOf(task), store.placementLog.machineOf(task)));
+    return tasks;
+  }
+
+  /**
+   * Users cancel running jobs within a fifth of a second, and up to eight of their machines hang
+   * for so long.
+   */
+  void cancelAndHang(int most, long hangMicros) {
+    Set<SimWorker> machines = new LinkedHashSet<>();
+    for (String job : users.cancelRunningSoon(most)) {
+      machines.addAll(invariants.machinesOf(job));
+    }
+    machines.stream().limit(8).forEach(machine -> machine.hang(hangMicros));
+  }
+
+  /** See {@link HeartbeatReplay}. */
+  void replayHeartbeatsToNextLeader(double share, long captureMicros, long withinMicros) {
+    heartbeatReplay.start(share, captureMicros, withinMicros);
+  }
+
+  /** From now on, checks every second which jobs wait though there is capacity. */
+  void checkStarvationEverySecond() {
+    invariants.checkStarvation(cloud.workers());
+    scheduler.after(SECOND, this::checkStarvationEverySecond);
+  }
+
+  /** Leaves a controller workers, users and cloud, but neither store nor other controllers. */
+  void isolateFromStoreAndPeers(String node, boolean buffered, long forMicros) {
+    network.partition(node, "store", buffered, forMicros);
+    controllers().stream()
+        .filter(other -> !other.equals(node))
+        .forEach(other -> network.partition(node, other, buffered, forMicros));
+  }
+
+  /** The process crashes and is back within half a second, up to four times in a row. */
+  void flap(String node) {
+    long atMicros = 0;
+    do {
+      scheduler.after(
+          atMicros, () -> crash(node, SECOND / 20 + scheduler.random.nextLong(SECOND * 9 / 20)));
+      atMicros += SECOND / 2 + scheduler.random.nextLong(SECOND);
+    } while (atMicros < 4 * SECOND && scheduler.chance(0.6));
+  }
+
+  /** Lets virtual time pass, with a check of the invariants after each event. */
+  void runUntil(long untilMicros) {
+    scheduler.runUntil(untilMicros, invariants::check);
+  }
+
+  /**
+   * Fails if a violation was found, by the checker or by the store.
+   *
+   * @param scenario what was played, for the message; the seed is added
+   */
+  void assertNoViolations(Object scenario) {
+    assertEquals(List.of(), invariants.violations, () -> scenario + ", seed " + seed);
+    assertEquals(List.of(), store.violations, () -> scenario + ", seed " + seed);
+  }
+}
