--- a/src/main/java/madderrudder/coordination/registry/DeleteKeyChange.java
+++ b/src/main/java/madderrudder/coordination/registry/DeleteKeyChange.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Deletes a key that is no longer needed, such as the progress of a job that is over. */
+/** Deletes a key that is no longer needed, such as a progress chunk of a job that has ended. */
 record DeleteKeyChange(String key) implements PendingChange {
   private static final Logger LOG = LoggerFactory.getLogger(DeleteKeyChange.class);
 
@@ -22,6 +22,6 @@
 
   @Override
   public void committed() {
-    LOG.debug("deleted {}", key);
+    LOG.debug("deleted key {}", key);
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/LeaderDependencies.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderDependencies.java
@@ -13,26 +13,26 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * The collaborators that a controller hands to the leader of each term it wins.
+ * The collaborators that a controller passes to the {@link LeaderTerm} of each term it wins.
  *
- * @param scheduler clock and timers of the event loop
- * @param store client of the consensus-backed key-value store
- * @param calls sends commands directly to workers
- * @param cloud client of the cloud's rental API
- * @param catalog the machine types the cloud offers
- * @param election tells whether the leader's lease on the store still holds
+ * @param scheduler the clock and timers of the event loop
+ * @param store the client of the consensus-backed key-value store
+ * @param httpCaller the HTTP client that sends commands directly to workers
+ * @param cloud the client of the cloud's rental API
+ * @param catalog the machine types that the cloud offers
+ * @param election the leader election, which tells whether the leader's lease in the store holds
  * @param deployment the platform's settings
  * @param policy the operators' settings
- * @param member this controller's name
+ * @param member the name of this controller
  * @param others the names of the other controllers
- * @param metrics where timings are recorded
- * @param renewalSafeUntilMicros until when, on the scheduler's clock in microseconds, a heartbeat
- *     may be answered without commands although the store has not been read yet
+ * @param metrics the recorder of timings
+ * @param renewalSafeUntilMicros the time, on the scheduler's clock in microseconds, until which the
+ *     leader may answer heartbeats without commands while it has not read the store yet
  */
 public record LeaderDependencies(
     Scheduler scheduler,
     StoreClient store,
-    HttpCaller calls,
+    HttpCaller httpCaller,
     CloudClient cloud,
     MachineTypeCatalog catalog,
     LeaderElection election,
--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -15,24 +15,30 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * The context that the parts of a leader share while its term lasts. Its fields are public and
- * final, in place of an accessor each, because every part of the leader reads them. Confined to the
+ * The context that all parts of a leader share during one term. The fields are public and final
+ * instead of having an accessor each, because every part of the leader reads them. Confined to the
  * event loop thread.
  */
 public final class LeaderTerm {
-  /** The leader's share of the store's write rate; the nodes divide the rest among users. */
-  private static final double LEADER_SHARE = 0.75;
+  /**
+   * The leader's share of the store's write rate; the controllers divide the rest among users'
+   * requests.
+   */
+  private static final double LEADER_WRITE_RATE_SHARE = 0.75;
 
-  /** Clock and timers of the event loop; {@link #after} stops at the end of the term. */
+  /**
+   * Clock and timers of the event loop. Its timers also run after the end of the term; those of
+   * {@link #after} and {@link #every} do not.
+   */
   public final Scheduler scheduler;
 
-  /** Client of the key-value store; its callbacks may arrive after the end of the term. */
+  /** Client of the key-value store; its callbacks may run after the end of the term. */
   public final StoreClient store;
 
-  /** Sends commands directly to workers. */
+  /** HTTP client that sends commands directly to workers. */
   public final HttpCaller calls;
 
-  /** Tells whether the leader's lease still holds, and steps down. */
+  /** The leader election: tells whether the leader's lease holds, and steps down on request. */
   public final LeaderElection election;
 
   /** The platform's settings. */
@@ -41,46 +47,50 @@
   /** The operators' settings. */
   public final OperatorPolicy policy;
 
-  /** The bounds in time that the safety rules rest on. */
+  /** Time bounds that the safety rules depend on, such as the length of a worker's lease. */
   public final SafetyBounds safety;
 
-  /** Where timings are recorded. */
+  /** The recorder of timings. */
   public final Metrics metrics;
 
-  /** The number of the term; a later leader has a higher one. */
+  /** The number of the term; it is higher than that of every earlier leader. */
   public final long number;
 
-  /** The queue through which this term's changes are committed. */
+  /** The queue that commits the changes of this term to the store. */
   public final CommitQueue commits;
 
-  /** The state of the cluster as this leader knows it. */
+  /** The leader's in-memory view of the cluster. */
   public final Cluster cluster;
 
-  /** Run times learned from finished tasks; null where the operators have turned that off. */
+  /** Run times learned from finished tasks; null if operators have turned learning off. */
   public final LearnedRunTimes learned;
 
-  /** The runs of this term, for operators. */
+  /** The task runs of this term, which operators can query. */
   public final RunHistory history;
 
-  /** Tells for how long workers may act on what other controllers answered for this leader. */
+  /**
+   * Tracks which heartbeats other controllers may have answered for this leader, and so when the
+   * lease of a silent worker has certainly expired.
+   */
   public final DelegationTracker delegation;
 
   private final TermScopedIds ids;
   private boolean closed;
 
   /**
-   * Creates the context of a term that was won.
+   * Creates the context of a term that this controller has won.
    *
    * @param dependencies the controller's collaborators
    * @param number the number of the term
-   * @param termVersion the version of the term key that this leader wrote
-   * @param onLost called when another leader has taken over; see {@link CommitQueue}
+   * @param termVersion the version of the term key as this leader wrote it
+   * @param onLost called once, on the event loop, when the queue finds that another leader has
+   *     taken over; see {@link CommitQueue}
    */
   public LeaderTerm(
       LeaderDependencies dependencies, long number, long termVersion, Runnable onLost) {
     scheduler = dependencies.scheduler();
     store = dependencies.store();
-    calls = dependencies.calls();
+    calls = dependencies.httpCaller();
     election = dependencies.election();
     deployment = dependencies.deployment();
     policy = dependencies.policy();
@@ -95,7 +105,7 @@
             number,
             termVersion,
             deployment.state().transactionWrites(),
-            deployment.state().writesPerSecond() * LEADER_SHARE,
+            deployment.state().writesPerSecond() * LEADER_WRITE_RATE_SHARE,
             onLost);
     learned = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
     history = new RunHistory(number);
@@ -104,7 +114,7 @@
     ids = new TermScopedIds(number);
   }
 
-  /** Returns an attempt number that no leader has given before; see {@link TermScopedIds}. */
+  /** Returns an attempt number that no leader has used before; see {@link TermScopedIds}. */
   public long nextAttempt() {
     return ids.nextAttempt();
   }
@@ -114,7 +124,7 @@
     return ids.nextScaleOutRequestId();
   }
 
-  /** Ends the term: nothing is committed any more, and pending actions do not run. */
+  /** Ends the term: later changes are not committed, and scheduled actions do not run. */
   public void close() {
     closed = true;
     commits.close();
@@ -125,7 +135,7 @@
     return closed;
   }
 
-  /** Repeats the action until the term ends, first after one period. */
+  /** Runs the action repeatedly until the term ends, for the first time after one period. */
   public void every(long periodMicros, Runnable action) {
     after(
         periodMicros,
@@ -135,7 +145,7 @@
         });
   }
 
-  /** Runs the action later, unless the term has ended by then. */
+  /** Runs the action once after the delay, unless the term has ended by then. */
   public void after(long delayMicros, Runnable action) {
     scheduler.after(
         delayMicros,
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -26,79 +26,84 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Run times learned from the tasks that have run, stored page by page so that the next leader
- * continues from there. Confined to the event loop thread.
+ * Estimates run times from the tasks that have run. What is learned is stored page by page, so that
+ * the next leader continues with it. Confined to the event loop thread.
  */
 public final class LearnedRunTimes implements RunTimes {
   private static final Logger LOG = LoggerFactory.getLogger(LearnedRunTimes.class);
 
   /**
-   * Limits memory: with as many jobs and the names of 1,500 machines it takes about 5 MB of the
-   * smallest controller's 64 MB heap.
+   * Limits memory: this many profiles, {@link #MAX_JOBS} jobs and the names of 1,500 machines take
+   * about 5 MB of the smallest controller's 64 MB heap.
    */
-  private static final int MAX_KINDS = 500;
+  private static final int MAX_PROFILES = 500;
 
   private static final int MAX_JOBS = 500;
 
   /**
-   * Few enough that all are written within a minute, one at a time: a new leader lacks at most the
-   * last minute, and the store gets one write in ten seconds, of the dozens a second it accepts.
+   * One page is written per {@link #PAGE_INTERVAL_MICROS}, so all pages are written within a minute
+   * and a new leader lacks at most the last minute of observations. The store receives one write in
+   * 10 seconds, of the dozens per second that it accepts.
    */
-  private static final int PAGES = 6;
+  private static final int PAGE_COUNT = 6;
 
   private static final long PAGE_INTERVAL_MICROS = 10_000_000;
   private static final int MAX_PAGE_BYTES = 15 * 1024;
 
-  /** The bytes of a stored page beside its text. */
-  private static final int PAGE_HEAD_BYTES = 64;
+  /** The bytes of a stored page in addition to its text. */
+  private static final int PAGE_OVERHEAD_BYTES = 64;
 
-  /** How long an estimate is reused: each scheduling round asks for each job that waits. */
-  private static final long ESTIMATE_LIFE_MICROS = 2_000_000;
+  /**
+   * Estimates are cached for this long, because every scheduling round needs one for each waiting
+   * job.
+   */
+  private static final long ESTIMATE_CACHE_MICROS = 2_000_000;
 
-  /** The share of runs that an estimate's interval is to contain. */
-  private static final double SHARE = 0.8;
+  /** The share of runs that the prediction interval of an estimate has to contain. */
+  private static final double INTERVAL_COVERAGE = 0.8;
 
-  /** The most classes of jobs in the metrics. */
-  private static final int MAX_CLASSES = 50;
+  /** The maximum number of job classes in the metrics. */
+  private static final int MAX_CLASSES_IN_METRICS = 50;
 
   private final LeaderTerm term;
-  private final Estimator estimator = new Estimator(MAX_KINDS, MAX_JOBS);
+  private final Estimator estimator = new Estimator(MAX_PROFILES, MAX_JOBS);
   private final EstimatePages pages;
   private int nextPage;
 
   LearnedRunTimes(LeaderTerm term) {
     this.term = term;
-    int textBytes =
-        Math.min(MAX_PAGE_BYTES, term.deployment.state().valueBytes()) - PAGE_HEAD_BYTES;
-    pages = new EstimatePages(estimator, PAGES, textBytes);
+    int maxTextBytes =
+        Math.min(MAX_PAGE_BYTES, term.deployment.state().valueBytes()) - PAGE_OVERHEAD_BYTES;
+    pages = new EstimatePages(estimator, PAGE_COUNT, maxTextBytes);
   }
 
   /**
-   * Takes over what earlier leaders have learned. A page that cannot be read is left out: learning
-   * it anew costs precision for a while, while a failed failover would stop everything.
+   * Loads the run times that earlier leaders learned. An unreadable page is logged and skipped:
+   * learning its contents again costs precision for a while, but failing here would prevent the
+   * failover.
    *
-   * @param items the stored pages, in any order
+   * @param storedPages the stored pages, in any order
    */
-  public void load(List<KeyValue> items) {
-    for (KeyValue item : items) {
+  public void load(List<KeyValue> storedPages) {
+    for (KeyValue item : storedPages) {
       try {
         pages.read(item.value().text("d"));
       } catch (MalformedMessageException | MalformedPageException e) {
-        LOG.info("page {} of run times is unreadable and left out: {}", item.key(), e.getMessage());
+        LOG.info("skipped unreadable page {} of learned run times: {}", item.key(), e.getMessage());
       }
     }
-    LOG.info("loaded run times of {} kinds of tasks", estimator.size());
+    LOG.info("loaded learned run times of {} task profiles", estimator.size());
   }
 
-  /** Starts to store, at intervals until the term ends, the pages that have changed. */
+  /** Starts to store the changed pages, one per interval, until the term ends. */
   public void startPersisting() {
-    term.every(PAGE_INTERVAL_MICROS, this::saveNextChangedPage);
+    term.every(PAGE_INTERVAL_MICROS, this::queueNextChangedPage);
   }
 
-  private void saveNextChangedPage() {
+  private void queueNextChangedPage() {
     int page = pages.nextChanged(nextPage);
     if (page >= 0) {
-      nextPage = (page + 1) % PAGES;
+      nextPage = (page + 1) % PAGE_COUNT;
       term.commits.add(new PageChange(page), Urgency.LATER);
     }
   }
@@ -110,10 +115,11 @@
     }
   }
 
-  private Estimate estimateOf(Job job) {
+  private Estimate cachedEstimate(Job job) {
     long nowMicros = term.scheduler.nowMicros();
-    if (job.expected == null || nowMicros - job.expected.askedMicros() >= ESTIMATE_LIFE_MICROS) {
-      EstimateQuery query = new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, SHARE);
+    if (job.expected == null || nowMicros - job.expected.askedMicros() >= ESTIMATE_CACHE_MICROS) {
+      EstimateQuery query =
+          new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, INTERVAL_COVERAGE);
       Estimate estimate = estimator.estimate(query);
       if (job.expected == null && LOG.isDebugEnabled()) {
         logFirstEstimate(job, query, estimate);
@@ -125,7 +131,7 @@
 
   private void logFirstEstimate(Job job, EstimateQuery query, Estimate estimate) {
     LOG.debug(
-        "{} of {} is expected to take {} ms ({} to {}): {}",
+        "job {} of class {} has an expected run time of {} ms ({} to {}): {}",
         job.spec.id(),
         job.spec.jobClass(),
         estimate.medianMicros() / 1000,
@@ -136,12 +142,12 @@
 
   @Override
   public long expectedMicros(Job job) {
-    return estimateOf(job).medianMicros();
+    return cachedEstimate(job).medianMicros();
   }
 
   @Override
   public long upperBoundMicros(Job job) {
-    return estimateOf(job).highMicros();
+    return cachedEstimate(job).highMicros();
   }
 
   @Override
@@ -150,10 +156,11 @@
     Job job = assignment.job;
     String machineType = assignment.machine.type.name();
     EstimateQuery query =
-        new EstimateQuery(job.profile, job.spec.estimateMicros(), machineType, ranMicros, SHARE);
-    long wholeMicros = estimator.estimate(query).medianMicros();
-    // Nothing is known of a task that has run for longer than any like it.
-    return wholeMicros > ranMicros ? wholeMicros - ranMicros : ranMicros;
+        new EstimateQuery(
+            job.profile, job.spec.estimateMicros(), machineType, ranMicros, INTERVAL_COVERAGE);
+    long totalMicros = estimator.estimate(query).medianMicros();
+    // A task that has run for longer than every similar one is expected to run as long again.
+    return totalMicros > ranMicros ? totalMicros - ranMicros : ranMicros;
   }
 
   @Override
@@ -161,29 +168,29 @@
     if (assignment.runningMicros < 0 || assignment.job.spec.kind() == JobKind.SERVICE) {
       return false;
     }
-    // Only for a task that has not reached its lower bound: one that still runs close to its upper
-    // bound mostly outlasts it.
+    // Only tasks that have not run past the lower bound qualify: most tasks that still run shortly
+    // before the upper bound run past it.
     long ranMicros = RunTimes.ranMicros(assignment, nowMicros);
-    Estimate estimate = estimateOf(assignment.job);
+    Estimate estimate = cachedEstimate(assignment.job);
     return ranMicros <= estimate.lowMicros() && estimate.highMicros() - ranMicros <= withinMicros;
   }
 
   /**
-   * Writes the metrics of the estimates as the field {@code run_times}: counts, and for each class
-   * of jobs how run times relate to their users' estimates.
+   * Writes the metrics of the estimates as the field {@code run_times}: counters, and for each job
+   * class the distribution of the ratio of run time to the user's estimate.
    */
   public void write(JsonGenerator out) throws IOException {
     out.writeObjectFieldStart("run_times");
     out.writeNumberField("kinds", estimator.size());
     writeCounts(out);
     out.writeObjectFieldStart("ratio_to_guess");
-    for (ClassSummary known : estimator.classes(MAX_CLASSES)) {
-      out.writeObjectFieldStart(known.jobClass());
-      out.writeNumberField("runs", known.runs());
-      out.writeNumberField("low", known.low());
-      out.writeNumberField("median", known.median());
-      out.writeNumberField("high", known.high());
-      out.writeNumberField("share", known.coverage());
+    for (ClassSummary summary : estimator.classes(MAX_CLASSES_IN_METRICS)) {
+      out.writeObjectFieldStart(summary.jobClass());
+      out.writeNumberField("runs", summary.runs());
+      out.writeNumberField("low", summary.low());
+      out.writeNumberField("median", summary.median());
+      out.writeNumberField("high", summary.high());
+      out.writeNumberField("share", summary.coverage());
       out.writeEndObject();
     }
     out.writeEndObject();
@@ -207,7 +214,10 @@
     }
   }
 
-  /** Writes one page, rendered when its transaction is built, with what is known then. */
+  /**
+   * Writes one page. The page is rendered when its transaction is built, so it contains all
+   * observations up to then.
+   */
   private final class PageChange implements PendingChange {
     private final int page;
 
@@ -228,7 +238,7 @@
 
     @Override
     public void committed() {
-      LOG.debug("{} written", name());
+      LOG.debug("wrote page {} of learned run times", name());
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/TermScopedIds.java
+++ b/src/main/java/madderrudder/coordination/registry/TermScopedIds.java
@@ -1,29 +1,35 @@
 package madderrudder.coordination.registry;
 
 /**
- * Issues ids that embed the term, so that no two leaders ever issue the same one. Confined to the
- * event loop thread.
+ * Issues ids that contain the term, so that no two leaders issue the same id. Confined to the event
+ * loop thread.
  */
 final class TermScopedIds {
-  private static final int COUNTER_BITS = 24;
+  private static final int ATTEMPT_COUNTER_BITS = 24;
 
   private final long term;
-  private long attempts;
-  private long scaleOutRequests;
+  private long attemptCount;
+  private long scaleOutRequestCount;
 
   TermScopedIds(long term) {
     this.term = term;
   }
 
-  /** The next attempt number: the term in the high bits, so a later leader's is higher. */
+  /**
+   * Returns a new attempt number. The term is in the high bits, so attempt numbers of a later
+   * leader are higher.
+   */
   long nextAttempt() {
-    attempts++;
-    return (term << COUNTER_BITS) + attempts;
+    attemptCount++;
+    return (term << ATTEMPT_COUNTER_BITS) + attemptCount;
   }
 
-  /** The next request id. The cloud answers a repeated id with the answer to the first request. */
+  /**
+   * Returns a new request id for a scale-out. The id serves as an idempotency key: the cloud
+   * answers a repeated id with the answer to the first request.
+   */
   String nextScaleOutRequestId() {
-    scaleOutRequests++;
-    return "t" + term + "-" + scaleOutRequests;
+    scaleOutRequestCount++;
+    return "t" + term + "-" + scaleOutRequestCount;
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/package-info.java
+++ b/src/main/java/madderrudder/coordination/registry/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The records of a leader's term: it reads the stored state when it takes over, and keeps the
- * cluster state and the store in step while it leads. Jobs, machines and placements, and learned
- * run times each have a registry here; machines and placements are kept in a segmented log.
+ * Synchronizes the leader's in-memory cluster state with the store. At the start of a term the
+ * stored state is read and loaded; during the term every change is queued for commit. Jobs,
+ * machines with their assignments, and learned run times are handled separately; machines and
+ * assignments are stored in a segmented log.
  */
 package madderrudder.coordination.registry;
