--- a/src/main/java/madderrudder/coordination/registry/IndexedSegment.java
+++ b/src/main/java/madderrudder/coordination/registry/IndexedSegment.java
@@ -7,59 +7,66 @@
 import madderrudder.coordination.state.Machine;
 import madderrudder.persistence.LogSegment.EndedAttempt;
 
-/** A segment of the log, committed or being built, and the objects that its entries stand for. */
+/** A segment of the log, committed or not, with the in-memory objects that its entries describe. */
 final class IndexedSegment implements LogReference {
   final int slot;
-  final long number;
+  final long sequenceNumber;
   final List<Machine> machines = new ArrayList<>();
 
   /**
-   * Those of {@link #machines} that the segment records as being returned; until it is committed.
+   * The machines among {@link #machines} that the segment records as being returned to the cloud;
+   * cleared once the segment is committed.
    */
-  final List<Machine> retiring = new ArrayList<>();
+  final List<Machine> retiringMachines = new ArrayList<>();
 
-  /** Ids of machines that no longer exist; until the segment is committed. */
-  final List<String> removedMachines = new ArrayList<>();
+  /** Ids of machines that no longer exist; cleared once the segment is committed. */
+  final List<String> removedMachineIds = new ArrayList<>();
 
-  /** Attempts that have ended; until the segment is committed. */
-  final List<EndedAttempt> ended = new ArrayList<>();
+  /** Attempts that have ended; cleared once the segment is committed. */
+  final List<EndedAttempt> endedAttempts = new ArrayList<>();
 
-  final List<Assignment> placed = new ArrayList<>();
+  final List<Assignment> assignments = new ArrayList<>();
   final List<MachineImage> images = new ArrayList<>();
 
-  /** The segment that this one overwrites; null if none, and once this one is committed. */
+  /** The segment that this one overwrites; null if there is none or this segment is committed. */
   private IndexedSegment replaced;
 
   /**
    * Creates a segment without entries.
    *
-   * @param replaced the segment whose slot it overwrites, or null
+   * @param slot the number of the store key that holds the segment; slots are reused
+   * @param sequenceNumber the number of the segment in the order of writing
+   * @param replaced the segment that is in the slot and gets overwritten, or null if there is none
    */
-  IndexedSegment(int slot, long number, IndexedSegment replaced) {
+  IndexedSegment(int slot, long sequenceNumber, IndexedSegment replaced) {
     this.slot = slot;
-    this.number = number;
+    this.sequenceNumber = sequenceNumber;
     this.replaced = replaced;
   }
 
+  /** Returns the segment that this one overwrites; null if none or this segment is committed. */
   IndexedSegment replaced() {
     return replaced;
   }
 
-  /** The entries that may still be live: removals and ends matter to earlier segments only. */
-  int size() {
-    return machines.size() + placed.size() + images.size();
+  /**
+   * Returns the number of entries that may be live. Removed machines and ended attempts do not
+   * count: they only cancel entries of earlier segments.
+   */
+  int entryCount() {
+    return machines.size() + assignments.size() + images.size();
   }
 
-  /** Whether the machine's entry was carried over from the segment that this one replaces. */
-  boolean carried(Machine machine) {
+  /** Whether the machine's entry was copied from the segment that this one replaces. */
+  boolean isCarriedOver(Machine machine) {
     return replaced != null && machine.logReference == replaced;
   }
 
-  /** Forgets what is needed only until the segment is committed. */
-  void committed() {
+  /** Drops the data that is needed only until the segment is committed. */
+  void markCommitted() {
     replaced = null;
-    removedMachines.clear();
-    ended.clear();
-    retiring.clear();
+    removedMachineIds.clear();
+    endedAttempts.clear();
+    retiringMachines.clear();
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
+++ b/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the changed chunks of a job's progress, or, once all its tasks are done, moves the job
- * from the live to the finished ones. When that is durable, the completed assignments it covers are
- * released.
+ * Writes the changed chunks of a job's progress or, once all its tasks are done, replaces the job's
+ * live record by a finished record. When the writes are durable, the completed assignments that
+ * they cover are released.
  */
 final class JobProgressChange implements PendingChange {
   private static final Logger LOG = LoggerFactory.getLogger(JobProgressChange.class);
@@ -29,12 +29,13 @@
   private final JobRegistry jobs;
   private final MachineRegistry machines;
 
-  /** The completed assignments that the transaction under way covers. */
-  private Set<Assignment> written = Set.of();
+  /** The completed assignments that the in-flight transaction covers. */
+  private Set<Assignment> coveredAssignments = Set.of();
 
-  /** The chunks that the transaction under way writes. */
-  private BitSet chunks = new BitSet();
+  /** The chunks that the in-flight transaction writes. */
+  private BitSet writtenChunks = new BitSet();
 
+  /** Whether the in-flight transaction writes the end of the job. */
   private boolean finishing;
 
   JobProgressChange(Job job, JobRegistry jobs, MachineRegistry machines) {
@@ -43,12 +44,12 @@
     this.machines = machines;
   }
 
-  /** The chunk of the job's progress that holds the task's bit. */
+  /** Returns the number of the progress chunk that contains the bit of the assignment's task. */
   static int chunkOf(Assignment assignment) {
     return assignment.task.index() / JobRecords.CHUNK;
   }
 
-  /** The keys of all chunks of progress that the job may have. */
+  /** Returns the keys of all progress chunks that the job may have in the store. */
   static List<String> progressKeys(Job job) {
     List<String> keys = new ArrayList<>();
     for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
@@ -69,12 +70,12 @@
 
   @Override
   public List<Write> writes() {
-    written = new LinkedHashSet<>();
-    chunks = (BitSet) job.unwrittenChunks.clone();
+    coveredAssignments = new LinkedHashSet<>();
+    writtenChunks = (BitSet) job.unwrittenChunks.clone();
     finishing = job.complete();
     for (Assignment assignment : job.assignments) {
-      if (assignment.completed && (finishing || chunks.get(chunkOf(assignment)))) {
-        written.add(assignment);
+      if (assignment.completed && (finishing || writtenChunks.get(chunkOf(assignment)))) {
+        coveredAssignments.add(assignment);
       }
     }
     return finishing ? finishWrites() : progressWrites();
@@ -91,7 +92,7 @@
 
   private List<Write> progressWrites() {
     List<Write> writes = new ArrayList<>();
-    chunks.stream()
+    writtenChunks.stream()
         .forEach(
             chunk ->
                 writes.add(
@@ -103,38 +104,39 @@
 
   @Override
   public void committed() {
-    job.unwrittenChunks.andNot(chunks);
-    markCompletedMeanwhile();
+    job.unwrittenChunks.andNot(writtenChunks);
+    markUncoveredCompletions();
     if (finishing) {
-      jobs.end(job);
+      jobs.endJob(job);
     }
     if (!job.unwrittenChunks.isEmpty()) {
-      jobs.save(job);
+      jobs.queueProgress(job);
     }
-    Set<Machine> released = new LinkedHashSet<>();
-    for (Assignment assignment : written) {
+    Set<Machine> affectedMachines = new LinkedHashSet<>();
+    for (Assignment assignment : coveredAssignments) {
       machines.release(assignment);
-      released.add(assignment.machine);
+      affectedMachines.add(assignment.machine);
     }
-    released.forEach(machines::progressDurable);
+    affectedMachines.forEach(machines::notifyProgressDurable);
   }
 
   /**
-   * What completed while the transaction was under way is not part of what was written. It was once
-   * taken for written: its worker was told to forget it, and a new leader started it again, beyond
-   * its team's limit.
+   * Marks the chunks of tasks that completed while the transaction was in flight as unwritten,
+   * because the transaction does not cover them. If they counted as written, their workers would
+   * drop tasks whose completion is not durable, and a new leader would start these tasks again,
+   * beyond their team's limit.
    */
-  private void markCompletedMeanwhile() {
+  private void markUncoveredCompletions() {
     for (Assignment assignment : job.assignments) {
-      if (assignment.completed && !written.contains(assignment)) {
+      if (assignment.completed && !coveredAssignments.contains(assignment)) {
         job.unwrittenChunks.set(chunkOf(assignment));
       }
     }
   }
 
-  /** The job's user cancelled it first; the watch of live jobs reports that. */
+  /** The job's user cancelled the job first. {@link LiveJobWatch} reports the cancellation. */
   @Override
   public void rejected() {
-    LOG.debug("{} was over before its progress was written", job.spec.id());
+    LOG.debug("job {} ended before its progress was written", job.spec.id());
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the jobs of the cluster state and their records in the store in step: live jobs come from
- * the store, progress and completion go there. Confined to the event loop thread.
+ * Manages the jobs of the cluster state: reads live jobs from the store and watches for new and
+ * cancelled ones, and queues progress and completions for writing. Confined to the event loop
+ * thread.
  */
 public final class JobRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(JobRegistry.class);
@@ -29,7 +30,8 @@
   /**
    * Creates the registry of a term, without jobs.
    *
-   * @param onChange called after jobs were submitted or cancelled
+   * @param machines the registry through which the jobs' tasks are evicted and released
+   * @param onChange called after the watch has reported submitted or cancelled jobs
    */
   public JobRegistry(LeaderTerm term, MachineRegistry machines, Runnable onChange) {
     this.term = term;
@@ -45,100 +47,107 @@
     }
 
     @Override
-    public void submitted(KeyValue item) {
-      add(item);
+    public void onJobSubmitted(KeyValue item) {
+      addJob(item);
     }
 
     @Override
-    public void deleted(String id, long sinceMicros) {
-      liveKeyDeleted(id, sinceMicros);
+    public void onJobDeleted(String id, long earliestMicros) {
+      handleLiveKeyDeleted(id, earliestMicros);
     }
 
     @Override
-    public void changed() {
+    public void onPollProcessed() {
       onChange.run();
     }
   }
 
   /**
-   * The moment, on the scheduler's clock in microseconds, before which every accepted submission
-   * and cancellation is known here.
+   * Returns the time, on the scheduler's clock in microseconds, up to which this registry knows
+   * every submission and cancellation that was accepted.
    */
   public long knownUpToMicros() {
     return watch.knownUpToMicros();
   }
 
   /**
-   * Takes over the stored jobs and starts to watch for new ones. A record that cannot be read is
-   * logged and left out.
+   * Adds the stored jobs to the cluster state and starts to watch the live jobs in the store. An
+   * unreadable record is logged and skipped.
    *
-   * @param readMicros when the reading of the stored state began
+   * @param readStartMicros when the read of the stored state began, on the scheduler's clock
    */
-  public void load(StoredState stored, long readMicros) {
-    watch.knownUpTo(readMicros);
-    stored.liveJobs().forEach(this::add);
+  public void load(StoredState stored, long readStartMicros) {
+    watch.setKnownUpToMicros(readStartMicros);
+    stored.liveJobs().forEach(this::addJob);
     term.cluster.jobs.values().forEach(job -> job.inherited = true);
-    stored.progress().forEach(this::loadProgress);
-    watch.watch(stored.liveRevision());
+    stored.progressChunks().forEach(this::loadProgress);
+    watch.watchFrom(stored.liveJobsRevision());
   }
 
   private void loadProgress(KeyValue item) {
-    String rest = item.key().substring(Keys.PROGRESS.length());
-    int slash = rest.lastIndexOf('/');
-    Job job = slash < 0 ? null : term.cluster.jobs.get(rest.substring(0, slash));
+    String jobAndChunk = item.key().substring(Keys.PROGRESS.length());
+    int slash = jobAndChunk.lastIndexOf('/');
+    Job job = slash < 0 ? null : term.cluster.jobs.get(jobAndChunk.substring(0, slash));
     if (job == null) {
       term.commits.add(new DeleteKeyChange(item.key()), Urgency.LATER);
       return;
     }
     try {
-      JobRecords.readProgress(item.value(), Integer.parseInt(rest.substring(slash + 1)), job.done);
+      JobRecords.readProgress(
+          item.value(), Integer.parseInt(jobAndChunk.substring(slash + 1)), job.done);
       if (JobRecords.readFailing(item.value())) {
         job.markFailing(term.scheduler.nowMicros());
       }
       job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
       if (job.complete()) {
-        save(job);
+        queueProgress(job);
       }
     } catch (MalformedMessageException | NumberFormatException e) {
-      LOG.error("{} is unreadable: {}", item.key(), e.getMessage());
+      LOG.error("progress record {} is unreadable: {}", item.key(), e.getMessage());
     }
   }
 
-  private void add(KeyValue item) {
+  private void addJob(KeyValue item) {
     String id = item.key().substring(Keys.LIVE.length());
     if (term.cluster.jobs.containsKey(id)) {
       return;
     }
     try {
-      JobRecords.Live live = JobRecords.readLive(item.value());
-      JobSpec spec = live.spec();
+      JobRecords.Live stored = JobRecords.readLive(item.value());
+      JobSpec spec = stored.spec();
       TeamQuota team = term.deployment.teams().get(spec.team());
       if (team == null) {
-        // Accepted under other settings: it may not run now, but may if the settings change back.
+        // The job was accepted under settings that listed its team. With an empty quota it waits,
+        // and it can run once the settings list the team again.
         team = new TeamQuota(spec.team(), Resources.NONE, Resources.NONE);
       }
       term.cluster.jobs.put(
           id,
           new Job(
-              spec, team, item.version(), live.acceptedWallMicros(), term.scheduler.nowMicros()));
+              spec, team, item.version(), stored.acceptedWallMicros(), term.scheduler.nowMicros()));
     } catch (MalformedMessageException e) {
-      LOG.error("job {} is unreadable: {}", id, e.getMessage());
+      LOG.error("skipped job {} with an unreadable record: {}", id, e.getMessage());
     }
   }
 
-  /** Either this leader moved the job to the finished ones, or its user cancelled it. */
-  private void liveKeyDeleted(String id, long sinceMicros) {
+  /**
+   * Handles the deletion of a job's live key: either this leader has replaced it by a finished
+   * record, or the job's user has cancelled the job.
+   *
+   * @param earliestMicros a lower bound of the time at which the deletion was accepted
+   */
+  private void handleLiveKeyDeleted(String id, long earliestMicros) {
     Job job = term.cluster.jobs.get(id);
     if (job == null || job.ended) {
       return;
     }
-    LOG.debug("{} cancelled", id);
+    LOG.debug("job {} cancelled", id);
     for (Assignment assignment : job.assignments) {
       if (!assignment.completed) {
-        term.cluster.markCancelled(assignment, sinceMicros);
+        term.cluster.markCancelled(assignment, earliestMicros);
       }
     }
-    end(job);
+    endJob(job);
     if (!job.done.isEmpty() || job.failing()) {
       for (String key : JobProgressChange.progressKeys(job)) {
         term.commits.add(new DeleteKeyChange(key), Urgency.LATER);
@@ -146,8 +155,8 @@
     }
   }
 
-  /** Removes a job that is over from the cluster state, and stops what still runs of it. */
-  void end(Job job) {
+  /** Removes a job that has ended from the cluster state, and evicts its remaining tasks. */
+  void endJob(Job job) {
     job.ended = true;
     term.cluster.jobs.remove(job.spec.id());
     for (Assignment assignment : List.copyOf(job.assignments)) {
@@ -158,7 +167,7 @@
     }
   }
 
-  /** Records that a task has completed; the tasks of a gang complete together. */
+  /** Records that a task has completed. The tasks of a gang complete together. */
   public void completed(Assignment assignment) {
     Job job = assignment.job;
     if (job == null || job.ended || job.spec.kind() == JobKind.SERVICE) {
@@ -173,23 +182,24 @@
       job.done.set(assignment.task.index());
     }
     job.unwrittenChunks.set(JobProgressChange.chunkOf(assignment));
-    save(job);
+    queueProgress(job);
   }
 
   /**
-   * Stores that the job's tasks fail on whatever machine they run, so that the next leader does not
+   * Queues for writing that the job's tasks fail on every machine, so that the next leader does not
    * retry all of them at once.
    */
   public void markFailing(Job job) {
     job.unwrittenChunks.set(0);
-    save(job);
+    queueProgress(job);
   }
 
   /**
-   * Queues the job's progress for writing. The end of a job is more urgent, since its user waits
-   * for it; until progress is durable, workers keep what they have completed.
+   * Queues the job's progress for writing. The end of a job is more urgent, because its user waits
+   * for it. Other progress can wait, because workers keep a completed task until its completion is
+   * durable.
    */
-  void save(Job job) {
+  void queueProgress(Job job) {
     Urgency urgency = job.complete() ? Urgency.SOON : Urgency.LATER;
     term.commits.add(new JobProgressChange(job, this, machines), urgency);
   }
--- a/src/main/java/madderrudder/coordination/registry/LiveJobWatch.java
+++ b/src/main/java/madderrudder/coordination/registry/LiveJobWatch.java
@@ -6,28 +6,29 @@
 import madderrudder.protocol.StoreCodec.Page;
 
 /**
- * Watches the live jobs in the store by long polls, one at a time, from the revision at which they
- * were read until the term ends. Confined to the event loop thread.
+ * Watches the live jobs in the store until the term ends, by consecutive long polls that start at
+ * the revision at which the jobs were read. Confined to the event loop thread.
  */
 final class LiveJobWatch {
-  private static final long RETRY_MICROS = 200_000;
-  private static final long POLL_MICROS = 2_000_000;
+  private static final long RETRY_DELAY_MICROS = 200_000;
+  private static final long POLL_WAIT_MICROS = 2_000_000;
 
-  /** Receives what the watch brings. */
+  /** Receives the events of the watch. */
   interface Listener {
-    /** A job was submitted. */
-    void submitted(KeyValue item);
+    /** Called for the record of each submitted job. */
+    void onJobSubmitted(KeyValue item);
 
     /**
-     * A live job's key was deleted.
+     * Called when the key of a live job was deleted.
      *
      * @param id the job's id
-     * @param sinceMicros every deletion accepted before this moment had been reported earlier
+     * @param earliestMicros a lower bound of the time at which the deletion was accepted: every
+     *     deletion accepted before it was reported by an earlier poll
      */
-    void deleted(String id, long sinceMicros);
+    void onJobDeleted(String id, long earliestMicros);
 
-    /** All events of a poll that brought any have been passed on. */
-    void changed();
+    /** Called after the last event of each poll that returned any events. */
+    void onPollProcessed();
   }
 
   private final LeaderTerm term;
@@ -39,50 +40,51 @@
     this.listener = listener;
   }
 
-  /** Every submission and cancellation that was accepted before this moment is known. */
+  /** Returns the time up to which every accepted submission and cancellation is known. */
   long knownUpToMicros() {
     return knownUpToMicros;
   }
 
-  /** The jobs are known as they were at this moment, from a read that began then. */
-  void knownUpTo(long readMicros) {
-    knownUpToMicros = readMicros;
+  /** Sets the time up to which the jobs are known: when the read of the live jobs began. */
+  void setKnownUpToMicros(long readStartMicros) {
+    knownUpToMicros = readStartMicros;
   }
 
-  /** Starts to watch for changes after the store's revision. */
-  void watch(long revision) {
+  /** Starts to watch for changes after the revision of the store. */
+  void watchFrom(long revision) {
     long sentMicros = term.scheduler.nowMicros();
     term.store.watch(
         Keys.LIVE,
         revision,
-        POLL_MICROS,
+        POLL_WAIT_MICROS,
         reply -> {
           if (term.closed()) {
             return;
           }
           if (reply.is(Outcome.OK)) {
-            process(reply.value(), sentMicros);
-            watch(reply.value().revision());
+            processEvents(reply.value(), sentMicros);
+            watchFrom(reply.value().revision());
           } else if (reply.is(Outcome.GONE)) {
-            term.election.stepDown("the watch of jobs has fallen too far behind");
+            term.election.stepDown(
+                "the store no longer keeps the changes to live jobs since the last watched revision");
           } else {
-            term.after(RETRY_MICROS, () -> watch(revision));
+            term.after(RETRY_DELAY_MICROS, () -> watchFrom(revision));
           }
         });
   }
 
-  private void process(Page events, long sentMicros) {
-    long beforeMicros = knownUpToMicros;
+  private void processEvents(Page events, long sentMicros) {
+    long previouslyKnownUpToMicros = knownUpToMicros;
     knownUpToMicros = sentMicros;
     for (KeyValue item : events.items()) {
       if (item.value() != null) {
-        listener.submitted(item);
+        listener.onJobSubmitted(item);
       } else {
-        listener.deleted(item.key().substring(Keys.LIVE.length()), beforeMicros);
+        listener.onJobDeleted(item.key().substring(Keys.LIVE.length()), previouslyKnownUpToMicros);
       }
     }
     if (!events.items().isEmpty()) {
-      listener.changed();
+      listener.onPollProcessed();
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -14,10 +14,10 @@
 import madderrudder.protocol.StoreCodec.Write;
 
 /**
- * Stores machines and placements in a {@link SegmentedLog}. A transaction carries one segment for
- * all that was placed since the last one, so a start costs a fraction of a write: with one key a
- * machine each start cost a write, and 1,400 machines start three times as many tasks a second as
- * their store accepts changes.
+ * Stores machines and assignments in a {@link SegmentedLog}. All assignments made since the
+ * previous transaction are written together as segments, so a task start costs a fraction of a
+ * write. With one key per machine each start cost one write, and 1,400 machines start three times
+ * as many tasks per second as their store accepts writes.
  *
  * <p>Confined to the event loop thread.
  */
@@ -28,12 +28,13 @@
   private final Consumer<Machine> onDurable;
   private final SegmentedLog log;
   private final PendingEntries pending;
-  private final PendingChange change = new LogChange();
+  private final PendingChange logChange = new LogChange();
 
   /**
    * Creates an empty log.
    *
-   * @param onDurable called for each machine of which a retirement or a placement became durable
+   * @param onDurable called for each machine whose retirement, or an assignment on which, has
+   *     become durable
    */
   MachineLog(LeaderTerm term, Consumer<Machine> onDurable) {
     this.term = term;
@@ -43,91 +44,93 @@
     pending = log.pending();
   }
 
-  /** Takes over a stored segment; see {@link SegmentedLog#load}. */
+  /** Adds a segment that an earlier leader stored; see {@link SegmentedLog#load}. */
   void load(int slot, LogSegment stored) {
     log.load(slot, stored);
   }
 
-  /** Writes the machine's record, new or changed. */
-  void machineChanged(Machine machine) {
+  /** Queues the record of a new or changed machine for writing. */
+  void queueMachine(Machine machine) {
     pending.machines.add(machine);
-    term.commits.add(change, Urgency.SOON);
+    term.commits.add(logChange, Urgency.SOON);
   }
 
-  /** Writes that the machine no longer exists. */
-  void machineRemoved(Machine machine) {
+  /** Queues the removal of a machine that no longer exists for writing. */
+  void queueMachineRemoval(Machine machine) {
     pending.machines.remove(machine);
-    pending.removedMachines.add(machine.id);
-    term.commits.add(change, Urgency.SOON);
+    pending.removedMachineIds.add(machine.id);
+    term.commits.add(logChange, Urgency.SOON);
   }
 
-  /** Writes that the task may be on its machine; it may be started once that is durable. */
-  void placed(Assignment assignment) {
-    pending.placed.add(assignment);
-    term.commits.add(change, Urgency.FIRST);
+  /** Queues an assignment for writing. Its task may be started once the assignment is durable. */
+  void queueAssignment(Assignment assignment) {
+    pending.assignments.add(assignment);
+    term.commits.add(logChange, Urgency.FIRST);
   }
 
   /**
-   * Writes that the attempt is no longer on its machine. Nobody waits for this: what is placed
-   * later carries it along.
+   * Queues for writing that the assignment's attempt is no longer on its machine. No operation
+   * waits for this entry, and every later assignment is written together with it or after it.
    */
-  void ended(Assignment assignment) {
-    if (pending.addEnded(assignment)) {
-      term.commits.add(change, Urgency.LATER);
+  void queueAttemptEnd(Assignment assignment) {
+    if (pending.addEndedAttempt(assignment)) {
+      term.commits.add(logChange, Urgency.LATER);
     }
   }
 
   /**
-   * Writes that the machine has cached an image.
+   * Queues for writing that the machine has cached an image.
    *
    * @param gb the image's size in gigabytes
    */
-  void imageCached(Machine machine, String image, double gb) {
+  void queueCachedImage(Machine machine, String image, double gb) {
     pending.images.add(new MachineImage(machine, image, gb));
-    term.commits.add(change, Urgency.LATER);
+    term.commits.add(logChange, Urgency.LATER);
   }
 
-  private void committed() {
-    Set<Machine> changed = new LinkedHashSet<>();
-    log.commit(segment -> markDurable(segment, changed));
+  private void handleCommitted() {
+    Set<Machine> durableMachines = new LinkedHashSet<>();
+    log.markBatchCommitted(segment -> markDurable(segment, durableMachines));
     if (!pending.isEmpty()) {
-      term.commits.add(change, pending.urgency());
+      term.commits.add(logChange, pending.urgency());
     }
-    changed.forEach(onDurable);
+    durableMachines.forEach(onDurable);
   }
 
-  private void markDurable(IndexedSegment segment, Set<Machine> changed) {
-    for (Machine machine : segment.retiring) {
+  private void markDurable(IndexedSegment segment, Set<Machine> durableMachines) {
+    for (Machine machine : segment.retiringMachines) {
       machine.retiringDurable = true;
-      changed.add(machine);
+      durableMachines.add(machine);
     }
-    for (Assignment assignment : segment.placed) {
+    for (Assignment assignment : segment.assignments) {
       if (!assignment.durable) {
         assignment.durable = true;
         assignment.durableMicros = term.scheduler.nowMicros();
         term.metrics.record(Timing.RECORDING, assignment.durableMicros - assignment.placedMicros);
-        changed.add(assignment.machine);
+        durableMachines.add(assignment.machine);
       }
     }
   }
 
-  /** Everything pending, rendered when its transaction is built. */
+  /** Writes the pending entries, as many as fit, as a batch of segments. */
   private final class LogChange implements PendingChange {
     @Override
     public String name() {
       return Keys.LOG_SEGMENTS;
     }
 
-    /** Called again only if the previous transaction was not committed. */
+    /**
+     * A batch of an earlier call is rolled back first, because its transaction was not committed.
+     */
     @Override
     public List<Write> writes() {
-      log.rollBack();
-      return log.build();
+      log.rollBackBatch();
+      return log.buildBatch();
     }
 
     @Override
     public void committed() {
-      MachineLog.this.committed();
+      handleCommitted();
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -29,61 +29,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the machines and assignments of the cluster state and their records in the store in step.
- * An assignment is released only when its task can no longer be on the machine. Confined to the
- * event loop thread.
+ * Manages the machines and assignments of the cluster state and queues every change to them for
+ * writing to the store. An assignment is released only when its task can no longer be on the
+ * machine. Confined to the event loop thread.
  */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
   private final LeaderTerm term;
-  private final Set<String> removed = new HashSet<>();
-  private final Set<Machine> pendingPush = new LinkedHashSet<>();
-  private Consumer<Machine> onDurable = machine -> {};
+  private final Set<String> removedMachineIds = new HashSet<>();
+  private final Set<Machine> machinesToCommand = new LinkedHashSet<>();
+  private Consumer<Machine> durableListener = machine -> {};
   private final MachineLog log;
 
   /** Creates the registry of a term, without machines. */
   public MachineRegistry(LeaderTerm term) {
     this.term = term;
-    log = new MachineLog(term, machine -> onDurable.accept(machine));
+    log = new MachineLog(term, machine -> durableListener.accept(machine));
   }
 
   /**
-   * Sets what is called for a machine when a placement, a retirement or the progress of a task on
-   * it has become durable. Replaces the action set before.
+   * Sets the listener that is called with a machine when an assignment, its retirement or the
+   * progress of a task on it has become durable. Replaces the previous listener.
    */
-  public void onDurable(Consumer<Machine> action) {
-    onDurable = action;
+  public void onDurable(Consumer<Machine> listener) {
+    durableListener = listener;
   }
 
   /**
-   * Adds a machine to the cluster state; {@link #save} writes its record. A machine of a type that
-   * the cloud does not list has no capacity.
+   * Adds a machine to the cluster state; {@link #save} queues its record for writing. A machine of
+   * a type that the cloud does not list has no capacity.
    *
    * @param type the name of the machine type
-   * @param rentedWallMicros the time of day when it was rented, in microseconds
+   * @param rentedWallMicros the wall-clock time when it was rented, in microseconds
    */
   public Machine add(
       String id, String type, String zone, boolean spot, boolean owned, long rentedWallMicros) {
-    MachineType known = term.cluster.types.get(type);
-    if (known == null) {
-      known = new MachineType(type, Resources.NONE, 0, 1, 0, 0, 0, List.of(zone));
+    MachineType machineType = term.cluster.types.get(type);
+    if (machineType == null) {
+      machineType = new MachineType(type, Resources.NONE, 0, 1, 0, 0, 0, List.of(zone));
     }
     Machine machine =
-        new Machine(id, known, zone, spot, owned, rentedWallMicros, term.scheduler.nowMicros());
+        new Machine(
+            id, machineType, zone, spot, owned, rentedWallMicros, term.scheduler.nowMicros());
     machine.issuedToken = FencingToken.first(term.number);
     term.cluster.add(machine);
     return machine;
   }
 
-  /** Whether the machine was deleted in this term; cloud lists and late heartbeats may name it. */
+  /**
+   * Whether the machine was removed in this term. Lists from the cloud and delayed heartbeats may
+   * still contain such a machine.
+   */
   public boolean wasRemoved(String id) {
-    return removed.contains(id);
+    return removedMachineIds.contains(id);
   }
 
   /**
-   * Places a task on a machine and writes that. The task must not be started before the assignment
-   * is durable.
+   * Assigns a task to a machine and queues the assignment for writing. The task must not be started
+   * before the assignment is durable.
    *
    * @param task the index of the task in its job
    * @param attempt the attempt number
@@ -103,31 +107,31 @@
     term.metrics.record(Timing.PLACING, assignment.waitedMicros);
     assignment.hadImage = machine.hasImage(job.spec.image());
     term.cluster.addAssignment(assignment);
-    log.placed(assignment);
+    log.queueAssignment(assignment);
     return assignment;
   }
 
   /**
-   * Takes over the machines and placements that earlier leaders wrote. The jobs must have been
-   * loaded before.
+   * Restores the machines, assignments and cached images that earlier leaders stored. The jobs must
+   * have been loaded before.
    *
-   * @param items the stored log segments, in any order
+   * @param logSegments the stored log segments, in any order
    * @throws MalformedMessageException if a segment is unreadable; the cluster state is not changed
    */
-  public void load(List<KeyValue> items) throws MalformedMessageException {
-    Map<Long, Integer> slots = new HashMap<>();
+  public void load(List<KeyValue> logSegments) throws MalformedMessageException {
+    Map<Long, Integer> slotBySequenceNumber = new HashMap<>();
     List<LogSegment> segments = new ArrayList<>();
-    for (KeyValue item : items) {
+    for (KeyValue item : logSegments) {
       LogSegment segment = LogSegment.read(item.value());
       segments.add(segment);
-      slots.put(segment.number(), Keys.logSegmentSlot(item.key()));
+      slotBySequenceNumber.put(segment.number(), Keys.logSegmentSlot(item.key()));
     }
     segments.sort(Comparator.comparingLong(LogSegment::number));
     LogState state = LogState.of(segments);
     state.machines().forEach(this::restoreMachine);
     state.placed().forEach(this::restoreAssignment);
     state.images().forEach(this::restoreImage);
-    segments.forEach(segment -> log.load(slots.get(segment.number()), segment));
+    segments.forEach(segment -> log.load(slotBySequenceNumber.get(segment.number()), segment));
   }
 
   private void restoreMachine(LogSegment.MachineEntry entry) {
@@ -180,23 +184,27 @@
     }
   }
 
-  /** Marks the task to be stopped; its worker is told with the next commands. */
+  /**
+   * Marks the task to be stopped. Its machine is then among {@link #takePendingPushes}, so that its
+   * worker is sent the command to stop the task.
+   */
   public void evict(Assignment assignment) {
     assignment.evicting = true;
-    pendingPush.add(assignment.machine);
+    machinesToCommand.add(assignment.machine);
   }
 
-  /** Returns, once, the machines whose workers have new commands, each named once. */
+  /** Returns and clears the set of machines whose workers have to be sent new commands. */
   public List<Machine> takePendingPushes() {
-    List<Machine> machines = List.copyOf(pendingPush);
-    pendingPush.clear();
+    List<Machine> machines = List.copyOf(machinesToCommand);
+    machinesToCommand.clear();
     return machines;
   }
 
   /**
-   * Frees what an assignment holds, once its task can no longer be on the machine. Does nothing if
-   * it was released already. The log may name it a little longer: that only makes a new leader more
-   * careful, and whatever is placed later is written with it or after it.
+   * Releases an assignment and its resources; does nothing if it was released before. The caller
+   * has to make sure that the task can no longer be on the machine. The stored log may contain the
+   * assignment for a little longer. That is safe: a new leader then counts resources as used that
+   * are free, and every later assignment is written together with this release or after it.
    */
   public void release(Assignment assignment) {
     Machine machine = assignment.machine;
@@ -207,27 +215,29 @@
     if (machine.empty()) {
       machine.idleSinceMicros = nowMicros;
     }
-    log.ended(assignment);
+    log.queueAttemptEnd(assignment);
   }
 
-  /** Records that the machine has the job's image from now on. */
+  /** Records that the machine uses the job's image, which is in its cache from now on. */
   public void recordImageUse(Machine machine, JobSpec job) {
-    boolean known = machine.hasImage(job.image());
+    boolean alreadyCached = machine.hasImage(job.image());
     machine.recordImageUse(job.image(), job.imageGb());
-    if (!known) {
-      log.imageCached(machine, job.image(), job.imageGb());
+    if (!alreadyCached) {
+      log.queueCachedImage(machine, job.image(), job.imageGb());
     }
   }
 
-  /** Releases every assignment of the machine, and forgets the orphan tasks reported from it. */
+  /**
+   * Releases every assignment of the machine and drops the orphan tasks that its worker reported.
+   */
   public void releaseAll(Machine machine) {
     List.copyOf(machine.assignments.values()).forEach(this::release);
     term.cluster.replaceOrphanTasks(machine, List.of());
   }
 
   /**
-   * Handles a new epoch of the machine's worker: what this leader placed there is released; what
-   * earlier leaders placed is kept, since their commands may still arrive.
+   * Handles a new epoch of the machine's worker: releases the assignments that this leader made and
+   * keeps those of earlier leaders, whose start commands may still be in flight.
    */
   public void releaseOwn(Machine machine) {
     for (Assignment assignment : List.copyOf(machine.assignments.values())) {
@@ -240,26 +250,26 @@
   }
 
   /**
-   * Removes a machine that no longer exists, and everything on it: the cloud has confirmed its
-   * deletion, or no longer lists it.
+   * Removes a machine that no longer exists, with its assignments: the cloud has confirmed its
+   * deletion or no longer lists it.
    */
   public void remove(Machine machine) {
     releaseAll(machine);
     term.cluster.remove(machine);
-    removed.add(machine.id);
-    log.machineRemoved(machine);
+    removedMachineIds.add(machine.id);
+    log.queueMachineRemoval(machine);
   }
 
   /**
-   * Starts to return a machine to the cloud, unless that was started before. The cloud may be
-   * called once the decision is durable.
+   * Marks a machine to be returned to the cloud and queues that for writing. Does nothing if it is
+   * marked already. Its deletion may be requested from the cloud once the mark is durable.
    *
-   * @param reason why, for the log
+   * @param reason the reason, for the log line
    */
   public void retire(Machine machine, String reason) {
     if (!machine.retiring) {
       LOG.info(
-          "returning {} ({} {}{}): {}",
+          "returning machine {} to the cloud ({} {}{}): {}",
           machine.id,
           machine.type.name(),
           machine.zone,
@@ -270,27 +280,27 @@
     }
   }
 
-  /** Releases what was on machines silent for longer than any worker's lease lasts. */
+  /** Releases all assignments of machines whose workers' leases have certainly expired. */
   public void expireSilentLeases(long nowMicros) {
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
       boolean mayHaveTasks = machine.reported || !machine.assignments.isEmpty();
       if (!machine.leaseExpired
           && mayHaveTasks
           && term.delegation.leaseExpired(machine.lastAnsweredMicros, nowMicros)) {
-        LOG.info("lease of {} expired", machine.id);
+        LOG.info("lease of machine {} expired; releasing its assignments", machine.id);
         machine.leaseExpired = true;
         releaseAll(machine);
       }
     }
   }
 
-  /** Reports that the progress of tasks on the machine has become durable. */
-  public void progressDurable(Machine machine) {
-    onDurable.accept(machine);
+  /** Notifies the listener that the progress of tasks on the machine has become durable. */
+  public void notifyProgressDurable(Machine machine) {
+    durableListener.accept(machine);
   }
 
-  /** Writes the machine's record, new or changed. */
+  /** Queues the record of a new or changed machine for writing. */
   public void save(Machine machine) {
-    log.machineChanged(machine);
+    log.queueMachine(machine);
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/PendingEntries.java
+++ b/src/main/java/madderrudder/coordination/registry/PendingEntries.java
@@ -7,40 +7,40 @@
 import madderrudder.persistence.CommitQueue.Urgency;
 import madderrudder.persistence.LogSegment.EndedAttempt;
 
-/** The log entries that no committed segment contains yet, each kind in the order of its adding. */
+/** The log entries that no segment contains yet, each kind in insertion order. */
 final class PendingEntries {
   final Set<Machine> machines = new LinkedHashSet<>();
-  final Set<String> removedMachines = new LinkedHashSet<>();
-  final Set<EndedAttempt> ended = new LinkedHashSet<>();
-  final Set<Assignment> placed = new LinkedHashSet<>();
+  final Set<String> removedMachineIds = new LinkedHashSet<>();
+  final Set<EndedAttempt> endedAttempts = new LinkedHashSet<>();
+  final Set<Assignment> assignments = new LinkedHashSet<>();
   final Set<MachineImage> images = new LinkedHashSet<>();
 
   boolean isEmpty() {
     return machines.isEmpty()
-        && removedMachines.isEmpty()
-        && ended.isEmpty()
-        && placed.isEmpty()
+        && removedMachineIds.isEmpty()
+        && endedAttempts.isEmpty()
+        && assignments.isEmpty()
         && images.isEmpty();
   }
 
   /**
-   * Adds that an attempt has ended. One that no segment names yet is only taken back.
+   * Adds the end of an attempt. If its assignment is itself still pending, both are dropped.
    *
-   * @return whether there is something to write
+   * @return whether the end of the attempt has to be written
    */
-  boolean addEnded(Assignment assignment) {
-    if (placed.remove(assignment)) {
+  boolean addEndedAttempt(Assignment assignment) {
+    if (assignments.remove(assignment)) {
       return false;
     }
-    ended.add(new EndedAttempt(assignment.task, assignment.attempt, assignment.machine.id));
+    endedAttempts.add(new EndedAttempt(assignment.task, assignment.attempt, assignment.machine.id));
     return true;
   }
 
-  /** How soon the most urgent of the entries is to be written. */
+  /** Returns the urgency of the most urgent pending entry. */
   Urgency urgency() {
-    if (!placed.isEmpty()) {
+    if (!assignments.isEmpty()) {
       return Urgency.FIRST;
     }
-    return machines.isEmpty() && removedMachines.isEmpty() ? Urgency.LATER : Urgency.SOON;
+    return machines.isEmpty() && removedMachineIds.isEmpty() ? Urgency.LATER : Urgency.SOON;
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/SegmentWriter.java
+++ b/src/main/java/madderrudder/coordination/registry/SegmentWriter.java
@@ -10,80 +10,83 @@
 import madderrudder.persistence.LogSegmentBuilder;
 import madderrudder.protocol.StoreCodec.Write;
 
-/** Fills one segment: each entry goes into its encoded form and into its index alike. */
+/** Fills one segment: adds each entry both to the encoded form and to the in-memory index. */
 final class SegmentWriter {
   /**
-   * Left free by new entries, so that the segment still fits when its machines are written again as
-   * being returned.
+   * New entries leave this much room, because compaction copies the entries of the segment's
+   * machines, and an entry is longer if its machine is being returned to the cloud by then.
    */
-  private static final int SPARE_BYTES = 512;
+  private static final int RESERVED_BYTES = 512;
 
   private final IndexedSegment segment;
-  private final LogSegmentBuilder encoded;
+  private final LogSegmentBuilder builder;
 
   SegmentWriter(IndexedSegment segment, int maxBytes) {
     this.segment = segment;
-    encoded = new LogSegmentBuilder(maxBytes);
+    builder = new LogSegmentBuilder(maxBytes);
   }
 
+  /** Returns the segment that is being filled. */
   IndexedSegment segment() {
     return segment;
   }
 
-  /** Adds a machine; false, here and below, if the segment is too full for the entry. */
+  /** Adds a machine; returns false, and adds nothing, if its entry does not fit. */
   boolean add(Machine machine) {
     LogSegment.MachineKind kind =
         new LogSegment.MachineKind(machine.type.name(), machine.zone, machine.spot, machine.owned);
-    if (!encoded.add(
+    if (!builder.add(
         new LogSegment.MachineEntry(
             machine.id, kind, machine.rentedWallMicros, machine.retiring))) {
       return false;
     }
     segment.machines.add(machine);
     if (machine.retiring) {
-      segment.retiring.add(machine);
+      segment.retiringMachines.add(machine);
     }
     return true;
   }
 
+  /** Adds an assignment; returns false, and adds nothing, if its entry does not fit. */
   boolean add(Assignment assignment) {
     LogSegment.Usage usage = new LogSegment.Usage(assignment.team, assignment.resources);
-    return encoded.add(
+    return builder.add(
             new LogSegment.Placement(
                 assignment.task, assignment.attempt, usage, assignment.machine.id))
-        && segment.placed.add(assignment);
+        && segment.assignments.add(assignment);
   }
 
+  /** Adds a cached image; returns false, and adds nothing, if its entry does not fit. */
   boolean add(MachineImage image) {
-    return encoded.add(new LogSegment.CachedImage(image.name(), image.gb(), image.machine().id))
+    return builder.add(new LogSegment.CachedImage(image.name(), image.gb(), image.machine().id))
         && segment.images.add(image);
   }
 
-  private boolean add(LogSegment.EndedAttempt end) {
-    return encoded.add(end) && segment.ended.add(end);
+  private boolean add(LogSegment.EndedAttempt endedAttempt) {
+    return builder.add(endedAttempt) && segment.endedAttempts.add(endedAttempt);
   }
 
-  private boolean addRemoved(String machine) {
-    return encoded.addGone(machine) && segment.removedMachines.add(machine);
+  private boolean addRemovedMachine(String machineId) {
+    return builder.addGone(machineId) && segment.removedMachineIds.add(machineId);
   }
 
   /**
-   * Moves pending entries into the segment while they fit. A machine is written before what is
-   * placed on it, and what has ended before what is placed instead.
+   * Moves pending entries into the segment until one does not fit. Machines are written before the
+   * assignments on them, and the ends of attempts before the assignments that take their place.
    */
-  void append(PendingEntries pending) {
-    encoded.spare(SPARE_BYTES);
-    boolean fits =
-        move(pending.machines, this::add)
-            && move(pending.removedMachines, this::addRemoved)
-            && move(pending.ended, this::add)
-            && move(pending.placed, this::add);
-    if (fits) {
-      move(pending.images, this::add);
+  void appendPending(PendingEntries pending) {
+    builder.spare(RESERVED_BYTES);
+    boolean allFit =
+        moveEntries(pending.machines, this::add)
+            && moveEntries(pending.removedMachineIds, this::addRemovedMachine)
+            && moveEntries(pending.endedAttempts, this::add)
+            && moveEntries(pending.assignments, this::add);
+    if (allFit) {
+      moveEntries(pending.images, this::add);
     }
   }
 
-  private static <T> boolean move(Set<T> entries, Predicate<T> add) {
+  private static <T> boolean moveEntries(Set<T> entries, Predicate<T> add) {
     for (Iterator<T> iterator = entries.iterator(); iterator.hasNext(); ) {
       if (!add.test(iterator.next())) {
         return false;
@@ -93,8 +96,8 @@
     return true;
   }
 
-  /** The write that stores the segment in its slot. */
-  Write write() {
-    return Write.put(Keys.logSegment(segment.slot), encoded.render(segment.number));
+  /** Returns the write that stores the segment in its slot. */
+  Write toWrite() {
+    return Write.put(Keys.logSegment(segment.slot), builder.render(segment.sequenceNumber));
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/SegmentedLog.java
+++ b/src/main/java/madderrudder/coordination/registry/SegmentedLog.java
@@ -15,68 +15,79 @@
 import madderrudder.protocol.StoreCodec.Write;
 
 /**
- * A log of machines and placements whose segments are reused in turn. Pending entries are appended
- * in new segments; the oldest segment is overwritten once the log is larger than its live entries
- * need, and its entries that are still live are carried over into the segment that replaces it
- * (compaction).
+ * A segmented, compacted log of machines, assignments and cached images. Each segment is stored
+ * under one key, its slot. Pending entries are written in batches of segments. While the log has
+ * too many entries for the number of live ones, a new segment overwrites the oldest one and starts
+ * with a copy of its live entries (compaction).
  *
- * <p>A build is either committed or rolled back before the next one. An ended attempt is written
- * before, or together with, whatever is placed later, so the segments together never name a task
- * twice. Pure bookkeeping, without access to the store; confined to the event loop thread.
+ * <p>A batch has to be committed or rolled back before the next one is built. The end of an attempt
+ * is written before, or together with, every assignment that is made later, so the segments
+ * together never contain a task twice. The log only computes the writes and has no access to the
+ * store. Confined to the event loop thread.
  */
 final class SegmentedLog {
-  /** More than one scheduling round places. Three of the largest fit in a transaction. */
-  private static final int MAX_SEGMENTS_PER_BUILD = 3;
+  /**
+   * Three segments hold more assignments than one scheduling round makes, and three segments of the
+   * maximum size fit in one transaction.
+   */
+  private static final int MAX_SEGMENTS_PER_BATCH = 3;
 
   /**
-   * The log may grow to this many times its live entries, plus a little, before it is compacted: a
-   * lower limit would copy many entries at each build.
+   * The log is compacted once it has more than this many entries per live entry, plus {@link
+   * #EXTRA_ENTRIES}. With a lower limit each batch would copy many entries.
    */
-  private static final int GROWTH_FACTOR = 2;
+  private static final int MAX_ENTRIES_PER_LIVE_ENTRY = 2;
 
-  private static final int GROWTH_ENTRIES = 200;
+  private static final int EXTRA_ENTRIES = 200;
 
   private final Cluster cluster;
   private final int segmentBytes;
   private final PendingEntries pending = new PendingEntries();
 
-  /** The committed segments, oldest first, without those that the build in progress replaces. */
+  /** The committed segments, oldest first, without those that the uncommitted batch overwrites. */
   private final Deque<IndexedSegment> segments = new ArrayDeque<>();
 
-  /** The segments of the build that is neither committed nor rolled back. */
-  private final List<IndexedSegment> building = new ArrayList<>();
+  /**
+   * The segments of the batch that is neither committed nor rolled back; empty if there is none.
+   */
+  private final List<IndexedSegment> batch = new ArrayList<>();
 
-  /** The latest committed segment that names the image. */
+  /** For each cached image the latest committed segment that contains it. */
   private final Map<MachineImage, IndexedSegment> imageSegments = new HashMap<>();
 
   private final Deque<Integer> freeSlots = new ArrayDeque<>();
-  private int slots;
-  private int entries;
-  private long lastNumber;
+  private int slotCount;
+  private int entryCount;
+  private long lastSequenceNumber;
 
+  /**
+   * Creates a log without segments.
+   *
+   * @param segmentBytes the maximum size of an encoded segment, in bytes
+   */
   SegmentedLog(Cluster cluster, int segmentBytes) {
     this.cluster = cluster;
     this.segmentBytes = segmentBytes;
   }
 
-  /** The entries that no build contains; callers add to them. */
+  /** Returns the entries that no segment contains yet; callers add new entries to them. */
   PendingEntries pending() {
     return pending;
   }
 
   /**
-   * Takes over a segment of an earlier leader, whose machines and assignments are in the cluster
-   * state already. Must be called in the order of the segments' numbers.
+   * Adds a segment that an earlier leader stored. The machines and assignments that it contains
+   * must be in the cluster state already, and segments must be added in the order of their numbers.
    */
   void load(int slot, LogSegment stored) {
     IndexedSegment segment = new IndexedSegment(slot, stored.number(), null);
     stored.machines().forEach(entry -> loadMachine(segment, entry));
-    stored.placed().forEach(entry -> loadPlacement(segment, entry));
+    stored.placed().forEach(entry -> loadAssignment(segment, entry));
     stored.images().forEach(entry -> loadImage(segment, entry));
     segments.addLast(segment);
-    entries += segment.size();
-    lastNumber = Math.max(lastNumber, stored.number());
-    slots = Math.max(slots, slot + 1);
+    entryCount += segment.entryCount();
+    lastSequenceNumber = Math.max(lastSequenceNumber, stored.number());
+    slotCount = Math.max(slotCount, slot + 1);
   }
 
   private void loadMachine(IndexedSegment segment, LogSegment.MachineEntry entry) {
@@ -87,14 +98,14 @@
     }
   }
 
-  private void loadPlacement(IndexedSegment segment, LogSegment.Placement entry) {
+  private void loadAssignment(IndexedSegment segment, LogSegment.Placement entry) {
     Machine machine = cluster.machines.get(entry.machine());
     if (machine == null) {
       return;
     }
     Assignment assignment = machine.assignments.get(new TaskAttempt(entry.task(), entry.attempt()));
     if (assignment != null) {
-      segment.placed.add(assignment);
+      segment.assignments.add(assignment);
       assignment.logReference = segment;
     }
   }
@@ -109,58 +120,59 @@
   }
 
   /**
-   * Moves pending entries into new segments, replacing the oldest ones while the log is too large.
-   * The build before this one must have been committed or rolled back.
+   * Moves pending entries into a batch of new segments, and overwrites the oldest segments while
+   * the log is too large. The previous batch must have been committed or rolled back.
    *
-   * @return one write for each segment; empty if nothing is pending
+   * @return one write for each segment; empty if no entry is pending
    */
-  List<Write> build() {
+  List<Write> buildBatch() {
     List<Write> writes = new ArrayList<>();
-    int maxEntries = GROWTH_FACTOR * liveEntries() + GROWTH_ENTRIES;
-    while (!pending.isEmpty() && building.size() < MAX_SEGMENTS_PER_BUILD) {
-      SegmentWriter writer = entries > maxEntries ? replaceOldest() : null;
+    int maxEntries = MAX_ENTRIES_PER_LIVE_ENTRY * countLiveEntries() + EXTRA_ENTRIES;
+    while (!pending.isEmpty() && batch.size() < MAX_SEGMENTS_PER_BATCH) {
+      SegmentWriter writer = entryCount > maxEntries ? replaceOldest() : null;
       if (writer == null) {
-        writer = openSegment();
+        writer = startSegment();
       }
-      writer.append(pending);
-      building.add(writer.segment());
-      writes.add(writer.write());
+      writer.appendPending(pending);
+      batch.add(writer.segment());
+      writes.add(writer.toWrite());
     }
     return writes;
   }
 
   /**
-   * A segment in the oldest one's slot, with its live entries; null if there is none or no room.
+   * Starts a segment in the slot of the oldest one, with a copy of its live entries. Returns null
+   * if the log has no segment or the live entries do not fit.
    */
   private SegmentWriter replaceOldest() {
     IndexedSegment oldest = segments.peekFirst();
     if (oldest == null) {
       return null;
     }
-    IndexedSegment segment = new IndexedSegment(oldest.slot, ++lastNumber, oldest);
+    IndexedSegment segment = new IndexedSegment(oldest.slot, ++lastSequenceNumber, oldest);
     SegmentWriter writer = new SegmentWriter(segment, segmentBytes);
-    if (!carryOver(oldest, writer)) {
+    if (!copyLiveEntries(oldest, writer)) {
       return null;
     }
     segments.removeFirst();
-    entries -= oldest.size();
+    entryCount -= oldest.entryCount();
     return writer;
   }
 
-  private SegmentWriter openSegment() {
-    int slot = freeSlots.isEmpty() ? slots++ : freeSlots.pop();
-    return new SegmentWriter(new IndexedSegment(slot, ++lastNumber, null), segmentBytes);
+  private SegmentWriter startSegment() {
+    int slot = freeSlots.isEmpty() ? slotCount++ : freeSlots.pop();
+    return new SegmentWriter(new IndexedSegment(slot, ++lastSequenceNumber, null), segmentBytes);
   }
 
-  /** Copies the entries that are live and in no later segment; false if they do not fit. */
-  private boolean carryOver(IndexedSegment oldest, SegmentWriter writer) {
+  /** Copies the entries that are live and in no later segment; returns false if they do not fit. */
+  private boolean copyLiveEntries(IndexedSegment oldest, SegmentWriter writer) {
     for (Machine machine : oldest.machines) {
       if (machine.logReference == oldest && exists(machine) && !writer.add(machine)) {
         return false;
       }
     }
-    for (Assignment assignment : oldest.placed) {
-      if (assignment.logReference == oldest && isHeld(assignment) && !writer.add(assignment)) {
+    for (Assignment assignment : oldest.assignments) {
+      if (assignment.logReference == oldest && isAssigned(assignment) && !writer.add(assignment)) {
         return false;
       }
     }
@@ -176,7 +188,7 @@
     return cluster.machines.get(machine.id) == machine;
   }
 
-  private static boolean isHeld(Assignment assignment) {
+  private static boolean isAssigned(Assignment assignment) {
     return assignment.machine.assignments.get(assignment.key()) == assignment;
   }
 
@@ -184,7 +196,7 @@
     return exists(image.machine()) && image.machine().hasImage(image.name());
   }
 
-  private int liveEntries() {
+  private int countLiveEntries() {
     int live = cluster.machines.size();
     for (Machine machine : cluster.machines.values()) {
       live += machine.assignments.size() + machine.imageCount();
@@ -193,59 +205,60 @@
   }
 
   /**
-   * Undoes the last build, whose writes were not committed: the replaced segments are current
-   * again, and what was pending, and is still true, is pending again.
+   * Undoes the last batch, whose writes were not committed: restores the segments that it was to
+   * overwrite, and makes its new entries pending again unless they are obsolete by now. Does
+   * nothing if there is no uncommitted batch.
    */
-  void rollBack() {
-    for (int i = building.size() - 1; i >= 0; i--) {
-      IndexedSegment segment = building.get(i);
+  void rollBackBatch() {
+    for (int i = batch.size() - 1; i >= 0; i--) {
+      IndexedSegment segment = batch.get(i);
       IndexedSegment replaced = segment.replaced();
       if (replaced == null) {
         freeSlots.push(segment.slot);
       } else {
         segments.addFirst(replaced);
-        entries += replaced.size();
+        entryCount += replaced.entryCount();
       }
       returnToPending(segment);
     }
-    building.clear();
+    batch.clear();
   }
 
   private void returnToPending(IndexedSegment segment) {
     for (Machine machine : segment.machines) {
-      if (exists(machine) && !segment.carried(machine)) {
+      if (exists(machine) && !segment.isCarriedOver(machine)) {
         pending.machines.add(machine);
       }
     }
-    pending.removedMachines.addAll(segment.removedMachines);
-    pending.ended.addAll(segment.ended);
-    for (Assignment assignment : segment.placed) {
-      if (isHeld(assignment) && assignment.logReference == null) {
-        pending.placed.add(assignment);
+    pending.removedMachineIds.addAll(segment.removedMachineIds);
+    pending.endedAttempts.addAll(segment.endedAttempts);
+    for (Assignment assignment : segment.assignments) {
+      if (isAssigned(assignment) && assignment.logReference == null) {
+        pending.assignments.add(assignment);
       }
     }
     pending.images.addAll(segment.images);
   }
 
   /**
-   * Accepts the last build, whose writes are durable.
+   * Makes the segments of the last batch current, after its writes have become durable.
    *
-   * @param onCommitted called for each segment of the build, oldest first, while its {@link
-   *     IndexedSegment#retiring} is still known
+   * @param onCommitted called for each segment of the batch, oldest first, before its {@link
+   *     IndexedSegment#retiringMachines} are cleared
    */
-  void commit(Consumer<IndexedSegment> onCommitted) {
-    for (IndexedSegment segment : building) {
+  void markBatchCommitted(Consumer<IndexedSegment> onCommitted) {
+    for (IndexedSegment segment : batch) {
       segments.addLast(segment);
-      entries += segment.size();
+      entryCount += segment.entryCount();
       if (segment.replaced() != null) {
         segment.replaced().images.forEach(image -> imageSegments.remove(image, segment.replaced()));
       }
       segment.images.forEach(image -> imageSegments.put(image, segment));
       segment.machines.forEach(machine -> machine.logReference = segment);
-      segment.placed.forEach(assignment -> assignment.logReference = segment);
+      segment.assignments.forEach(assignment -> assignment.logReference = segment);
       onCommitted.accept(segment);
-      segment.committed();
+      segment.markCommitted();
     }
-    building.clear();
+    batch.clear();
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
+++ b/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
@@ -11,23 +11,23 @@
 import madderrudder.protocol.StoreCodec.KeyValue;
 
 /**
- * Reads everything a new leader needs from the store: ranges page by page, and single keys, all at
- * the same time. A read that fails is repeated until it succeeds or the term ends. Confined to the
- * event loop thread.
+ * Reads the state that a new leader needs from the store. Key ranges and single keys are read
+ * concurrently, each range page by page. A failed read is retried until it succeeds or the term
+ * ends. Confined to the event loop thread.
  */
 public final class StoredStateReader {
-  private static final long RETRY_MICROS = 200_000;
-  private static final List<String> PREFIXES =
+  private static final long RETRY_DELAY_MICROS = 200_000;
+  private static final List<String> RANGE_PREFIXES =
       List.of(Keys.LIVE, Keys.PROGRESS, Keys.LOG_SEGMENTS, Keys.RENTALS);
   private static final List<String> SINGLE_KEYS = List.of(Keys.BUDGET, Keys.OWNED);
   private static final long UNKNOWN_REVISION = -1;
 
   private final LeaderTerm term;
   private final Consumer<StoredState> onRead;
-  private final Map<String, List<KeyValue>> ranges = new HashMap<>();
-  private final Map<String, KeyValue> singles = new HashMap<>();
-  private long liveRevision = UNKNOWN_REVISION;
-  private int openReads;
+  private final Map<String, List<KeyValue>> rangeItems = new HashMap<>();
+  private final Map<String, KeyValue> singleValues = new HashMap<>();
+  private long liveJobsRevision = UNKNOWN_REVISION;
+  private int pendingReads;
 
   private StoredStateReader(LeaderTerm term, Consumer<StoredState> onRead) {
     this.term = term;
@@ -37,53 +37,57 @@
   /**
    * Starts to read the stored state.
    *
-   * @param onRead called once, on the event loop, when all is read; never if the term ends before
+   * @param onRead called once, on the event loop, when all reads are complete; not called if the
+   *     term ends before
    */
   public static void read(LeaderTerm term, Consumer<StoredState> onRead) {
     new StoredStateReader(term, onRead).start();
   }
 
   private void start() {
-    List<String> prefixes = new ArrayList<>(PREFIXES);
+    List<String> prefixes = new ArrayList<>(RANGE_PREFIXES);
     if (term.learned != null) {
       prefixes.add(Keys.RUN_TIMES);
     }
-    openReads = prefixes.size() + SINGLE_KEYS.size();
+    pendingReads = prefixes.size() + SINGLE_KEYS.size();
     for (String prefix : prefixes) {
-      ranges.put(prefix, new ArrayList<>());
+      rangeItems.put(prefix, new ArrayList<>());
       readRange(prefix, "");
     }
     SINGLE_KEYS.forEach(this::readSingle);
   }
 
-  /** Reads what follows the key {@code since} in the range, empty for the start of the range. */
-  private void readRange(String prefix, String since) {
+  /** Reads the range from behind the key {@code after}; if that is empty, from its start. */
+  private void readRange(String prefix, String after) {
     term.store.range(
         prefix,
-        since,
+        after,
         reply -> {
           if (term.closed()) {
             return;
           }
           if (!reply.is(Outcome.OK)) {
-            term.after(RETRY_MICROS, () -> readRange(prefix, since));
+            term.after(RETRY_DELAY_MICROS, () -> readRange(prefix, after));
             return;
           }
-          rememberLiveRevision(prefix, reply.value().revision());
+          recordLiveJobsRevision(prefix, reply.value().revision());
           List<KeyValue> items = reply.value().items();
-          ranges.get(prefix).addAll(items);
+          rangeItems.get(prefix).addAll(items);
           if (reply.value().more() && !items.isEmpty()) {
             readRange(prefix, items.get(items.size() - 1).key());
           } else {
-            finishRead();
+            completeRead();
           }
         });
   }
 
-  /** What changes while later pages are read comes again through the watch from the first one. */
-  private void rememberLiveRevision(String prefix, long revision) {
-    if (prefix.equals(Keys.LIVE) && liveRevision == UNKNOWN_REVISION) {
-      liveRevision = revision;
+  /**
+   * Records the revision of the first page of live jobs. A watch from there reports every change
+   * that is made while later pages are read.
+   */
+  private void recordLiveJobsRevision(String prefix, long revision) {
+    if (prefix.equals(Keys.LIVE) && liveJobsRevision == UNKNOWN_REVISION) {
+      liveJobsRevision = revision;
     }
   }
 
@@ -95,31 +99,31 @@
             return;
           }
           if (reply.is(Outcome.OK)) {
-            singles.put(key, reply.value());
+            singleValues.put(key, reply.value());
           } else if (!reply.is(Outcome.GONE)) {
-            term.after(RETRY_MICROS, () -> readSingle(key));
+            term.after(RETRY_DELAY_MICROS, () -> readSingle(key));
             return;
           }
-          finishRead();
+          completeRead();
         });
   }
 
-  private void finishRead() {
-    openReads--;
-    if (openReads == 0) {
-      onRead.accept(state());
+  private void completeRead() {
+    pendingReads--;
+    if (pendingReads == 0) {
+      onRead.accept(toStoredState());
     }
   }
 
-  private StoredState state() {
+  private StoredState toStoredState() {
     return new StoredState(
-        ranges.get(Keys.LIVE),
-        ranges.get(Keys.PROGRESS),
-        ranges.get(Keys.LOG_SEGMENTS),
-        ranges.get(Keys.RENTALS),
-        ranges.getOrDefault(Keys.RUN_TIMES, List.of()),
-        Optional.ofNullable(singles.get(Keys.BUDGET)),
-        singles.containsKey(Keys.OWNED),
-        liveRevision);
+        rangeItems.get(Keys.LIVE),
+        rangeItems.get(Keys.PROGRESS),
+        rangeItems.get(Keys.LOG_SEGMENTS),
+        rangeItems.get(Keys.RENTALS),
+        rangeItems.getOrDefault(Keys.RUN_TIMES, List.of()),
+        Optional.ofNullable(singleValues.get(Keys.BUDGET)),
+        singleValues.containsKey(Keys.OWNED),
+        liveJobsRevision);
   }
 }
--- a/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
+++ b/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
@@ -28,16 +28,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against a log that loses live machines or assignments, or keeps ended attempts, when
+ * entries change between building, rolling back and committing a batch or when the log is
+ * compacted. Such a log would give the next leader a wrong cluster state.
+ */
 class SegmentedLogTest {
   private static final int SEGMENT_BYTES = 4096;
   private static final MachineType TYPE =
       new MachineType("g8", Resources.of(8, 0, 32), 0, 1, 0, 0, 0, List.of("east"));
 
-  /** The log does not read the settings. */
+  /** Has no settings, because the log does not read them. */
   private final Cluster cluster = new Cluster(null, new EstimatedRunTimes());
 
   private final SegmentedLog log = new SegmentedLog(cluster, SEGMENT_BYTES);
-  private final Map<String, LogSegment> store = new HashMap<>();
+  private final Map<String, LogSegment> segmentsByKey = new HashMap<>();
   private int nextTask;
 
   private Machine addMachine(String id) {
@@ -52,43 +57,44 @@
     Assignment assignment =
         new Assignment(task, 1, machine, "alto", Resources.of(1, 0, 1), null, false, 0);
     cluster.addAssignment(assignment);
-    log.pending().placed.add(assignment);
+    log.pending().assignments.add(assignment);
     return assignment;
   }
 
   private void release(Assignment assignment) {
     cluster.release(assignment, 0);
-    log.pending().addEnded(assignment);
+    log.pending().addEndedAttempt(assignment);
   }
 
-  private void releaseDownTo(int count, List<Assignment> held, SplittableRandom random) {
-    while (held.size() > count) {
-      release(held.remove(random.nextInt(held.size())));
+  private void releaseRandomDownTo(int count, List<Assignment> active, SplittableRandom random) {
+    while (active.size() > count) {
+      release(active.remove(random.nextInt(active.size())));
     }
   }
 
   private void commit(List<Write> writes) throws MalformedMessageException {
     for (Write write : writes) {
-      assertTrue(write.value().length <= SEGMENT_BYTES, write.value().length + " bytes");
-      store.put(write.key(), LogSegment.read(Json.readObject(write.value())));
+      assertTrue(
+          write.value().length <= SEGMENT_BYTES, "segment of " + write.value().length + " bytes");
+      segmentsByKey.put(write.key(), LogSegment.read(Json.readObject(write.value())));
     }
-    log.commit(segment -> {});
+    log.markBatchCommitted(segment -> {});
   }
 
   private void commitAll() throws MalformedMessageException {
     while (!log.pending().isEmpty()) {
-      commit(log.build());
+      commit(log.buildBatch());
     }
   }
 
-  /** The attempts that are stored as being on machines. */
-  private Set<String> storedPlacements() {
-    return LogState.of(store.values()).placed().stream()
+  /** The tasks that the stored segments place on machines. */
+  private Set<String> storedAssignments() {
+    return LogState.of(segmentsByKey.values()).placed().stream()
         .map(entry -> entry.task().index() + " on " + entry.machine())
         .collect(Collectors.toSet());
   }
 
-  private Set<String> livePlacements() {
+  private Set<String> liveAssignments() {
     return cluster.machines.values().stream()
         .flatMap(machine -> machine.assignments.values().stream())
         .map(assignment -> assignment.task.index() + " on " + assignment.machine.id)
@@ -96,119 +102,121 @@
   }
 
   private Set<String> storedMachines() {
-    return LogState.of(store.values()).machines().stream()
+    return LogState.of(segmentsByKey.values()).machines().stream()
         .map(LogSegment.MachineEntry::id)
         .collect(Collectors.toSet());
   }
 
   @Test
-  void whatIsCommittedIsReadBack() throws MalformedMessageException {
+  void committedEntriesAreReadBack() throws MalformedMessageException {
     Machine machine = addMachine("m-1");
     place(machine);
     log.pending().images.add(new MachineImage(machine, "img", 1.5));
     commitAll();
     assertEquals(Set.of("m-1"), storedMachines());
-    assertEquals(Set.of("0 on m-1"), storedPlacements());
+    assertEquals(Set.of("0 on m-1"), storedAssignments());
     assertEquals(
         List.of(new LogSegment.CachedImage("img", 1.5, "m-1")),
-        LogState.of(store.values()).images());
+        LogState.of(segmentsByKey.values()).images());
   }
 
   @Test
-  void anAttemptThatEndsBeforeItIsWrittenIsNeverWritten() throws MalformedMessageException {
+  void attemptThatEndsWhilePendingIsNotWritten() throws MalformedMessageException {
     release(place(addMachine("m-1")));
     commitAll();
-    LogSegment only = store.get(Keys.logSegment(0));
-    assertEquals(List.of(), only.placed());
-    assertEquals(List.of(), only.ended());
+    LogSegment onlySegment = segmentsByKey.get(Keys.logSegment(0));
+    assertEquals(List.of(), onlySegment.placed());
+    assertEquals(List.of(), onlySegment.ended());
   }
 
   @Test
-  void anAttemptThatHasEndedIsNoLongerRead() throws MalformedMessageException {
+  void endedAttemptIsNotReadBack() throws MalformedMessageException {
     Assignment assignment = place(addMachine("m-1"));
     commitAll();
     release(assignment);
     commitAll();
-    assertEquals(Set.of(), storedPlacements());
+    assertEquals(Set.of(), storedAssignments());
   }
 
   @Test
-  void theLogIsCompactedOnceItIsLargerThanItsLiveEntriesNeed() throws MalformedMessageException {
+  void compactionBoundsTheLogByItsLiveEntries() throws MalformedMessageException {
     Machine machine = addMachine("m-1");
-    Assignment first = place(machine);
+    Assignment live = place(machine);
     commitAll();
     for (int i = 0; i < 2_000; i++) {
       release(place(machine));
-      Assignment passing = place(machine);
+      Assignment shortLived = place(machine);
       commitAll();
-      release(passing);
+      release(shortLived);
     }
     commitAll();
     assertEquals(Set.of("m-1"), storedMachines());
-    assertEquals(Set.of(first.task.index() + " on m-1"), storedPlacements());
-    int entries = store.values().stream().mapToInt(segment -> segment.placed().size()).sum();
-    assertTrue(entries <= 210, entries + " entries for two live ones");
+    assertEquals(Set.of(live.task.index() + " on m-1"), storedAssignments());
+    int entries =
+        segmentsByKey.values().stream().mapToInt(segment -> segment.placed().size()).sum();
+    assertTrue(entries <= 210, entries + " stored entries for two live ones");
   }
 
   @Test
-  void aBuildThatIsRolledBackIsBuiltAgainWithWhatIsStillTrue() throws MalformedMessageException {
+  void rolledBackBatchIsRebuiltWithoutObsoleteEntries() throws MalformedMessageException {
     Machine machine = addMachine("m-1");
-    Assignment stays = place(machine);
-    Assignment ends = place(machine);
-    log.build();
-    release(ends);
-    log.rollBack();
-    commit(log.build());
-    assertEquals(1, store.size());
-    assertEquals(Set.of(stays.task.index() + " on m-1"), storedPlacements());
+    Assignment kept = place(machine);
+    Assignment ended = place(machine);
+    log.buildBatch();
+    release(ended);
+    log.rollBackBatch();
+    commit(log.buildBatch());
+    assertEquals(1, segmentsByKey.size());
+    assertEquals(Set.of(kept.task.index() + " on m-1"), storedAssignments());
     assertEquals(Set.of("m-1"), storedMachines());
   }
 
   @Test
-  void aSuccessorContinuesTheNumbersAndSlotsOfAnEarlierLeader() throws MalformedMessageException {
+  void newLeaderContinuesSequenceNumbersAndSlotsOfEarlierLeader() throws MalformedMessageException {
     Machine machine = addMachine("m-1");
     Assignment assignment = place(machine);
     commitAll();
-    SegmentedLog successor = new SegmentedLog(cluster, SEGMENT_BYTES);
-    successor.load(0, store.get(Keys.logSegment(0)));
+    SegmentedLog nextLog = new SegmentedLog(cluster, SEGMENT_BYTES);
+    nextLog.load(0, segmentsByKey.get(Keys.logSegment(0)));
     assertEquals(machine.logReference, assignment.logReference);
-    successor.pending().removedMachines.add("m-0");
-    List<Write> writes = successor.build();
+    nextLog.pending().removedMachineIds.add("m-0");
+    List<Write> writes = nextLog.buildBatch();
     LogSegment segment = LogSegment.read(Json.readObject(writes.get(0).value()));
     assertEquals(Keys.logSegment(1), writes.get(0).key());
-    assertEquals(store.get(Keys.logSegment(0)).number() + 1, segment.number());
+    assertEquals(segmentsByKey.get(Keys.logSegment(0)).number() + 1, segment.number());
   }
 
   /**
-   * Whatever happens between builds, once all is written the segments name exactly what is live.
+   * Random assignments, releases and rollbacks: once all entries are committed, the segments
+   * contain exactly the live assignments.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void storedAndLivePlacementsAgreeAfterEveryCommit(long seed) throws MalformedMessageException {
+  void storedAssignmentsMatchLiveOnesAfterEveryCommit(long seed) throws MalformedMessageException {
     SplittableRandom random = new SplittableRandom(seed);
     List<Machine> machines = new ArrayList<>();
-    List<Assignment> held = new ArrayList<>();
+    List<Assignment> active = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       machines.add(addMachine("m-" + i));
     }
     for (int round = 0; round < 400; round++) {
       for (int i = random.nextInt(30); i > 0; i--) {
-        held.add(place(machines.get(random.nextInt(machines.size()))));
+        active.add(place(machines.get(random.nextInt(machines.size()))));
       }
-      releaseDownTo(25, held, random);
-      List<Write> writes = log.build();
-      releaseDownTo(20, held, random);
+      releaseRandomDownTo(25, active, random);
+      List<Write> writes = log.buildBatch();
+      releaseRandomDownTo(20, active, random);
       if (random.nextBoolean()) {
-        log.rollBack();
-        commit(log.build());
+        log.rollBackBatch();
+        commit(log.buildBatch());
       } else {
         commit(writes);
       }
       commitAll();
-      assertEquals(livePlacements(), storedPlacements(), "round " + round);
+      assertEquals(liveAssignments(), storedAssignments(), "round " + round);
     }
     assertEquals(10, storedMachines().size());
     Set<Long> numbers = new HashSet<>();
-    store.values().forEach(segment -> assertTrue(numbers.add(segment.number())));
+    segmentsByKey.values().forEach(segment -> assertTrue(numbers.add(segment.number())));
   }
 }
