--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -16,73 +16,79 @@
 import madderrudder.protocol.Resources;
 
 /**
- * What is to be scheduled in a round.
+ * The jobs to schedule in a round.
  *
- * @param guaranteed the jobs that lie within their team's guarantee
- * @param waiting the jobs with waiting tasks, in the order in which they are to get capacity
- * @param promptNeedsSteady whether some work that must start promptly may not use spot instances
- * @param coverage how much of the cluster this leader has heard from
+ * @param guaranteed the jobs that are covered by their team's guarantee
+ * @param waiting the jobs with waiting tasks, in the order in which they receive capacity
+ * @param promptNeedsNonSpot whether some job that must start promptly may not use spot machines
+ * @param coverage the share of the cluster from which this leader has received heartbeats
  */
 public record Demand(
-    Set<Job> guaranteed, List<Job> waiting, boolean promptNeedsSteady, ClusterCoverage coverage) {
-  /** When a job without a deadline counts as due. */
-  private static final long NO_DEADLINE_MICROS = 120_000_000;
+    Set<Job> guaranteed, List<Job> waiting, boolean promptNeedsNonSpot, ClusterCoverage coverage) {
+  /** The assumed deadline of a job that has none, counted from its submission. */
+  private static final long DEFAULT_DEADLINE_MICROS = 120_000_000;
 
   /**
-   * A job of which nothing has begun for so long is starved, and moves ahead by a step each {@link
-   * #STEP_MICROS}. The users want even the largest to begin within four minutes; with three
-   * deadlines at the most it is ahead of its equals after three minutes.
+   * A job that has waited this long without a task being placed is starved. It then moves ahead by
+   * one step, and by another after each {@link #STARVATION_STEP_MICROS}. Users expect even the
+   * largest job to start within four minutes; a job has at most three deadlines, so it is ahead of
+   * jobs of equal rank after three minutes.
    */
-  private static final long STARVED_MICROS = 90_000_000;
+  private static final long STARVATION_MICROS = 90_000_000;
 
-  private static final long STEP_MICROS = 30_000_000;
+  private static final long STARVATION_STEP_MICROS = 30_000_000;
 
   private static final int PRODUCTION_RANK = 0;
   private static final int GUARANTEED_RANK = 1;
 
-  /** The rank of jobs for which nothing is preempted. */
-  private static final int LAST_RANK = 2;
+  /** The rank of all other jobs; nothing is preempted for them. */
+  private static final int LOWEST_RANK = 2;
 
-  /** The demand as seen by a leader that has heard all machines. */
+  /** Returns the demand for a leader that has received heartbeats from all machines. */
   static Demand of(Cluster cluster, long wallMicros) {
     return of(cluster, wallMicros, ClusterCoverage.FULL);
   }
 
   /**
-   * The demand of the cluster's jobs.
+   * Returns the demand of the cluster's unfinished jobs.
    *
-   * @param coverage how much of the cluster this leader has heard from
+   * @param wallMicros the time of day, in microseconds
+   * @param coverage the share of the cluster from which this leader has received heartbeats
    */
   public static Demand of(Cluster cluster, long wallMicros, ClusterCoverage coverage) {
     Set<Job> guaranteed = guaranteed(cluster);
-    boolean needsSteady =
+    boolean promptNeedsNonSpot =
         cluster.jobs.values().stream()
             .anyMatch(
                 job ->
                     !job.spec.spotAllowed()
                         && cluster.deployment.objectives().wantsPromptStart(job.spec));
-    return new Demand(guaranteed, waiting(cluster, guaranteed, wallMicros), needsSteady, coverage);
+    return new Demand(
+        guaranteed, waiting(cluster, guaranteed, wallMicros), promptNeedsNonSpot, coverage);
   }
 
-  /** The least of each resource that any waiting task needs. */
-  Resources leastPerTask() {
+  /** Returns, for each resource, the smallest amount that any waiting task requests. */
+  Resources minTaskResources() {
     return waiting.stream()
         .map(job -> job.spec.perTask())
         .reduce(Resources::least)
         .orElse(Resources.NONE);
   }
 
-  /** The jobs that fit into their team's guarantee with the team's earlier unfinished jobs. */
+  /**
+   * Returns the jobs that fit into their team's guarantee together with all unfinished jobs that
+   * the team submitted before them.
+   */
   private static Set<Job> guaranteed(Cluster cluster) {
-    Map<String, Resources> demand = new HashMap<>();
-    List<Job> byAge = new ArrayList<>(cluster.jobs.values());
-    byAge.sort(Comparator.comparingLong(job -> job.acceptedWallMicros));
+    Map<String, Resources> demandByTeam = new HashMap<>();
+    List<Job> oldestFirst = new ArrayList<>(cluster.jobs.values());
+    oldestFirst.sort(Comparator.comparingLong(job -> job.acceptedWallMicros));
     Set<Job> guaranteed = new HashSet<>();
-    for (Job job : byAge) {
-      Resources total =
-          demand.merge(
+    for (Job job : oldestFirst) {
+      Resources demandSoFar =
+          demandByTeam.merge(
               job.spec.team(), job.spec.perTask().times(job.remainingTasks()), Resources::plus);
-      if (job.team.guarantees(total)) {
+      if (job.team.guarantees(demandSoFar)) {
         guaranteed.add(job);
       }
     }
@@ -90,17 +96,18 @@
   }
 
   /**
-   * Orders the waiting jobs: production, then what lies within a guarantee, then by priority. A
-   * gang that is wanted promptly counts as if it lay within one for the order, not for preemption:
-   * capacity for a gang comes free rarely, and bulk work within guarantees would take each piece of
-   * it first. What may be stopped for a job always comes after it here, so that capacity freed by
-   * preemption never goes back to what was stopped.
+   * Orders the waiting jobs: production first, then jobs covered by a guarantee, then by priority.
+   * A gang with an objective for a prompt start is ordered as if a guarantee covered it, but
+   * preempts nothing on that account: capacity for a gang becomes free rarely, and bulk jobs within
+   * guarantees would take each part of it first. A job always precedes the jobs whose tasks may be
+   * preempted for it, so that capacity freed by preemption never returns to the preempted job.
    *
-   * <p>Among equals the one due first, as long as it can still be in time: with too much to do,
-   * working on what is late already would make everything late in turn. Jobs that cannot be in
-   * time, the largest above all, once came last for as long as others came that could: a starved
-   * job moves ahead until it has begun. Among the jobs within no guarantee, which stop nothing and
-   * may be stopped, it then comes before higher priorities too.
+   * <p>Jobs of equal rank and priority are ordered by the earliest deadline that each can still
+   * meet: under overload, serving jobs that are already late would make all others late in turn.
+   * Jobs that can meet no deadline, mostly the largest ones, would then come last for as long as
+   * new jobs arrive that can. A starved job therefore moves ahead until its first task is placed.
+   * Among the jobs of the lowest rank, which preempt nothing and may be preempted, it also precedes
+   * jobs of higher priority.
    */
   private static List<Job> waiting(Cluster cluster, Set<Job> guaranteed, long wallMicros) {
     Map<Job, Deadline> deadlines = new HashMap<>();
@@ -115,7 +122,7 @@
     waiting.sort(
         Comparator.comparingInt(rank)
             .thenComparing(
-                job -> rank.applyAsInt(job) < LAST_RANK || starvedSteps(job, wallMicros) == 0)
+                job -> rank.applyAsInt(job) < LOWEST_RANK || starvationSteps(job, wallMicros) == 0)
             .thenComparing(job -> job.spec.priority())
             .thenComparing(job -> !guaranteed.contains(job))
             .thenComparing(deadlines::get));
@@ -126,24 +133,24 @@
     if (job.spec.priority() == Priority.PRODUCTION) {
       return PRODUCTION_RANK;
     }
-    return guaranteed.contains(job) || promptGang(cluster, job) ? GUARANTEED_RANK : LAST_RANK;
+    return guaranteed.contains(job) || isPromptGang(cluster, job) ? GUARANTEED_RANK : LOWEST_RANK;
   }
 
-  /** By how many steps a starved job moves ahead; 0 if it is not starved. */
-  private static int starvedSteps(Job job, long wallMicros) {
-    long starvedMicros = wallMicros - job.acceptedWallMicros - STARVED_MICROS;
-    if (starvedMicros < 0 || job.hasBegun()) {
+  /** Returns by how many steps a starved job moves ahead; 0 if it is not starved. */
+  private static int starvationSteps(Job job, long wallMicros) {
+    long starvedForMicros = wallMicros - job.acceptedWallMicros - STARVATION_MICROS;
+    if (starvedForMicros < 0 || job.hasBegun()) {
       return 0;
     }
-    return 1 + (int) Math.min(starvedMicros / STEP_MICROS, Integer.MAX_VALUE - 1);
+    return 1 + (int) Math.min(starvedForMicros / STARVATION_STEP_MICROS, Integer.MAX_VALUE - 1);
   }
 
-  private static boolean promptGang(Cluster cluster, Job job) {
+  private static boolean isPromptGang(Cluster cluster, Job job) {
     return job.spec.kind() == JobKind.GANG
         && cluster.deployment.objectives().wantsPromptStart(job.spec);
   }
 
-  /** The soonest deadline that can still be met, and how many are missed already. */
+  /** The earliest deadline that a job can still meet, and how many it misses before that one. */
   private record Deadline(int missed, long wallMicros) implements Comparable<Deadline> {
     @Override
     public int compareTo(Deadline other) {
@@ -153,18 +160,18 @@
   }
 
   private static Deadline deadline(Cluster cluster, Job job, long nowWallMicros) {
-    List<Long> dues = cluster.deployment.objectives().dueMicros(job.spec);
-    if (dues.isEmpty()) {
-      return new Deadline(0, job.acceptedWallMicros + NO_DEADLINE_MICROS);
+    List<Long> dueOffsets = cluster.deployment.objectives().dueMicros(job.spec);
+    if (dueOffsets.isEmpty()) {
+      return new Deadline(0, job.acceptedWallMicros + DEFAULT_DEADLINE_MICROS);
     }
-    long endMicros = nowWallMicros + cluster.runTimes.expectedMicros(job);
-    for (int missed = 0; missed < dues.size(); missed++) {
-      long dueMicros = job.acceptedWallMicros + dues.get(missed);
-      if (endMicros <= dueMicros) {
+    long expectedEndMicros = nowWallMicros + cluster.runTimes.expectedMicros(job);
+    for (int missed = 0; missed < dueOffsets.size(); missed++) {
+      long dueMicros = job.acceptedWallMicros + dueOffsets.get(missed);
+      if (expectedEndMicros <= dueMicros) {
         return new Deadline(missed, dueMicros);
       }
     }
-    int missed = Math.max(0, dues.size() - starvedSteps(job, nowWallMicros));
+    int missed = Math.max(0, dueOffsets.size() - starvationSteps(job, nowWallMicros));
     return new Deadline(missed, job.acceptedWallMicros);
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/SteadyHeadroom.java
+++ b/src/main/java/madderrudder/coordination/scheduling/NonSpotHeadroom.java
@@ -6,32 +6,32 @@
 import madderrudder.protocol.Priority;
 
 /**
- * The headroom on steady machines for work that must start before a machine could boot for it.
- * Production that may not use spot instances can only start at once on steady machines, in free
- * capacity or in place of other work. Ordinary work is sent to steady machines until there is that
- * headroom.
+ * The headroom on owned and on-demand machines for jobs that must start before a machine could boot
+ * for them. Production that may not use spot machines can start at once only on other machines, in
+ * free capacity or by preemption. While that headroom is short, on-demand machines are requested in
+ * preference to spot machines.
  */
-final class SteadyHeadroom {
-  private SteadyHeadroom() {}
+final class NonSpotHeadroom {
+  private NonSpotHeadroom() {}
 
-  /** How much is missing, in thousandths of a processor; 0 or less if nothing is. */
+  /** Returns the missing headroom, in thousandths of a processor; 0 or less if none is missing. */
   static long shortfallMilliCpus(PlanningRound round) {
     Cluster cluster = round.cluster();
-    if (!cluster.scaleOutTooSlow() || !round.demand().promptNeedsSteady()) {
+    if (!cluster.scaleOutTooSlow() || !round.demand().promptNeedsNonSpot()) {
       return 0;
     }
-    long total = 0;
-    long steady = 0;
+    long totalMilliCpus = 0;
+    long nonSpotMilliCpus = 0;
     for (Machine machine : cluster.machines.values()) {
       if (machine.retiring || machine.leaseExpired || machine.failed) {
         continue;
       }
-      total += machine.type.capacity().milliCpus();
+      totalMilliCpus += machine.type.capacity().milliCpus();
       if (!machine.spot) {
-        steady += machine.type.capacity().milliCpus() - productionMilliCpus(machine);
+        nonSpotMilliCpus += machine.type.capacity().milliCpus() - productionMilliCpus(machine);
       }
     }
-    return (long) (round.policy().headroom() * total) - steady;
+    return (long) (round.policy().headroom() * totalMilliCpus) - nonSpotMilliCpus;
   }
 
   private static long productionMilliCpus(Machine machine) {
--- a/src/main/java/madderrudder/coordination/scheduling/Placement.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placement.java
@@ -4,7 +4,7 @@
 import madderrudder.coordination.state.Machine;
 
 /**
- * A decision that a task is to run on a machine.
+ * A decision to run a task on a machine.
  *
  * @param job the job
  * @param task the index of the task
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -14,56 +14,58 @@
 import madderrudder.protocol.Resources;
 
 /**
- * Decides which waiting tasks go to which machines (bin packing): to free owned machines first, and
- * to rented ones once a task has waited the policy's threshold or when no owned machine could ever
- * take it. A pure function of what it is given.
+ * Assigns waiting tasks to machines (bin packing): to owned machines first, and to rented machines
+ * once a task has waited for the policy's threshold or if it would not fit on any owned machine
+ * even when empty. A pure function of its arguments.
  *
- * <p>The machines with free capacity are looked at once for each job, not for each task: the tasks
- * of a job are alike, so that the best machine for the next one is found in a priority queue.
+ * <p>Each machine with free capacity is evaluated once per job rather than once per task: all tasks
+ * of a job have the same requirements, so a priority queue yields the best machine for the next
+ * one.
  */
 public final class Placer {
   /**
-   * The cost of another replica on the machine, of the same job and of any, in seconds of fetching
-   * an image. The end of one machine should take few replicas with it, since they are missing for a
-   * whole lease; but a fetch costs every replica its time, so that a handful of neighbours weighs
-   * less than a common image.
+   * The cost of a machine for each replica of the same service on it, in seconds of image fetching.
+   * The loss of one machine should affect few replicas, because they are missing for a whole lease.
+   * A fetch delays every replica, so a few replicas on a machine cost less than fetching the image.
    */
-  private static final double SAME_JOB_S = 0.6;
+  private static final double SAME_SERVICE_REPLICA_COST_S = 0.6;
 
-  private static final double NEIGHBOUR_S = 0.15;
+  /** The same cost for each replica of another service on the machine. */
+  private static final double OTHER_SERVICE_REPLICA_COST_S = 0.15;
 
-  /** The cost of a rented machine: above all others, so that owned ones always go first. */
-  private static final double RENTED_S = 1000;
+  /** The cost of a rented machine; exceeds all other costs, so that owned machines come first. */
+  private static final double RENTED_MACHINE_COST_S = 1000;
 
-  /** The cost of a steady machine for work that may use spot instances. */
-  private static final double STEADY_S = 2;
+  /** The cost of a machine that is not a spot machine, for a job that may use spot machines. */
+  private static final double NON_SPOT_MACHINE_COST_S = 2;
 
   /**
-   * For how long headroom is withheld from a task. Users count a job that has waited for 90 s
-   * beside free capacity as neglected; a failover and a few rounds come in between.
+   * The longest time for which headroom is withheld from a task. Users consider a job neglected
+   * after it has waited beside free capacity for 90 s; the difference allows for a failover and a
+   * few rounds.
    */
-  private static final long MOST_WITHHELD_MICROS = 60_000_000;
+  private static final long MAX_HEADROOM_WITHHELD_MICROS = 60_000_000;
 
-  /** The most placements of a round, so that it stays short; what is left comes in the next. */
-  private static final int MOST_PLACEMENTS = 400;
+  /** Limits the duration of a round; the next round places the remaining tasks. */
+  private static final int MAX_PLACEMENTS_PER_ROUND = 400;
 
   private final PlanningRound round;
   private final Cluster cluster;
   private final long nowMicros;
   private final List<Placement> placements = new ArrayList<>();
-  private final List<Machine> usable = new ArrayList<>();
+  private final List<Machine> usableMachines = new ArrayList<>();
 
-  /** Usable machines with capacity for the smallest task that waits. */
-  private final List<Machine> withCapacity = new ArrayList<>();
+  /** Usable machines with free capacity for the minimum that any waiting task requests. */
+  private final List<Machine> machinesWithCapacity = new ArrayList<>();
 
-  /** Usable machines on which capacity is about to come free. */
-  private final List<Machine> freeing = new ArrayList<>();
+  /** Usable machines on which capacity is about to become free. */
+  private final List<Machine> freeingMachines = new ArrayList<>();
 
   private final long headroomMilliCpus;
   private long freeMilliCpus;
   private RoundUsage usage;
 
-  /** A machine that could take the next task of a job, and at what cost. */
+  /** A machine on which the next task of a job fits, and the cost of placing it there. */
   private record Candidate(Machine machine, double cost) implements Comparable<Candidate> {
     @Override
     public int compareTo(Candidate other) {
@@ -76,8 +78,8 @@
     cluster = round.cluster();
     nowMicros = round.nowMicros();
     usage = new RoundUsage(cluster);
-    Resources smallest = round.demand().leastPerTask();
-    boolean gangWaits =
+    Resources minTaskResources = round.demand().minTaskResources();
+    boolean gangIsWaiting =
         round.demand().waiting().stream().anyMatch(job -> job.spec.kind() == JobKind.GANG);
     long totalMilliCpus = 0;
     for (Machine machine : cluster.machines.values()) {
@@ -85,7 +87,7 @@
         totalMilliCpus += machine.type.capacity().milliCpus();
         freeMilliCpus += machine.free().milliCpus();
         if (machine.reclaimMicros < 0) {
-          addUsable(machine, smallest, gangWaits);
+          addUsableMachine(machine, minTaskResources, gangIsWaiting);
         }
       }
     }
@@ -93,145 +95,154 @@
         cluster.scaleOutTooSlow() ? (long) (totalMilliCpus * round.policy().headroom()) : 0;
   }
 
-  private void addUsable(Machine machine, Resources smallest, boolean gangWaits) {
-    usable.add(machine);
-    if (machine.stopping() || (gangWaits && endsSoon(machine))) {
-      freeing.add(machine);
+  private void addUsableMachine(
+      Machine machine, Resources minTaskResources, boolean gangIsWaiting) {
+    usableMachines.add(machine);
+    if (machine.stopping() || (gangIsWaiting && hasTaskEndingSoon(machine))) {
+      freeingMachines.add(machine);
     }
-    // A machine whose scarcest resource is used up takes nothing, however much is left of the
-    // others.
-    if (smallest.fits(machine.free())) {
-      withCapacity.add(machine);
+    // A machine on which any one resource is used up takes no task, however much of the others is
+    // free.
+    if (minTaskResources.fits(machine.free())) {
+      machinesWithCapacity.add(machine);
     }
   }
 
-  private boolean endsSoon(Machine machine) {
+  private boolean hasTaskEndingSoon(Machine machine) {
     return machine.assignments.values().stream().anyMatch(a -> cluster.endsSoon(a, nowMicros));
   }
 
-  /** The placements of a round, in the order in which jobs are to get capacity. */
+  /**
+   * Returns the placements of a round, in the order in which jobs receive capacity.
+   *
+   * @param nowMicros the time on the monotonic clock, in microseconds
+   */
   public static List<Placement> plan(
       Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     Placer placer = new Placer(new PlanningRound(cluster, policy, demand, nowMicros));
     for (Job job : demand.waiting()) {
-      if (placer.done()) {
+      if (placer.roundIsFull()) {
         break;
       }
       if (job.spec.kind() == JobKind.GANG) {
-        placer.planGang(job);
+        placer.placeGang(job);
       } else {
-        placer.planTasks(job);
+        placer.placeTasks(job);
       }
     }
     return placer.placements;
   }
 
-  private boolean done() {
-    return (withCapacity.isEmpty() && freeing.isEmpty()) || placements.size() >= MOST_PLACEMENTS;
+  private boolean roundIsFull() {
+    return (machinesWithCapacity.isEmpty() && freeingMachines.isEmpty())
+        || placements.size() >= MAX_PLACEMENTS_PER_ROUND;
   }
 
-  private void planTasks(Job job) {
+  private void placeTasks(Job job) {
     PriorityQueue<Candidate> candidates = candidates(job);
-    boolean ownedFits = round.ownedCouldFit(job);
+    boolean fitsOwned = round.ownedCouldFit(job);
     for (int task = job.nextWaiting(0);
-        task >= 0 && !candidates.isEmpty() && placements.size() < MOST_PLACEMENTS;
+        task >= 0 && !candidates.isEmpty() && placements.size() < MAX_PLACEMENTS_PER_ROUND;
         task = job.nextWaiting(task + 1)) {
-      if (!startable(job, task)) {
+      if (!canStart(job, task)) {
         continue;
       }
-      if (!usage.teamAllows(job) || needsHeadroom(job, task)) {
+      if (!usage.teamAllows(job) || usesWithheldHeadroom(job, task)) {
         return;
       }
-      boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
+      boolean rentedAllowed = !fitsOwned || round.waitedThreshold(job, task);
       if (place(job, task, candidates, rentedAllowed) && job.failing()) {
         return;
       }
     }
   }
 
-  private boolean startable(Job job, int task) {
+  private boolean canStart(Job job, int task) {
     return job.ready(task, nowMicros) && !cluster.hasOrphan(job.spec.id(), task);
   }
 
   /**
-   * Whether the task would use up the headroom, which is for work that must start sooner than a
-   * machine boots; ordinary work scales out instead. Where no machine was to be had, ordinary work
-   * once waited beside the headroom for as long as the shortage lasted.
+   * Whether the task would use headroom that is still withheld from it. Headroom is kept free for
+   * jobs that must start sooner than a machine boots; other jobs scale out instead. Withholding
+   * ends after {@link #MAX_HEADROOM_WITHHELD_MICROS}: without that bound, these jobs waited beside
+   * free capacity for as long as the cloud had no machines.
    */
-  private boolean needsHeadroom(Job job, int task) {
+  private boolean usesWithheldHeadroom(Job job, int task) {
     return Priority.HIGH.above(job.spec.priority())
         && !round.guaranteed(job)
-        && nowMicros - job.waitingSinceMicros(task) < MOST_WITHHELD_MICROS
+        && nowMicros - job.waitingSinceMicros(task) < MAX_HEADROOM_WITHHELD_MICROS
         && freeMilliCpus - job.spec.perTask().milliCpus() < headroomMilliCpus;
   }
 
   /**
-   * Places all tasks of a gang or none; a gang that still gathers gets what it lacks, under the
-   * attempt number it has. If there is not enough capacity, what there is is reserved for it in
-   * this round, with what is about to come free: the jobs after it would otherwise refill, task by
-   * task, each whole machine that it waits for.
+   * Places all waiting tasks of a gang or none. A gang that is still gathering receives its missing
+   * tasks under its current attempt number. If capacity is insufficient, the machines found and
+   * those about to become free are reserved for the gang in this round: otherwise tasks of later
+   * jobs would refill each machine that the gang waits for.
    */
-  private void planGang(Job job) {
+  private void placeGang(Job job) {
     if (!job.gangAcceptsPlacement()) {
       return;
     }
     PriorityQueue<Candidate> candidates = candidates(job);
     if (candidates.isEmpty()) {
-      reserveFor(job, List.of());
+      reserveForGang(job, List.of());
       return;
     }
     RoundUsage usageBefore = usage.copy();
-    long freeBefore = freeMilliCpus;
-    int placedBefore = placements.size();
-    boolean ownedFits = round.ownedCouldFit(job);
+    long freeMilliCpusBefore = freeMilliCpus;
+    int placementCountBefore = placements.size();
+    boolean fitsOwned = round.ownedCouldFit(job);
     for (int task = job.nextWaiting(0); task >= 0; task = job.nextWaiting(task + 1)) {
-      boolean allowed = startable(job, task) && usage.teamAllows(job);
-      if (!allowed || !placeMember(job, task, candidates, ownedFits)) {
-        List<Placement> partial = placements.subList(placedBefore, placements.size());
+      boolean taskAllowed = canStart(job, task) && usage.teamAllows(job);
+      if (!taskAllowed || !placeGangTask(job, task, candidates, fitsOwned)) {
+        List<Placement> partialPlacements =
+            placements.subList(placementCountBefore, placements.size());
         usage = usageBefore;
-        freeMilliCpus = freeBefore;
-        if (allowed) {
-          reserveFor(job, partial);
+        freeMilliCpus = freeMilliCpusBefore;
+        if (taskAllowed) {
+          reserveForGang(job, partialPlacements);
         }
-        partial.clear();
+        partialPlacements.clear();
         return;
       }
     }
   }
 
-  private boolean placeMember(
-      Job job, int task, PriorityQueue<Candidate> candidates, boolean ownedFits) {
-    boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
+  private boolean placeGangTask(
+      Job job, int task, PriorityQueue<Candidate> candidates, boolean fitsOwned) {
+    boolean rentedAllowed = !fitsOwned || round.waitedThreshold(job, task);
     return place(job, task, candidates, rentedAllowed);
   }
 
   /**
-   * Reserves the machines of a gang's partial placement, and machines that are about to come free
-   * for its other tasks. Nothing is reserved for a gang that does not fit even on empty machines.
+   * Reserves the machines of a gang's partial placement, and machines that are about to become free
+   * for its other tasks. Reserves nothing for a gang that would not fit even on empty machines.
    */
-  private void reserveFor(Job job, List<Placement> partial) {
-    if ((partial.isEmpty() && freeing.isEmpty()) || !cluster.couldFitGang(job, usable)) {
+  private void reserveForGang(Job job, List<Placement> partialPlacements) {
+    if ((partialPlacements.isEmpty() && freeingMachines.isEmpty())
+        || !cluster.couldFitGang(job, usableMachines)) {
       return;
     }
-    int missing = job.waitingCount() - partial.size();
-    partial.forEach(placement -> usage.reserve(placement.machine()));
-    for (Machine machine : freeing) {
-      if (missing > 0
+    int missingTasks = job.waitingCount() - partialPlacements.size();
+    partialPlacements.forEach(placement -> usage.reserve(placement.machine()));
+    for (Machine machine : freeingMachines) {
+      if (missingTasks > 0
           && !usage.reserved(machine)
           && cluster.allowed(job, machine)
           && job.spec.perTask().fits(cluster.freeSoon(machine, nowMicros))) {
         usage.reserve(machine);
-        missing--;
+        missingTasks--;
       }
     }
   }
 
-  /** The machines that could take a task of the job now, cheapest first. */
+  /** Returns the machines on which a task of the job fits now, cheapest first. */
   private PriorityQueue<Candidate> candidates(Job job) {
     PriorityQueue<Candidate> candidates = new PriorityQueue<>();
-    for (Machine machine : withCapacity) {
+    for (Machine machine : machinesWithCapacity) {
       if (fits(job, machine)
-          && !machine.atTaskLimit(usage.added(job, machine))
+          && !machine.atTaskLimit(usage.addedTasks(job, machine))
           && cluster.allowed(job, machine)
           && (!job.failedOn(machine.id, nowMicros) || job.failing())) {
         candidates.add(new Candidate(machine, cost(job, machine)));
@@ -245,9 +256,9 @@
   }
 
   /**
-   * Places the task on the cheapest candidate, which stays one for as long as another task fits.
+   * Places the task on the cheapest candidate, which remains a candidate while another task fits.
    *
-   * @return false if no machine takes the task
+   * @return false if no candidate may take the task
    */
   private boolean place(
       Job job, int task, PriorityQueue<Candidate> candidates, boolean rentedAllowed) {
@@ -257,14 +268,15 @@
         return false;
       }
       candidates.poll();
-      // Within a round the zones that a job may use only become fewer.
+      // The set of zones that a job may use only shrinks within a round, so the candidate is
+      // dropped.
       if (!usage.zoneAllows(job, machine.zone)) {
         continue;
       }
-      usage.take(job, machine);
+      usage.addTask(job, machine);
       freeMilliCpus -= job.spec.perTask().milliCpus();
       placements.add(new Placement(job, task, machine));
-      if (fits(job, machine) && !machine.atTaskLimit(usage.added(job, machine))) {
+      if (fits(job, machine) && !machine.atTaskLimit(usage.addedTasks(job, machine))) {
         candidates.add(new Candidate(machine, cost(job, machine)));
       }
       return true;
@@ -272,23 +284,27 @@
     return false;
   }
 
-  /** Seconds of fetching the image, and a little for what fits badly; owned machines go first. */
+  /**
+   * Returns the cost of placing a task of the job on the machine: the seconds to fetch the image,
+   * the share of processors left unused, and the surcharges defined above.
+   */
   private double cost(Job job, Machine machine) {
     JobSpec spec = job.spec;
-    double cost = machine.owned ? 0 : RENTED_S;
+    double cost = machine.owned ? 0 : RENTED_MACHINE_COST_S;
     if (!machine.hasImage(spec.image())) {
       cost += spec.imageGb() / machine.type.fetchGbPerS();
     }
-    long left = usage.free(machine).milliCpus() - spec.perTask().milliCpus();
-    cost += (double) left / Math.max(1, machine.type.capacity().milliCpus());
+    long milliCpusLeft = usage.free(machine).milliCpus() - spec.perTask().milliCpus();
+    cost += (double) milliCpusLeft / Math.max(1, machine.type.capacity().milliCpus());
     if (spec.spotAllowed() && !machine.spot) {
-      cost += STEADY_S;
+      cost += NON_SPOT_MACHINE_COST_S;
     }
     if (spec.kind() == JobKind.SERVICE) {
-      cost += usage.added(job, machine) * SAME_JOB_S;
+      cost += usage.addedTasks(job, machine) * SAME_SERVICE_REPLICA_COST_S;
       for (Assignment assignment : machine.assignments.values()) {
         if (assignment.job != null && assignment.job.spec.kind() == JobKind.SERVICE) {
-          cost += assignment.job == job ? SAME_JOB_S : NEIGHBOUR_S;
+          cost +=
+              assignment.job == job ? SAME_SERVICE_REPLICA_COST_S : OTHER_SERVICE_REPLICA_COST_S;
         }
       }
     }
--- a/src/main/java/madderrudder/coordination/scheduling/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -14,23 +14,24 @@
 import madderrudder.protocol.Priority;
 
 /**
- * Decides which running tasks are preempted: for a task of higher priority, or for one within its
- * team's guarantee at the cost of teams beyond theirs. A pure function of what it is given.
+ * Decides which running tasks are preempted: for a job of higher priority, or for a job covered by
+ * its team's guarantee at the expense of teams that exceed theirs. A pure function of its
+ * arguments.
  */
 public final class Preemption {
-  /** Processor seconds of other work that a second of fetching is worth. */
-  private static final double FETCH_WEIGHT = 40;
+  /** The loss, in processor seconds, that one second of image fetching counts as. */
+  private static final double FETCH_SECOND_LOSS_CPU_S = 40;
 
   private final PlanningRound round;
   private final VictimSelection selection;
   private final RoundUsage roundUsage;
-  private final List<Machine> usable = new ArrayList<>();
+  private final List<Machine> usableMachines = new ArrayList<>();
 
-  /** Jobs for which nothing was left to be stopped. */
-  private final List<Job> unsatisfied = new ArrayList<>();
+  /** Jobs for which no further preemption was possible. */
+  private final List<Job> jobsWithoutOptions = new ArrayList<>();
 
-  /** What would have to be stopped on a machine for a task of the job, and what is lost by it. */
-  private record Option(Machine machine, List<Assignment> stops, double loss)
+  /** The tasks to preempt on a machine so that a task of the job fits, and the resulting loss. */
+  private record Option(Machine machine, List<Assignment> victims, double loss)
       implements Comparable<Option> {
     @Override
     public int compareTo(Option other) {
@@ -44,12 +45,17 @@
     roundUsage = new RoundUsage(round.cluster());
     for (Machine machine : round.cluster().machines.values()) {
       if (round.usable(machine) && machine.reclaimMicros < 0) {
-        usable.add(machine);
+        usableMachines.add(machine);
       }
     }
   }
 
-  /** The tasks to stop. To be called after placement: what still waits has found no capacity. */
+  /**
+   * Returns the tasks to preempt. Call it after placement, when each task that still waits has
+   * found no free capacity.
+   *
+   * @param nowMicros the time on the monotonic clock, in microseconds
+   */
   public static Set<Assignment> plan(
       Cluster cluster, OperatorPolicy policy, Demand demand, long nowMicros) {
     Preemption preemption = new Preemption(new PlanningRound(cluster, policy, demand, nowMicros));
@@ -73,14 +79,15 @@
   }
 
   /**
-   * Whether an earlier job that was no more demanding found nothing left to stop; there is only
-   * less by now. With many jobs waiting, looking at each machine for each of them took most of the
-   * processor.
+   * Whether an earlier job with no stricter requirements found nothing left to preempt; the set of
+   * possible victims only shrinks within a round. Evaluating each machine for each of many waiting
+   * jobs took most of the processor time.
    */
   private boolean cannotSucceed(Job job) {
-    return unsatisfied.stream().anyMatch(other -> noMoreDemanding(other, job));
+    return jobsWithoutOptions.stream().anyMatch(other -> noMoreDemanding(other, job));
   }
 
+  /** Whether every preemption that is possible for the job is possible for the other one too. */
   private boolean noMoreDemanding(Job other, Job job) {
     return other.team.equals(job.team)
         && other.spec.kind() == job.spec.kind()
@@ -95,65 +102,65 @@
   }
 
   /**
-   * A gang starts with all its tasks or not at all: unless all that wait can be made to fit,
-   * nothing is stopped for it. The placer reserves for the gang what is stopped here.
+   * Preempts for all waiting tasks of a gang or for none, because a gang starts only as a whole.
+   * The placer reserves the capacity freed here for the gang.
    */
   private void preemptForGang(Job job) {
     if (!job.gangAcceptsPlacement()) {
       return;
     }
     JobPreemption preemption = new JobPreemption(job, roundUsage.copy());
-    if (preemption.mostTasks() < job.waitingCount()) {
+    if (preemption.maxTasks() < job.waitingCount()) {
       return;
     }
     VictimSelection.Snapshot before = selection.snapshot();
     if (preemption.preemptForTasks() < job.waitingCount()) {
       selection.restore(before);
     } else {
-      preemption.chosen.forEach(machine -> roundUsage.count(job, machine.zone));
+      preemption.chosenMachines.forEach(machine -> roundUsage.addTaskInZone(job, machine.zone));
     }
   }
 
   /**
-   * Preempts for the waiting tasks of one job. Each machine is looked at once for the job, and
-   * again only after something was stopped on it.
+   * Preempts for the waiting tasks of one job. Each machine is evaluated once for the job, and
+   * again only after tasks on it were selected for preemption.
    */
   private final class JobPreemption {
     private final Job job;
     private final RoundUsage usage;
-    private final boolean ownedFits;
-    private final PriorityQueue<Option> owned = new PriorityQueue<>();
-    private final PriorityQueue<Option> rented = new PriorityQueue<>();
-    private final List<Machine> chosen = new ArrayList<>();
+    private final boolean fitsOwned;
+    private final PriorityQueue<Option> ownedOptions = new PriorityQueue<>();
+    private final PriorityQueue<Option> rentedOptions = new PriorityQueue<>();
+    private final List<Machine> chosenMachines = new ArrayList<>();
 
     JobPreemption(Job job, RoundUsage usage) {
       this.job = job;
       this.usage = usage;
-      ownedFits = round.ownedCouldFit(job);
-      for (Machine machine : usable) {
+      fitsOwned = round.ownedCouldFit(job);
+      for (Machine machine : usableMachines) {
         if (round.cluster().allowed(job, machine)
             && job.spec.perTask().fits(machine.type.capacity())) {
-          offer(machine, machine.owned ? owned : rented);
+          addOption(machine, machine.owned ? ownedOptions : rentedOptions);
         }
       }
     }
 
-    /** For how many tasks capacity could be freed at the most. */
-    int mostTasks() {
-      long most = 0;
-      for (PriorityQueue<Option> queue : List.of(owned, rented)) {
+    /** Returns an upper bound on the number of tasks for which capacity could be freed. */
+    int maxTasks() {
+      long maxTasks = 0;
+      for (PriorityQueue<Option> queue : List.of(ownedOptions, rentedOptions)) {
         for (Option option : queue) {
-          most += job.spec.perTask().timesIn(option.machine().type.capacity());
+          maxTasks += job.spec.perTask().timesIn(option.machine().type.capacity());
         }
       }
-      return (int) Math.min(Integer.MAX_VALUE, most);
+      return (int) Math.min(Integer.MAX_VALUE, maxTasks);
     }
 
-    /** Frees capacity for each task that waits, as far as possible; returns for how many. */
+    /** Frees capacity for as many waiting tasks as possible, and returns their number. */
     int preemptForTasks() {
       for (int task = job.nextWaiting(0); task >= 0; task = job.nextWaiting(task + 1)) {
-        if (owned.isEmpty() && rented.isEmpty()) {
-          unsatisfied.add(job);
+        if (ownedOptions.isEmpty() && rentedOptions.isEmpty()) {
+          jobsWithoutOptions.add(job);
           break;
         }
         if (!usage.teamAllows(job)) {
@@ -163,57 +170,63 @@
           preemptForTask(task);
         }
       }
-      return chosen.size();
+      return chosenMachines.size();
     }
 
     private void preemptForTask(int task) {
-      // Capacity on a machine that the task may not use yet would go to another task, and be freed
-      // again and again.
-      boolean rentedAllowed = !ownedFits || round.waitedThreshold(job, task);
-      Option fromOwned = cheapest(owned);
-      Option fromRented = rentedAllowed ? cheapest(rented) : null;
+      // Capacity freed on a machine that the task may not use yet would be given to another task,
+      // and preemption for this task would repeat without end.
+      boolean rentedAllowed = !fitsOwned || round.waitedThreshold(job, task);
+      Option ownedOption = leastLossOption(ownedOptions);
+      Option rentedOption = rentedAllowed ? leastLossOption(rentedOptions) : null;
       boolean useOwned =
-          fromOwned != null && (fromRented == null || fromOwned.loss() <= fromRented.loss());
-      Option option = useOwned ? fromOwned : fromRented;
+          ownedOption != null
+              && (rentedOption == null || ownedOption.loss() <= rentedOption.loss());
+      Option option = useOwned ? ownedOption : rentedOption;
       if (option == null) {
         return;
       }
-      PriorityQueue<Option> queue = useOwned ? owned : rented;
+      PriorityQueue<Option> queue = useOwned ? ownedOptions : rentedOptions;
       queue.poll();
-      selection.stopFor(job, option.machine(), option.stops());
-      usage.count(job, option.machine().zone);
-      chosen.add(option.machine());
-      offer(option.machine(), queue);
+      selection.selectVictims(job, option.machine(), option.victims());
+      usage.addTaskInZone(job, option.machine().zone);
+      chosenMachines.add(option.machine());
+      addOption(option.machine(), queue);
     }
 
-    private void offer(Machine machine, PriorityQueue<Option> queue) {
-      List<Assignment> stops = selection.stopsFor(job, machine);
-      if (stops != null) {
-        queue.add(new Option(machine, stops, selection.loss(stops) + fetchLoss(machine)));
+    private void addOption(Machine machine, PriorityQueue<Option> queue) {
+      List<Assignment> victims = selection.victimsFor(job, machine);
+      if (victims != null) {
+        queue.add(new Option(machine, victims, selection.loss(victims) + imageFetchLoss(machine)));
       }
     }
 
-    /** Preemption is for work in a hurry: where the image has to be fetched, it is worth less. */
-    private double fetchLoss(Machine machine) {
-      boolean hurried =
+    /**
+     * Returns the loss of fetching the image on the machine, in processor seconds: an urgent task
+     * gains less from preemption where it first waits for its image.
+     */
+    private double imageFetchLoss(Machine machine) {
+      boolean urgent =
           job.spec.priority() == Priority.PRODUCTION || job.spec.kind() == JobKind.GANG;
-      return !hurried || machine.hasImage(job.spec.image())
+      return !urgent || machine.hasImage(job.spec.image())
           ? 0
-          : FETCH_WEIGHT * job.spec.imageGb() / machine.type.fetchGbPerS();
+          : FETCH_SECOND_LOSS_CPU_S * job.spec.imageGb() / machine.type.fetchGbPerS();
     }
 
     /**
-     * The option of least loss that is still valid, or null: zones close, and teams come to be
-     * within their guarantee.
+     * Returns the valid option of least loss, or null if there is none. Options become invalid when
+     * the job may place no more tasks in a zone, or when the usage of a victim's team falls to its
+     * guarantee.
      */
-    private Option cheapest(PriorityQueue<Option> queue) {
+    private Option leastLossOption(PriorityQueue<Option> queue) {
       while (!queue.isEmpty()) {
         Option option = queue.peek();
         if (!usage.zoneAllows(job, option.machine().zone)) {
           queue.poll();
-        } else if (!option.stops().stream().allMatch(stop -> selection.mayStop(job, stop))) {
+        } else if (!option.victims().stream()
+            .allMatch(victim -> selection.mayPreempt(job, victim))) {
           queue.poll();
-          offer(option.machine(), queue);
+          addOption(option.machine(), queue);
         } else {
           return option;
         }
--- a/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
@@ -9,34 +9,34 @@
 import madderrudder.protocol.Priority;
 
 /**
- * Production work on machines that have fallen silent, which is likely to be missing soon. It may
- * not be started elsewhere before their leases have expired, but what it will need then can boot
- * meanwhile; what turns out not to be needed is returned when idle.
+ * Production tasks on machines that stopped reporting, which are likely to be lost. They may not be
+ * started elsewhere before the leases of those machines have expired, but replacement machines can
+ * boot in the meantime. Replacements that prove unnecessary are returned when idle.
  */
 final class ProductionAtRisk {
   private ProductionAtRisk() {}
 
   /**
-   * How many tasks of each job are at risk. None if most machines are silent: then it is rather
-   * this node that is cut off.
+   * Returns how many tasks of each job are at risk. Empty if at least half of the machines are
+   * silent: then this controller is more likely to be cut off than the machines.
    */
-  static Map<Job, Integer> tasks(PlanningRound round) {
+  static Map<Job, Integer> countByJob(PlanningRound round) {
     ClusterCoverage coverage = round.demand().coverage();
     Map<Job, Integer> atRisk = new LinkedHashMap<>();
-    int silent = 0;
-    int known = 0;
+    int silentMachines = 0;
+    int knownMachines = 0;
     for (Machine machine : round.cluster().machines.values()) {
-      boolean missed = coverage.misses(machine);
-      if ((!machine.reported && !missed) || machine.leaseExpired || machine.retiring) {
+      boolean overdue = coverage.misses(machine);
+      if ((!machine.reported && !overdue) || machine.leaseExpired || machine.retiring) {
         continue;
       }
-      known++;
-      if (missed || unreachable(round, machine)) {
-        silent++;
-        addProduction(machine, atRisk);
+      knownMachines++;
+      if (overdue || unreachable(round, machine)) {
+        silentMachines++;
+        addProductionTasks(machine, atRisk);
       }
     }
-    return 2 * silent < known ? atRisk : Map.of();
+    return 2 * silentMachines < knownMachines ? atRisk : Map.of();
   }
 
   private static boolean unreachable(PlanningRound round, Machine machine) {
@@ -46,7 +46,7 @@
             round.nowMicros(), Machine.missedHeartbeatsMicros(reportMicros));
   }
 
-  private static void addProduction(Machine machine, Map<Job, Integer> atRisk) {
+  private static void addProductionTasks(Machine machine, Map<Job, Integer> atRisk) {
     for (Assignment assignment : machine.assignments.values()) {
       if (assignment.job != null
           && !assignment.evicting
--- a/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
@@ -10,70 +10,78 @@
 import madderrudder.protocol.Resources;
 
 /**
- * What a planning round has used up so far, on top of the cluster state, which it does not change.
+ * The capacity that a planning round has allocated so far, in addition to what the cluster state
+ * counts as used. The cluster state itself is not changed.
  */
 final class RoundUsage {
   private final Cluster cluster;
-  private final Map<Machine, MachineUsage> usedMachines = new HashMap<>();
-  private final Map<Job, Map<String, Integer>> plannedInZones = new HashMap<>();
-  private final Map<String, Resources> usageOfTeams;
+  private final Map<Machine, MachineUsage> usageByMachine = new HashMap<>();
+  private final Map<Job, Map<String, Integer>> plannedByZone = new HashMap<>();
+  private final Map<String, Resources> usageByTeam;
 
-  /** What is left of a machine, and how many tasks of the last job it was given in this round. */
-  private record MachineUsage(Resources free, Job lastJob, int addedOfLastJob) {}
+  /** The free capacity of a machine, and how many tasks the last job added to it in this round. */
+  private record MachineUsage(Resources free, Job lastJob, int addedTasksOfLastJob) {}
 
   RoundUsage(Cluster cluster) {
     this.cluster = cluster;
-    usageOfTeams = cluster.usage();
+    usageByTeam = cluster.usage();
   }
 
   private RoundUsage(RoundUsage other) {
     cluster = other.cluster;
-    usedMachines.putAll(other.usedMachines);
-    other.plannedInZones.forEach((job, counts) -> plannedInZones.put(job, new HashMap<>(counts)));
-    usageOfTeams = new HashMap<>(other.usageOfTeams);
+    usageByMachine.putAll(other.usageByMachine);
+    other.plannedByZone.forEach((job, counts) -> plannedByZone.put(job, new HashMap<>(counts)));
+    usageByTeam = new HashMap<>(other.usageByTeam);
   }
 
+  /** Returns an independent copy, so that a planner can undo a partial allocation. */
   RoundUsage copy() {
     return new RoundUsage(this);
   }
 
+  /** Returns what is free on the machine after the allocations of this round. */
   Resources free(Machine machine) {
-    MachineUsage used = usedMachines.get(machine);
+    MachineUsage used = usageByMachine.get(machine);
     return used == null ? machine.free() : used.free();
   }
 
-  /** How many tasks of the job, which is the one being planned, the machine was given. */
-  int added(Job job, Machine machine) {
-    MachineUsage used = usedMachines.get(machine);
-    return used == null || used.lastJob() != job ? 0 : used.addedOfLastJob();
+  /**
+   * Returns how many tasks of the job were added to the machine in this round. The count is kept
+   * for the last job only, so the job must be the one that is being planned.
+   */
+  int addedTasks(Job job, Machine machine) {
+    MachineUsage used = usageByMachine.get(machine);
+    return used == null || used.lastJob() != job ? 0 : used.addedTasksOfLastJob();
   }
 
-  /** Reserves all that is left of the machine: nothing more goes to it in this round. */
+  /**
+   * Reserves all free capacity of the machine, so that no further task is placed there this round.
+   */
   void reserve(Machine machine) {
-    usedMachines.put(machine, new MachineUsage(Resources.NONE, null, 0));
+    usageByMachine.put(machine, new MachineUsage(Resources.NONE, null, 0));
   }
 
-  /** Whether nothing more can go to the machine in this round, reserved or used up. */
+  /** Whether this round has left no capacity on the machine, by reservation or by placements. */
   boolean reserved(Machine machine) {
-    return usedMachines.containsKey(machine) && usedMachines.get(machine).free().isNone();
+    return usageByMachine.containsKey(machine) && usageByMachine.get(machine).free().isNone();
   }
 
-  /** Whether the team's limit allows one more task of the job. */
+  /** Whether one more task of the job stays within the limit of its team. */
   boolean teamAllows(Job job) {
-    Resources used = usageOfTeams.getOrDefault(job.spec.team(), Resources.NONE);
+    Resources used = usageByTeam.getOrDefault(job.spec.team(), Resources.NONE);
     return job.team.allows(used.plus(job.spec.perTask()));
   }
 
-  /** Whether one more task of the job may go to the zone. */
+  /** Whether one more task of the job may be placed in the zone. */
   boolean zoneAllows(Job job, String zone) {
-    Map<String, Integer> planned = plannedInZones.getOrDefault(job, Map.of());
+    Map<String, Integer> planned = plannedByZone.getOrDefault(job, Map.of());
     if (job.spec.oneZone() && !planned.isEmpty() && !planned.containsKey(zone)) {
       return false;
     }
     return cluster.zoneAllowed(job, zone, planned.getOrDefault(zone, 0));
   }
 
-  /** Whether one more task of the job may go to a machine of the type, zone and kind. */
+  /** Whether one more task of the job may be placed on a machine of the type, zone and kind. */
   boolean allows(Job job, MachineType type, String zone, boolean spot) {
     JobSpec spec = job.spec;
     return (!spot || spec.spotAllowed())
@@ -81,21 +89,21 @@
         && zoneAllows(job, zone);
   }
 
-  /** How many tasks of the job were planned for the zone in this round. */
-  int planned(Job job, String zone) {
-    return plannedInZones.getOrDefault(job, Map.of()).getOrDefault(zone, 0);
+  /** Returns how many tasks of the job were planned for the zone in this round. */
+  int plannedInZone(Job job, String zone) {
+    return plannedByZone.getOrDefault(job, Map.of()).getOrDefault(zone, 0);
   }
 
   /** Counts a task of the job against the machine, its team and the zone. */
-  void take(Job job, Machine machine) {
+  void addTask(Job job, Machine machine) {
     Resources free = free(machine).minus(job.spec.perTask());
-    usedMachines.put(machine, new MachineUsage(free, job, added(job, machine) + 1));
-    count(job, machine.zone);
+    usageByMachine.put(machine, new MachineUsage(free, job, addedTasks(job, machine) + 1));
+    addTaskInZone(job, machine.zone);
   }
 
   /** Counts a task of the job against its team and the zone. */
-  void count(Job job, String zone) {
-    plannedInZones.computeIfAbsent(job, j -> new HashMap<>()).merge(zone, 1, Integer::sum);
-    usageOfTeams.merge(job.spec.team(), job.spec.perTask(), Resources::plus);
+  void addTaskInZone(Job job, String zone) {
+    plannedByZone.computeIfAbsent(job, j -> new HashMap<>()).merge(zone, 1, Integer::sum);
+    usageByTeam.merge(job.spec.team(), job.spec.perTask(), Resources::plus);
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -13,56 +13,61 @@
 import madderrudder.coordination.state.ScaleOutRequest;
 
 /**
- * Decides which machines to rent for tasks that found no free capacity. Machines that boot, and
- * requests under way, count as capacity. For a task that some owned machine could take, machines
- * are requested only after the policy's threshold and against the budget; for one that none could
- * take, at once and not counted. A pure function of what it is given.
+ * Decides which machines to rent for tasks that found no free capacity. Booting machines and
+ * pending requests count as capacity. For a task that would fit on an empty owned machine, machines
+ * are requested only after the policy's threshold, and they count against the budget; for a task
+ * that fits on no owned machine, they are requested at once and not counted. A pure function of its
+ * arguments.
  */
 public final class ScaleOutPlanner {
   private final PlanningRound round;
   private final Cluster cluster;
   private final RoundUsage usage;
   private final ScaleOutSelection selection;
-  private final List<IncomingMachine> incoming = new ArrayList<>();
+  private final List<IncomingMachine> incomingMachines = new ArrayList<>();
 
   private ScaleOutPlanner(
       PlanningRound round,
       int budgetLeft,
       ToIntFunction<CapacityPool> requestLimit,
-      List<ScaleOutRequest> underWay) {
+      List<ScaleOutRequest> pendingRequests) {
     this.round = round;
     cluster = round.cluster();
     usage = new RoundUsage(cluster);
     selection = new ScaleOutSelection(round, usage, budgetLeft, requestLimit);
     for (Machine machine : cluster.machines.values()) {
-      if (onItsWay(machine)) {
-        incoming.add(IncomingMachine.of(machine));
+      if (isIncoming(machine)) {
+        incomingMachines.add(IncomingMachine.of(machine));
       }
       if (!machine.retiring && !machine.leaseExpired) {
         selection.addExisting(machine.capacityPool(), 1);
       }
     }
-    for (ScaleOutRequest request : underWay) {
-      selection.addUnderWay(request);
+    for (ScaleOutRequest request : pendingRequests) {
+      selection.addPending(request);
       for (int i = 0; i < request.count(); i++) {
-        incoming.add(IncomingMachine.of(request));
+        incomingMachines.add(IncomingMachine.of(request));
       }
     }
   }
 
-  /** What was up when this leader took over is on its way too, until it should have been heard. */
-  private boolean onItsWay(Machine machine) {
+  /**
+   * Whether the machine is expected to become usable soon: it boots within the usual time, or it
+   * was up when this leader took over and its first heartbeat is not overdue yet.
+   */
+  private boolean isIncoming(Machine machine) {
     ClusterCoverage coverage = round.demand().coverage();
     return coverage.awaits(machine)
         || (machine.bootingOnTime(round.nowMicros()) && !coverage.misses(machine));
   }
 
   /**
-   * The machines to request now.
+   * Returns the machines to request now.
    *
+   * @param nowMicros the time on the monotonic clock, in microseconds
    * @param budgetLeft how many counted machines the budget still allows
    * @param requestLimit how many machines of a pool may be requested now
-   * @param underWay earlier requests whose answer is not known yet
+   * @param pendingRequests earlier requests whose outcome is not known yet
    */
   public static List<ScaleOutRequest> plan(
       Cluster cluster,
@@ -71,22 +76,22 @@
       long nowMicros,
       int budgetLeft,
       ToIntFunction<CapacityPool> requestLimit,
-      List<ScaleOutRequest> underWay) {
+      List<ScaleOutRequest> pendingRequests) {
     PlanningRound round = new PlanningRound(cluster, policy, demand, nowMicros);
-    ScaleOutPlanner planner = new ScaleOutPlanner(round, budgetLeft, requestLimit, underWay);
+    ScaleOutPlanner planner = new ScaleOutPlanner(round, budgetLeft, requestLimit, pendingRequests);
     for (Job job : demand.waiting()) {
       if (!job.failing() && job.nextWaiting(0) >= 0 && demand.coverage().suffices(job)) {
         planner.planWaiting(job);
       }
     }
-    ProductionAtRisk.tasks(round).forEach(planner::planReplacements);
+    ProductionAtRisk.countByJob(round).forEach(planner::planReplacements);
     return planner.selection.requests();
   }
 
   private void planReplacements(Job job, int count) {
     JobCapacity capacity = new JobCapacity(job);
     for (int left = count; left > 0; left--) {
-      if (!capacity.takeForTask(left, () -> true)) {
+      if (!capacity.allocateTask(left, () -> true)) {
         return;
       }
     }
@@ -100,10 +105,11 @@
       if (!usage.teamAllows(job)) {
         return;
       }
-      if (capacity.ownedFits && !round.waitedThreshold(job, task)) {
+      if (capacity.fitsOwned && !round.waitedThreshold(job, task)) {
         continue;
       }
-      if (!capacity.takeForTask(waiting, () -> !capacity.ownedFits || worthSteady(job, task))) {
+      if (!capacity.allocateTask(
+          waiting, () -> !capacity.fitsOwned || onDemandAllowed(job, task))) {
         return;
       }
       waiting--;
@@ -111,19 +117,22 @@
   }
 
   /**
-   * Whether a steady machine, which costs a multiple of a spot instance, may be requested for the
-   * task. Work that may use either, and need not start at once, spends some of the time it has to
-   * spare on waiting for spot or owned machines. What no owned machine could take never waits.
+   * Whether an on-demand machine, which costs a multiple of a spot machine, may be requested for
+   * the task. A task that may use spot machines and has no objective for a prompt start first waits
+   * for spot or owned machines for the policy's share of its spare time. Not called for a task that
+   * fits on no owned machine, which never waits.
    */
-  private boolean worthSteady(Job job, int task) {
-    if (selection.shortOfSteady()
+  private boolean onDemandAllowed(Job job, int task) {
+    if (selection.lacksNonSpotHeadroom()
         || !job.spec.spotAllowed()
         || cluster.deployment.objectives().wantsPromptStart(job.spec)) {
       return true;
     }
-    List<Long> dues = cluster.deployment.objectives().dueMicros(job.spec);
-    long spare = dues.isEmpty() ? 0 : dues.get(0) - cluster.runTimes.upperBoundMicros(job);
-    return round.nowMicros() - job.waitingSinceMicros(task) >= round.policy().patience() * spare;
+    List<Long> dueOffsets = cluster.deployment.objectives().dueMicros(job.spec);
+    long spareMicros =
+        dueOffsets.isEmpty() ? 0 : dueOffsets.get(0) - cluster.runTimes.upperBoundMicros(job);
+    return round.nowMicros() - job.waitingSinceMicros(task)
+        >= round.policy().patience() * spareMicros;
   }
 
   private boolean fits(Job job, IncomingMachine machine) {
@@ -132,57 +141,60 @@
   }
 
   /**
-   * The machines on their way that could take tasks of one job, spot instances first. One that is
-   * too full for a task of the job, or in a zone that is closed to it, stays so for the rest of the
-   * job in this round: they are gone through once for each job.
+   * The incoming machines that fit tasks of one job, spot machines first. A machine that is too
+   * full for a task of the job, or in a zone that the job may not use any more, stays so for the
+   * rest of the job in this round, so the list is traversed only once per job.
    */
   private final class JobCapacity {
     private final Job job;
-    private final boolean ownedFits;
-    private final List<IncomingMachine> fitting = new ArrayList<>();
-    private int current;
+    private final boolean fitsOwned;
+    private final List<IncomingMachine> fittingMachines = new ArrayList<>();
+    private int nextIndex;
 
     JobCapacity(Job job) {
       this.job = job;
-      ownedFits = round.ownedCouldFit(job);
-      addFitting(true);
-      addFitting(false);
+      fitsOwned = round.ownedCouldFit(job);
+      addFittingMachines(true);
+      addFittingMachines(false);
     }
 
-    private void addFitting(boolean spot) {
-      for (IncomingMachine machine : incoming) {
+    private void addFittingMachines(boolean spot) {
+      for (IncomingMachine machine : incomingMachines) {
         if (machine.spot == spot && fits(job, machine)) {
-          fitting.add(machine);
+          fittingMachines.add(machine);
         }
       }
     }
 
     /**
-     * Takes capacity for one task, on a machine on its way or on one that is requested for it.
+     * Allocates capacity for one task on an incoming machine, or on one that is requested for it.
      *
-     * @param waiting how many tasks of the job could share a machine that is requested
-     * @return false if there is none
+     * @param waiting how many tasks of the job could share a requested machine
+     * @param onDemandAllowed whether an on-demand machine may be requested; evaluated only if no
+     *     incoming machine fits
+     * @return false if there is no such machine
      */
-    boolean takeForTask(int waiting, BooleanSupplier steadyAllowed) {
-      while (current < fitting.size() && !fits(job, fitting.get(current))) {
-        current++;
+    boolean allocateTask(int waiting, BooleanSupplier onDemandAllowed) {
+      while (nextIndex < fittingMachines.size() && !fits(job, fittingMachines.get(nextIndex))) {
+        nextIndex++;
       }
-      if (current == fitting.size() && !request(waiting, steadyAllowed.getAsBoolean())) {
+      if (nextIndex == fittingMachines.size()
+          && !requestMachine(waiting, onDemandAllowed.getAsBoolean())) {
         return false;
       }
-      IncomingMachine machine = fitting.get(current);
+      IncomingMachine machine = fittingMachines.get(nextIndex);
       machine.free = machine.free.minus(job.spec.perTask());
-      usage.count(job, machine.zone);
+      usage.addTaskInZone(job, machine.zone);
       return true;
     }
 
-    private boolean request(int waiting, boolean steadyAllowed) {
-      IncomingMachine machine = selection.request(job, ownedFits, waiting, steadyAllowed);
+    private boolean requestMachine(int waiting, boolean onDemandAllowed) {
+      IncomingMachine machine = selection.request(job, fitsOwned, waiting, onDemandAllowed);
       if (machine == null) {
         return false;
       }
-      incoming.add(machine);
-      fitting.add(machine);
+      incomingMachines.add(machine);
+      fittingMachines.add(machine);
       return true;
     }
   }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
@@ -13,24 +13,29 @@
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Priority;
 
-/** Chooses which pool each further machine is requested from, within the budget and the limits. */
+/** Chooses the pool from which each machine is requested, within the budget and the pool limits. */
 final class ScaleOutSelection {
-  /** Above any price: a spot instance is taken only if no steady machine is to be had. */
-  private static final double SPOT_DESPITE_SHORTFALL = 1e6;
+  /**
+   * The cost of a spot machine while non-spot headroom is short. Exceeds any price, so that a spot
+   * machine is requested only if no on-demand machine is available.
+   */
+  private static final double SPOT_DURING_SHORTFALL_COST = 1e6;
+
+  /** Spreads machines over pools of similar price. */
+  private static final double COST_PER_MACHINE_IN_POOL = 1e-4;
 
-  /** Spreads machines over pools, and replicas over zones, where prices are alike. */
-  private static final double PER_MACHINE_OF_POOL = 1e-4;
+  /** Spreads replicas of a service over zones of similar price. */
+  private static final double COST_PER_REPLICA_IN_ZONE = 1e-3;
 
-  private static final double PER_REPLICA_IN_ZONE = 1e-3;
-  private static final boolean[] SPOT_THEN_STEADY = {true, false};
+  private static final boolean[] SPOT_THEN_ON_DEMAND = {true, false};
 
   private final PlanningRound round;
   private final RoundUsage usage;
   private final ToIntFunction<CapacityPool> requestLimit;
-  private final Map<CapacityPool, Integer> machinesOfPool = new HashMap<>();
+  private final Map<CapacityPool, Integer> machineCountByPool = new HashMap<>();
   private final Map<RequestKey, ScaleOutRequest> requests = new LinkedHashMap<>();
   private int budgetLeft;
-  private long steadyShortfallMilliCpus;
+  private long nonSpotShortfallMilliCpus;
 
   private record RequestKey(CapacityPool pool, boolean counted) {}
 
@@ -43,27 +48,28 @@
     this.usage = usage;
     this.budgetLeft = budgetLeft;
     this.requestLimit = requestLimit;
-    steadyShortfallMilliCpus = SteadyHeadroom.shortfallMilliCpus(round);
+    nonSpotShortfallMilliCpus = NonSpotHeadroom.shortfallMilliCpus(round);
   }
 
-  /** Counts machines that the pool has given already. */
+  /** Counts existing machines of the pool. */
   void addExisting(CapacityPool pool, int count) {
-    machinesOfPool.merge(pool, count, Integer::sum);
+    machineCountByPool.merge(pool, count, Integer::sum);
   }
 
-  /** Counts an earlier request whose machines have not come yet. */
-  void addUnderWay(ScaleOutRequest request) {
+  /** Counts an earlier request whose outcome is not known yet. */
+  void addPending(ScaleOutRequest request) {
     if (!request.spot()) {
-      steadyShortfallMilliCpus -= request.count() * request.type().capacity().milliCpus();
+      nonSpotShortfallMilliCpus -= request.count() * request.type().capacity().milliCpus();
     }
     addExisting(request.capacityPool(), request.count());
   }
 
-  /** Whether steady machines are missing for production that must start at once. */
-  boolean shortOfSteady() {
-    return steadyShortfallMilliCpus > 0;
+  /** Whether there is too little headroom on non-spot machines; see {@link NonSpotHeadroom}. */
+  boolean lacksNonSpotHeadroom() {
+    return nonSpotShortfallMilliCpus > 0;
   }
 
+  /** Returns the requests of this round, at most one for each pool and way of counting. */
   List<ScaleOutRequest> requests() {
     return List.copyOf(requests.values());
   }
@@ -71,50 +77,51 @@
   /**
    * Requests one more machine for the job.
    *
-   * @param counted whether it counts against the budget
+   * @param counted whether the machine counts against the budget
    * @param waiting how many tasks of the job could share the machine
-   * @param steadyAllowed whether a steady machine may be requested where spot instances could be
-   * @return the machine, or null if none is to be had
+   * @param onDemandAllowed whether an on-demand machine may be requested although the policy allows
+   *     a spot machine
+   * @return the machine, or null if none can be requested
    */
-  IncomingMachine request(Job job, boolean counted, int waiting, boolean steadyAllowed) {
+  IncomingMachine request(Job job, boolean counted, int waiting, boolean onDemandAllowed) {
     if (counted && budgetLeft < 1) {
       return null;
     }
-    ScaleOutRequest best = cheapest(job, counted, waiting, steadyAllowed);
+    ScaleOutRequest best = cheapest(job, counted, waiting, onDemandAllowed);
     if (best == null) {
       return null;
     }
     addExisting(best.capacityPool(), 1);
     if (!best.spot() && job.spec.priority() != Priority.PRODUCTION) {
-      steadyShortfallMilliCpus -= best.type().capacity().milliCpus();
+      nonSpotShortfallMilliCpus -= best.type().capacity().milliCpus();
     }
     if (counted) {
       budgetLeft--;
     }
     requests.merge(
-        new RequestKey(best.capacityPool(), counted), best, (earlier, one) -> earlier.oneMore());
+        new RequestKey(best.capacityPool(), counted), best, (earlier, added) -> earlier.oneMore());
     return IncomingMachine.of(best);
   }
 
-  private ScaleOutRequest cheapest(Job job, boolean counted, int waiting, boolean steadyAllowed) {
+  private ScaleOutRequest cheapest(Job job, boolean counted, int waiting, boolean onDemandAllowed) {
     boolean spotAllowed = spotAllowed(counted);
     ScaleOutRequest best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : round.cluster().types.values()) {
-      long fitting = job.spec.perTask().timesIn(type.capacity());
-      if (fitting == 0) {
+      long tasksPerMachine = job.spec.perTask().timesIn(type.capacity());
+      if (tasksPerMachine == 0) {
         continue;
       }
       for (String zone : type.zones()) {
-        for (boolean spot : SPOT_THEN_STEADY) {
-          if (spot ? !spotAllowed : spotAllowed && !steadyAllowed) {
+        for (boolean spot : SPOT_THEN_ON_DEMAND) {
+          if (spot ? !spotAllowed : spotAllowed && !onDemandAllowed) {
             continue;
           }
           ScaleOutRequest request = new ScaleOutRequest(type, zone, spot, 1, counted);
-          if (!usage.allows(job, type, zone, spot) || exhausted(request)) {
+          if (!usage.allows(job, type, zone, spot) || atRequestLimit(request)) {
             continue;
           }
-          double cost = cost(job, request, Math.min(fitting, Math.max(1, waiting)));
+          double cost = cost(job, request, Math.min(tasksPerMachine, Math.max(1, waiting)));
           if (cost < bestCost) {
             best = request;
             bestCost = cost;
@@ -130,21 +137,24 @@
     return mode == SpotMode.ALWAYS || (mode == SpotMode.UNCOUNTED && !counted);
   }
 
-  private boolean exhausted(ScaleOutRequest request) {
+  private boolean atRequestLimit(ScaleOutRequest request) {
     CapacityPool pool = request.capacityPool();
     ScaleOutRequest requested = requests.get(new RequestKey(pool, request.counted()));
     int count = requested == null ? 0 : requested.count();
     return count >= requestLimit.applyAsInt(pool);
   }
 
-  /** The price per task: a big machine is cheap only if there are tasks to fill it. */
+  /**
+   * Returns the price per task, with the surcharges defined above. Dividing by the tasks that would
+   * share the machine makes a large machine cheap only if there are enough tasks to fill it.
+   */
   private double cost(Job job, ScaleOutRequest request, long tasks) {
-    boolean spotDespiteShortfall = shortOfSteady() && request.spot();
-    return (spotDespiteShortfall ? SPOT_DESPITE_SHORTFALL : 0)
+    boolean spotDuringShortfall = lacksNonSpotHeadroom() && request.spot();
+    return (spotDuringShortfall ? SPOT_DURING_SHORTFALL_COST : 0)
         + request.type().price(request.spot()) / tasks
-        + PER_MACHINE_OF_POOL * machinesOfPool.getOrDefault(request.capacityPool(), 0)
+        + COST_PER_MACHINE_IN_POOL * machineCountByPool.getOrDefault(request.capacityPool(), 0)
         + (job.spec.kind() == JobKind.SERVICE
-            ? PER_REPLICA_IN_ZONE * usage.planned(job, request.zone())
+            ? COST_PER_REPLICA_IN_ZONE * usage.plannedInZone(job, request.zone())
             : 0);
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/VictimSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/VictimSelection.java
@@ -17,91 +17,95 @@
 import madderrudder.protocol.Resources;
 
 /**
- * The tasks that a preemption round stops, what that leaves free, and what may be stopped for whom
- * at what loss.
+ * The tasks selected for preemption in a round, and the capacity that becomes free by it. Also
+ * decides which tasks may be preempted for a job, and how much work each preemption loses.
  */
 final class VictimSelection {
-  /** The loss of a replica of a service: above all others, so that services are stopped last. */
-  private static final double SERVICE_LOSS = 1e9;
+  /** Exceeds the loss of any other task, so that replicas of services are selected last. */
+  private static final double SERVICE_REPLICA_LOSS_CPU_S = 1e9;
 
   private final PlanningRound round;
   private final Cluster cluster;
 
-  /** What is free once everything that is being stopped, or ends soon by itself, has gone. */
-  private final Map<Machine, Resources> freeSoon = new HashMap<>();
+  /** The free capacity once all tasks that are being stopped, or that end soon, have ended. */
+  private final Map<Machine, Resources> freeSoonByMachine = new HashMap<>();
 
-  /** What each team uses beside the victims. */
-  private final Map<String, Resources> usageOfTeams;
+  /** The usage of each team without the victims. */
+  private final Map<String, Resources> usageByTeam;
 
   private final Set<Assignment> victims = new LinkedHashSet<>();
 
-  /** A state to go back to. */
+  /** A saved state for {@link #restore}. */
   record Snapshot(
-      Map<Machine, Resources> freeSoon,
-      Map<String, Resources> usageOfTeams,
+      Map<Machine, Resources> freeSoonByMachine,
+      Map<String, Resources> usageByTeam,
       Set<Assignment> victims) {}
 
   VictimSelection(PlanningRound round) {
     this.round = round;
     cluster = round.cluster();
-    usageOfTeams = cluster.usage();
+    usageByTeam = cluster.usage();
   }
 
+  /** Returns the tasks to preempt, in the order of selection. */
   Set<Assignment> victims() {
     return victims;
   }
 
+  /** Returns a copy of the current state. */
   Snapshot snapshot() {
     return new Snapshot(
-        new HashMap<>(freeSoon), new HashMap<>(usageOfTeams), new LinkedHashSet<>(victims));
+        new HashMap<>(freeSoonByMachine), new HashMap<>(usageByTeam), new LinkedHashSet<>(victims));
   }
 
+  /** Discards all selections made since the snapshot. */
   void restore(Snapshot snapshot) {
-    freeSoon.clear();
-    freeSoon.putAll(snapshot.freeSoon());
-    usageOfTeams.clear();
-    usageOfTeams.putAll(snapshot.usageOfTeams());
+    freeSoonByMachine.clear();
+    freeSoonByMachine.putAll(snapshot.freeSoonByMachine());
+    usageByTeam.clear();
+    usageByTeam.putAll(snapshot.usageByTeam());
     victims.clear();
     victims.addAll(snapshot.victims());
   }
 
-  /** Stops the tasks on the machine, and takes what a task of the job uses there. */
-  void stopFor(Job job, Machine machine, List<Assignment> stops) {
+  /** Selects the tasks on the machine as victims, and allocates one task of the job there. */
+  void selectVictims(Job job, Machine machine, List<Assignment> selected) {
     Resources free = free(machine);
-    for (Assignment victim : stops) {
+    for (Assignment victim : selected) {
       victims.add(victim);
       free = free.plus(victim.resources);
-      usageOfTeams.merge(victim.team, victim.resources, Resources::minus);
+      usageByTeam.merge(victim.team, victim.resources, Resources::minus);
     }
-    freeSoon.put(machine, free.minus(job.spec.perTask()));
+    freeSoonByMachine.put(machine, free.minus(job.spec.perTask()));
   }
 
   /**
-   * The stops that let a task of the job fit on the machine at the least loss.
+   * Returns the tasks to preempt so that a task of the job fits on the machine, those of least loss
+   * first.
    *
-   * @return empty if the task will fit anyway, null if no stops make it fit
+   * @return empty if the task fits without preemption, null if no preemption makes it fit
    */
-  List<Assignment> stopsFor(Job job, Machine machine) {
+  List<Assignment> victimsFor(Job job, Machine machine) {
     Resources free = free(machine);
     if (job.spec.perTask().fits(free)) {
       return List.of();
     }
-    List<Assignment> stops = new ArrayList<>();
+    List<Assignment> selected = new ArrayList<>();
     for (Assignment candidate : candidates(job, machine)) {
-      stops.add(candidate);
+      selected.add(candidate);
       free = free.plus(candidate.resources);
       if (job.spec.perTask().fits(free)) {
-        return stops;
+        return selected;
       }
     }
     return null;
   }
 
   private Resources free(Machine machine) {
-    return freeSoon.computeIfAbsent(machine, m -> cluster.freeSoon(m, round.nowMicros()));
+    return freeSoonByMachine.computeIfAbsent(machine, m -> cluster.freeSoon(m, round.nowMicros()));
   }
 
-  /** The tasks on the machine that may be stopped for the job, those of least loss first. */
+  /** Returns the tasks on the machine that may be preempted for the job, least loss first. */
   private List<Assignment> candidates(Job job, Machine machine) {
     List<Assignment> candidates = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
@@ -111,7 +115,7 @@
           && !victims.contains(assignment)
           && assignment.job != null
           && assignment.job.spec.kind() != JobKind.GANG
-          && mayStop(job, assignment)
+          && mayPreempt(job, assignment)
           && !cluster.endsSoon(assignment, round.nowMicros())) {
         candidates.add(assignment);
       }
@@ -120,12 +124,18 @@
     return candidates;
   }
 
-  boolean mayStop(Job job, Assignment victim) {
+  /**
+   * Whether the task may be preempted for the job. Production, and jobs covered by a guarantee, may
+   * preempt tasks of lower priority. A job covered by a guarantee may also preempt a task of any
+   * priority if the task's team is another one and exceeds its guarantee, and if the task's job is
+   * neither a service nor covered by that guarantee.
+   */
+  boolean mayPreempt(Job job, Assignment victim) {
     boolean guaranteed = round.guaranteed(job);
     if (job.spec.priority().above(victim.job.spec.priority())) {
       return job.spec.priority() == Priority.PRODUCTION || guaranteed;
     }
-    Resources usageOfTeam = usageOfTeams.getOrDefault(victim.team, Resources.NONE);
+    Resources usageOfTeam = usageByTeam.getOrDefault(victim.team, Resources.NONE);
     return guaranteed
         && victim.job.spec.kind() != JobKind.SERVICE
         && !victim.job.team.equals(job.team)
@@ -133,22 +143,24 @@
         && !victim.job.team.guarantees(usageOfTeam);
   }
 
-  double loss(List<Assignment> stops) {
+  /** Returns the total loss of preempting the tasks, in processor seconds. */
+  double loss(List<Assignment> assignments) {
     double loss = 0;
-    for (Assignment stop : stops) {
-      loss += loss(stop);
+    for (Assignment assignment : assignments) {
+      loss += loss(assignment);
     }
     return loss;
   }
 
-  /** The processor seconds that would have to be done again. */
+  /** Returns the processor seconds of work that would have to be repeated. */
   private double loss(Assignment assignment) {
     if (assignment.job.spec.kind() == JobKind.SERVICE) {
-      return SERVICE_LOSS;
+      return SERVICE_REPLICA_LOSS_CPU_S;
     }
-    long ran = RunTimes.ranMicros(assignment, round.nowMicros());
-    long checkpointMicros = assignment.job.spec.checkpointIntervalMicros();
-    long sinceCheckpoint = checkpointMicros > 0 ? Math.min(ran, checkpointMicros) : ran;
-    return (sinceCheckpoint / 1e6 + 1) * assignment.resources.milliCpus() / 1000;
+    long ranMicros = RunTimes.ranMicros(assignment, round.nowMicros());
+    long checkpointIntervalMicros = assignment.job.spec.checkpointIntervalMicros();
+    long sinceCheckpointMicros =
+        checkpointIntervalMicros > 0 ? Math.min(ranMicros, checkpointIntervalMicros) : ranMicros;
+    return (sinceCheckpointMicros / 1e6 + 1) * assignment.resources.milliCpus() / 1000;
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/package-info.java
+++ b/src/main/java/madderrudder/coordination/scheduling/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Scheduling decisions: where waiting tasks are placed, what is preempted for them, what is drained
- * from machines that the cloud reclaims, and what is rented. Each planner is a pure function of the
- * cluster state, the operators' policy and the clock that it is given; the leader carries out what
- * they return.
+ * Scheduling decisions: where waiting tasks are placed, which running tasks are preempted for them,
+ * which tasks are drained from machines that the cloud reclaims, and which machines are rented.
+ * Each planner is a pure function of the cluster state, the operators' policy and the clock value
+ * that it is given; the leader carries out the decisions that the planners return.
  */
 package madderrudder.coordination.scheduling;
