--- a/src/main/java/madderrudder/coordination/cloud/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/cloud/CloudClient.java
@@ -12,24 +12,24 @@
 
 /**
  * Client of the cloud's rental API, kept below the rate that the cloud enforces. Calls wait in a
- * bounded queue; when that is full, the result of a call that was not sent is delivered before the
+ * bounded queue. When the queue is full, a call is not sent, and its result is delivered before the
  * method returns. Each call delivers exactly one result. Confined to the event loop thread.
  */
 public final class CloudClient {
   private static final long CALL_TIMEOUT_MICROS = 4_000_000;
 
-  /** The largest page that the cloud gives. */
+  /** The maximum number of machines that the cloud returns in one page. */
   private static final int LIST_PAGE_SIZE = 500;
 
-  /** The share of the allowed rate that is used, so that the cloud does not answer 429. */
-  private static final double RATE_SHARE = 0.8;
+  /** The share of the permitted rate that is used, so that the cloud does not answer 429. */
+  private static final double USED_RATE_SHARE = 0.8;
 
   private final HttpCaller http;
   private final String address;
   private final RateLimiter rateLimiter;
 
   /**
-   * Creates a client; it sends nothing yet.
+   * Creates a client without sending a request.
    *
    * @param scheduler clock and timers of the event loop
    * @param http sends the requests
@@ -41,15 +41,16 @@
       Scheduler scheduler, HttpCaller http, String address, double requestsPerSecond) {
     this.http = http;
     this.address = address;
-    rateLimiter = new RateLimiter(scheduler, requestsPerSecond * RATE_SHARE, requestsPerSecond);
+    rateLimiter =
+        new RateLimiter(scheduler, requestsPerSecond * USED_RATE_SHARE, requestsPerSecond);
   }
 
   /**
    * Rents machines. The request is idempotent: the cloud answers a repeated id with the machines it
    * rented the first time.
    *
-   * @param requestId the name of the request, never used for another one
-   * @param request what to rent
+   * @param requestId the idempotency key of the request, never reused for another request
+   * @param request the machines to rent
    * @param onResult receives the outcome
    */
   public void rent(String requestId, ScaleOutRequest request, Consumer<RentResult> onResult) {
@@ -62,7 +63,7 @@
   }
 
   /**
-   * Deletes machines. Can be repeated, since the cloud ignores unknown names.
+   * Deletes machines. The request can be repeated, because the cloud ignores unknown machines.
    *
    * @param machineIds the machines, at most 100
    * @param onResult receives the outcome
@@ -80,17 +81,16 @@
    * @param onResult receives the page
    */
   public void list(String afterId, Consumer<CloudResult<CloudCodec.Page>> onResult) {
-    String start = afterId.isEmpty() ? "" : "&since=" + afterId;
+    String sinceParameter = afterId.isEmpty() ? "" : "&since=" + afterId;
     call(
-        HttpRequest.get("/machines?most=" + LIST_PAGE_SIZE + start),
+        HttpRequest.get("/machines?most=" + LIST_PAGE_SIZE + sinceParameter),
         response -> onResult.accept(CloudResponses.list(response)));
   }
 
   /**
    * Reads the catalog of machine types with their current prices.
    *
-   * @param onResult receives the catalog; that it is received does not mean that its types are
-   *     valid
+   * @param onResult receives the catalog, whose machine types are not validated yet
    */
   public void catalog(Consumer<CloudResult<CatalogDocument>> onResult) {
     call(
--- a/src/main/java/madderrudder/coordination/cloud/CloudResult.java
+++ b/src/main/java/madderrudder/coordination/cloud/CloudResult.java
@@ -1,27 +1,29 @@
 package madderrudder.coordination.cloud;
 
 /**
- * The outcome of a request that only reads from the cloud. It can be repeated whatever came of it.
+ * The outcome of a request that only reads from the cloud. The request can be repeated after any
+ * outcome.
  *
- * @param <T> what the response says when it can be read
+ * @param <T> the type of the parsed response
  */
 public sealed interface CloudResult<T> {
   /**
-   * The cloud answered, and the response could be read.
+   * The cloud answered, and the response could be parsed.
    *
-   * @param value what the response says
+   * @param value the parsed response
    */
   record Received<T>(T value) implements CloudResult<T> {}
 
   /**
-   * The cloud answered with status 200, but the body is not what the protocol says.
+   * The cloud answered with status 200, but the body does not follow the protocol.
    *
-   * @param reason what is wrong with the body
+   * @param reason the error in the body
    */
   record Malformed<T>(String reason) implements CloudResult<T> {}
 
   /**
-   * There is nothing to read: an outage, the rate was exceeded, or no response came in time.
+   * There is no usable response: the cloud has an outage, the request rate was exceeded, or no
+   * response arrived in time.
    *
    * @param status the HTTP status, or one of the negative values in {@link
    *     madderrudder.transport.HttpResponse}
--- a/src/main/java/madderrudder/coordination/cloud/DeleteResult.java
+++ b/src/main/java/madderrudder/coordination/cloud/DeleteResult.java
@@ -2,8 +2,8 @@
 
 /** The outcome of a request to delete machines. */
 public enum DeleteResult {
-  /** The machines and everything on them are gone. */
+  /** The cloud has deleted the machines and everything on them. */
   DELETED,
-  /** The cloud may or may not have deleted them: repeat the request. Unknown names are ignored. */
+  /** The cloud may or may not have deleted them. The request must be repeated. */
   UNKNOWN
 }
--- a/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
+++ b/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types that the cloud offers, refreshed once a minute. Each controller node needs them
- * to judge jobs, so the leader keeps a copy in the store: a node that starts while the cloud is
- * down reads that copy. Confined to the event loop thread.
+ * The machine types that the cloud offers, refreshed once a minute. Each controller needs them to
+ * validate jobs, so the leader keeps a copy in the store: a controller that starts during an outage
+ * of the cloud reads that copy. Confined to the event loop thread.
  */
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
@@ -31,11 +31,11 @@
   private Runnable refreshListener = () -> {};
 
   /**
-   * Creates an empty catalog; nothing is read before {@link #start()}.
+   * Creates an empty catalog. It reads nothing before {@link #start()}.
    *
    * @param scheduler timers of the event loop
-   * @param store where the leader keeps the copy
-   * @param cloud where the types come from
+   * @param store the store that holds the leader's copy
+   * @param cloud the client that reads the catalog from the cloud
    */
   public MachineTypeCatalog(Scheduler scheduler, StoreClient store, CloudClient cloud) {
     this.scheduler = scheduler;
@@ -43,29 +43,33 @@
     this.cloud = cloud;
   }
 
-  /** Reads the store's copy and then the cloud's catalog, and keeps refreshing. Call it once. */
+  /**
+   * Reads the store's copy and then the cloud's catalog, and refreshes it from then on. Call it
+   * once.
+   */
   public void start() {
     readFromStore();
   }
 
-  /** Whether any machine type is known yet, from the store or from the cloud. */
+  /** Whether any machine type has been read, from the store or from the cloud. */
   public boolean known() {
     return !types.isEmpty();
   }
 
-  /** The machine types by name, in the order of the catalog; empty until {@link #known()}. */
+  /** Returns the machine types by name, in catalog order; empty until {@link #known()}. */
   public Map<String, MachineType> types() {
     return types;
   }
 
-  /** The JSON text that the cloud sent last, or null if this process has received none yet. */
+  /** Returns the JSON text that the cloud sent last; null if this process has received none. */
   public byte[] latestJson() {
     return latestJson;
   }
 
   /**
-   * Sets the listener that runs each time the cloud has sent a catalog, after {@link #latestJson()}
-   * has changed. It replaces the listener set before, which belongs to an earlier term.
+   * Sets the listener that runs after each catalog received from the cloud, when {@link
+   * #latestJson()} already returns it. Replaces the previous listener, which belongs to an earlier
+   * term.
    */
   public void onRefresh(Runnable listener) {
     refreshListener = listener;
@@ -90,13 +94,17 @@
         });
   }
 
-  /** Takes over what the cloud sent; whether it named any machine type. */
+  /**
+   * Stores a catalog received from the cloud and runs the listener.
+   *
+   * @return true if the catalog is valid and has at least one machine type
+   */
   private boolean refresh(CloudResult<CatalogDocument> result) {
     if (result instanceof CloudResult.Received<CatalogDocument> received) {
-      boolean anyType = replaceTypes(received.value().fields());
+      boolean hasTypes = replaceTypes(received.value().fields());
       latestJson = received.value().json();
       refreshListener.run();
-      return anyType;
+      return hasTypes;
     }
     if (result instanceof CloudResult.Malformed<CatalogDocument> malformed) {
       LOG.info("the machine type catalog is malformed: {}", malformed.reason());
@@ -104,7 +112,11 @@
     return false;
   }
 
-  /** Replaces the types by those of the document if it is valid; whether it named any. */
+  /**
+   * Replaces the machine types by those of the catalog if it is valid.
+   *
+   * @return true if the catalog is valid and has at least one machine type
+   */
   private boolean replaceTypes(JsonFields catalog) {
     try {
       Map<String, MachineType> typesByName = new LinkedHashMap<>();
--- a/src/main/java/madderrudder/coordination/cloud/RentResult.java
+++ b/src/main/java/madderrudder/coordination/cloud/RentResult.java
@@ -11,26 +11,26 @@
   /**
    * The cloud rented machines.
    *
-   * @param machineIds the machines, possibly fewer than were asked for
+   * @param machineIds the machines, possibly fewer than requested
    */
   record Rented(List<String> machineIds) implements RentResult {}
 
-  /** The cloud has no machine of this type, zone and kind now, and rented none. */
+  /** The cloud currently has no machine of this type, zone and kind, and rented none. */
   record NoCapacity() implements RentResult {}
 
-  /** The cloud calls the request malformed, and rented nothing. Repeating it is of no use. */
+  /** The cloud rejected the request as malformed, and rented nothing. A retry cannot succeed. */
   record Rejected() implements RentResult {}
 
   /**
-   * The cloud rented machines, but the body does not say which.
+   * The cloud rented machines, but the body of the response does not name them.
    *
-   * @param reason what is wrong with the body
+   * @param reason the error in the body
    */
   record Malformed(String reason) implements RentResult {}
 
   /**
-   * It is not known whether the cloud acted on the request: an outage, the rate was exceeded, or no
-   * response came in time.
+   * It is not known whether the cloud executed the request: the cloud has an outage, the request
+   * rate was exceeded, or no response arrived in time.
    *
    * @param status the HTTP status, or one of the negative values in {@link
    *     madderrudder.transport.HttpResponse}
--- a/src/main/java/madderrudder/coordination/policy/Deployment.java
+++ b/src/main/java/madderrudder/coordination/policy/Deployment.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What the platform says of the place this service runs in.
+ * The platform's description of the deployment in which this service runs.
  *
  * @param zones the names of the zones
- * @param teams the teams by their names
- * @param workers the times that workers keep
+ * @param teams the quotas of the teams, by team name
+ * @param workers the intervals and timeouts of workers
  * @param state the limits of the key-value store
  * @param cloud the limits of the cloud's API
- * @param members the number of controllers, this one counted
- * @param clockOffMicros how far a clock's time of day may be off, in microseconds
+ * @param members the number of controllers, including this one
+ * @param clockOffMicros the largest error of a clock's time of day, in microseconds
  * @param objectives the service-level objectives of each class of jobs
  */
 public record Deployment(
@@ -26,14 +26,14 @@
     ServiceLevelObjectives objectives) {
 
   /**
-   * The times that workers keep, in microseconds.
+   * The intervals and timeouts of workers, in microseconds.
    *
-   * @param reportMicros the period of heartbeats
+   * @param reportMicros the interval between heartbeats
    * @param leaseMicros how long a worker keeps its tasks after its last answered heartbeat
-   * @param gangWaitMicros how long a gang's task waits for the gang to be complete
-   * @param gangPeerMicros the time within which the other tasks of a gang notice that one has
-   *     disappeared
-   * @param cancelMicros the time within which a cancelled job's tasks must be gone
+   * @param gangWaitMicros how long a task of a gang waits until all tasks of the gang are present
+   * @param gangPeerMicros the time within which the other tasks of a gang detect the loss of one
+   *     task
+   * @param cancelMicros the time within which all tasks of a cancelled job must have ended
    */
   public record WorkerTimes(
       long reportMicros,
@@ -43,21 +43,21 @@
       long cancelMicros) {}
 
   /**
-   * What the key-value store bears.
+   * The limits of the key-value store.
    *
-   * @param requestsPerSecond requests a second of all controllers together
-   * @param writesPerSecond writes a second of all controllers together
-   * @param valueBytes the size of the largest value
-   * @param transactionWrites the most writes in a transaction
+   * @param requestsPerSecond the request rate that all controllers share
+   * @param writesPerSecond the write rate that all controllers share
+   * @param valueBytes the maximum size of a value, in bytes
+   * @param transactionWrites the maximum number of writes in a transaction
    */
   public record StateLimits(
       double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionWrites) {}
 
   /**
-   * What the cloud's API bears.
+   * The limits of the cloud's API.
    *
-   * @param requestsPerSecond requests a second
-   * @param listLagMicros how far its list of machines may lag behind, in microseconds
+   * @param requestsPerSecond the request rate above which the cloud refuses requests
+   * @param listLagMicros the maximum staleness of its machine list, in microseconds
    */
   public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 }
--- a/src/main/java/madderrudder/coordination/policy/FencingToken.java
+++ b/src/main/java/madderrudder/coordination/policy/FencingToken.java
@@ -1,36 +1,39 @@
 package madderrudder.coordination.policy;
 
 /**
- * The fencing tokens that tell workers who may give commands: the term, and below it a count that
- * the leader of the term raises for a machine as it needs. A worker obeys nothing that carries a
- * lower token than the highest it has seen, so that raising it ends whatever was sent to it before,
- * copies that are still on their way too; and a worker that reports it has acted on an answer (the
- * users' protocol, "Tokens").
+ * The fencing tokens by which workers reject stale commands. A token holds the term in its high
+ * bits and, below it, a counter that the leader of the term raises per machine when needed. A
+ * worker ignores each message with a lower token than the highest it has seen. Raising the token
+ * therefore invalidates everything sent to the worker before, including copies in flight, and a
+ * worker that reports the raised token has processed an answer (see "Tokens" in the users'
+ * protocol).
  */
 public final class FencingToken {
-  /** So many times a machine's token can be raised in a term: twice a second for three months. */
-  private static final int COUNT_BITS = 24;
+  /** Allows 2^24 raises per machine and term, which is two per second for three months. */
+  private static final int COUNTER_BITS = 24;
 
   private FencingToken() {}
 
-  /** The lowest token of a term. */
+  /** Returns the lowest token of a term. */
   public static long first(long term) {
-    return term << COUNT_BITS;
+    return term << COUNTER_BITS;
   }
 
-  /** The term of a token; 0 for a worker that has seen none. */
+  /** Returns the term of a token; 0 for the token 0 of a worker that has seen none. */
   public static long term(long token) {
-    return token >>> COUNT_BITS;
+    return token >>> COUNTER_BITS;
   }
 
-  /** Whether there is a higher token in the same term. */
+  /** Whether the token can be raised within its term. */
   public static boolean canRise(long token) {
     return term(token + 1) == term(token);
   }
 
   /**
-   * The token with which to answer a worker that has seen the one given: the seen one if it is of
-   * the term, and the lowest of the term otherwise.
+   * Returns the token for an answer that must not raise the worker's token within the term: the one
+   * that the worker has seen if it belongs to the term, otherwise the lowest of the term.
+   *
+   * @param seen the highest token that the worker has seen
    */
   public static long echo(long seen, long term) {
     return term(seen) == term ? seen : first(term);
--- a/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
+++ b/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
@@ -1,29 +1,30 @@
 package madderrudder.coordination.policy;
 
 /**
- * The operators' choices. The settings' names on file are given in parentheses.
+ * The operators' settings. The name of each setting in the file is given in parentheses.
  *
- * @param thresholdMicros how long a task that would fit an owned machine waits while these are
- *     full, before a machine is rented for it, in microseconds ({@code threshold-s})
- * @param pollMicros the period at which waiting tasks are considered for scaling out, in
+ * @param thresholdMicros how long a task that would fit on an owned machine waits while all of them
+ *     are full before a machine is rented for it, in microseconds ({@code threshold-s})
+ * @param pollMicros the interval between checks whether to scale out for waiting tasks, in
  *     microseconds ({@code poll-s})
- * @param budget how many counted rentals there may be within the window ({@code budget})
- * @param budgetWindowMicros the window of the budget, in microseconds ({@code budget-window-s})
+ * @param budget the maximum number of counted rentals within the window ({@code budget})
+ * @param budgetWindowMicros the length of the budget window, in microseconds ({@code
+ *     budget-window-s})
  * @param idleMicros how long a rented machine may be idle before it is returned, in microseconds
  *     ({@code idle-s})
  * @param spotMode which rented machines may be spot machines, for jobs that allow them ({@code
  *     spot})
  * @param leaseMicros the length of the leader's lease in the key-value store, in microseconds
  *     ({@code hold-s})
- * @param headroom the share of all processors, from 0 to 1, that work of ordinary priority leaves
- *     free where waits are wanted shorter than a machine takes to boot, so that scaling out could
- *     not meet them ({@code headroom})
- * @param patience the share, from 0 to 1, of the time a job has to spare that it waits for capacity
- *     on spot or owned machines before an on-demand machine is rented for it ({@code patience})
- * @param delegation whether controllers answer heartbeats for a leader that can't be reached
- *     ({@code deputies})
- * @param learnedRunTimes whether run times are learned from what has run, rather than the owners'
- *     estimates corrected ({@code learned-run-times})
+ * @param headroom the share of all processors, from 0 to 1, that jobs of normal or low priority
+ *     leave free where a wait objective is shorter than the time to boot a machine, so that scaling
+ *     out could not meet it ({@code headroom})
+ * @param patience the share, from 0 to 1, of a job's spare time before its deadline that it waits
+ *     for spot or owned machines before an on-demand machine is rented for it ({@code patience})
+ * @param delegation whether other controllers answer heartbeats for a leader that workers cannot
+ *     reach ({@code deputies})
+ * @param learnedRunTimes whether run times are predicted from completed runs rather than from the
+ *     owners' corrected estimates ({@code learned-run-times})
  */
 public record OperatorPolicy(
     long thresholdMicros,
@@ -39,15 +40,15 @@
     boolean learnedRunTimes) {
   /** Which rented machines may be spot machines. */
   public enum SpotMode {
-    /** None. */
+    /** No machine is a spot machine. */
     NEVER,
-    /** Those that are not counted in the budget. */
+    /** Only rentals that do not count against the budget may be spot machines. */
     UNCOUNTED,
-    /** All. */
+    /** All rented machines may be spot machines. */
     ALWAYS
   }
 
-  /** The choices that hold where the operators have made none. */
+  /** Returns the default settings, for operators that have set none. */
   public static OperatorPolicy defaults() {
     return new OperatorPolicy(
         20_000_000,
--- a/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
+++ b/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
@@ -1,55 +1,59 @@
 package madderrudder.coordination.policy;
 
 /**
- * The bounds in time that the safety rules rest on. Two steady clocks may differ by twice the drift
- * of one; each bound is stretched or cut by more than that.
+ * The time bounds on which the safety rules rely. Intervals measured on two monotonic clocks may
+ * differ by twice the drift of one clock, so each bound is extended or reduced by more than that.
  *
- * @param leaseMicros after this silence a worker's lease has certainly expired, and it has dropped
- *     its tasks, in microseconds
- * @param answerMicros how long heartbeats may be answered without news from the store, so that a
- *     worker that got the last answer drops a job cancelled meanwhile in time, in microseconds; 0
- *     where there is no such time
+ * @param leaseMicros the time without contact after which a worker's lease has certainly expired
+ *     and the worker has dropped its tasks, in microseconds
+ * @param answerMicros how long heartbeats may be answered without updates from the store, in
+ *     microseconds: a worker that receives the last answer still drops a job that was cancelled in
+ *     the meantime before the cancellation deadline; 0 if the settings leave no such time
  */
 public record SafetyBounds(long leaseMicros, long answerMicros) {
-  private static final int SILENCES_PER_LEASE = 4;
-  private static final long SLACK_MICROS = 1_000_000;
-  private static final long LEADER_LEASE_SLACK_MICROS = 20_000;
+  private static final int LEADER_SILENCES_PER_LEASE = 4;
+  private static final long SAFETY_MARGIN_MICROS = 1_000_000;
+  private static final long LEADER_LEASE_MARGIN_MICROS = 20_000;
 
-  /** Twice the most that a steady clock drifts, and more: a part in so many. */
-  private static final int DRIFT_DIVISOR = 500;
+  /**
+   * The divisor that yields the drift allowance; 1/500 exceeds twice the maximum drift of a clock.
+   */
+  private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   /**
-   * Up to which moment a leader may count on its lease.
+   * Returns the time until which a leader may rely on its lease, on the monotonic clock.
    *
-   * @param sentMicros when the request that granted or last renewed it was sent, on the steady
-   *     clock
-   * @param lifeMicros the length of the lease
+   * @param sentMicros when the request that granted or last renewed the lease was sent, on the
+   *     monotonic clock
+   * @param durationMicros the duration of the lease in the store
    */
-  public static long leaseEndMicros(long sentMicros, long lifeMicros) {
-    return sentMicros + minusClockDrift(lifeMicros) - LEADER_LEASE_SLACK_MICROS;
+  public static long leaseEndMicros(long sentMicros, long durationMicros) {
+    return sentMicros + minusClockDrift(durationMicros) - LEADER_LEASE_MARGIN_MICROS;
   }
 
   /**
-   * The time that may pass on this clock while certainly no more than the time given passes on
-   * another one.
+   * Returns the longest interval on this clock during which certainly no more than the given
+   * interval passes on another clock.
    */
   public static long minusClockDrift(long micros) {
-    return micros - micros / DRIFT_DIVISOR;
+    return micros - micros / CLOCK_DRIFT_DIVISOR;
   }
 
   /**
-   * A controller that has heard the leader within this time, in microseconds, does not answer on
-   * its behalf. A controller that ends and is back sooner than that has answered nobody; a worker
-   * whose leader can't be reached has had time to come by before its lease is over.
+   * Returns how long a controller must have received nothing from the leader before it answers
+   * heartbeats on the leader's behalf, in microseconds. A controller that stops and restarts within
+   * that time has therefore answered no heartbeat. A quarter of the lease leaves a worker that
+   * cannot reach the leader time to contact a delegate before its lease expires.
    */
   public long leaderSilenceMicros() {
-    return leaseMicros / SILENCES_PER_LEASE;
+    return leaseMicros / LEADER_SILENCES_PER_LEASE;
   }
 
-  /** The bounds that follow from the times that workers keep. */
+  /** Derives the bounds from the intervals and timeouts of workers. */
   public static SafetyBounds of(Deployment.WorkerTimes workers) {
-    long drift = workers.leaseMicros() / DRIFT_DIVISOR;
-    long lease = workers.leaseMicros() + drift + SLACK_MICROS / 2;
-    return new SafetyBounds(lease, Math.max(0, workers.cancelMicros() - lease - SLACK_MICROS));
+    long driftMicros = workers.leaseMicros() / CLOCK_DRIFT_DIVISOR;
+    long leaseMicros = workers.leaseMicros() + driftMicros + SAFETY_MARGIN_MICROS / 2;
+    return new SafetyBounds(
+        leaseMicros, Math.max(0, workers.cancelMicros() - leaseMicros - SAFETY_MARGIN_MICROS));
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/ServiceLevelObjectives.java
+++ b/src/main/java/madderrudder/coordination/policy/ServiceLevelObjectives.java
@@ -6,49 +6,50 @@
 import madderrudder.protocol.JobSpec;
 
 /**
- * The service-level objectives of each class of jobs, as the platform says. Each map is by the name
+ * The platform's service-level objectives for each class of jobs. The key of each map is the name
  * of the class.
  *
- * @param waitMicros the shortest wait for a start that is wanted, in microseconds
+ * @param waitMicros the strictest objective for the wait until a job starts, in microseconds
  * @param finishMicros the times after submission by which a job should be complete, in microseconds
- * @param deadlineTimes the multiples of a job's own deadline by which it should be complete; once,
- *     for a class that has none
+ * @param deadlineTimes the multiples of a job's own deadline by which it should be complete; a
+ *     class without an entry has the single multiple 1
  */
 public record ServiceLevelObjectives(
     Map<String, Long> waitMicros,
     Map<String, List<Long>> finishMicros,
     Map<String, List<Double>> deadlineTimes) {
-  private static final List<Double> ONCE = List.of(1.0);
+  private static final List<Double> OWN_DEADLINE_ONLY = List.of(1.0);
 
-  /** No objectives, for a platform that names none. */
+  /** Returns empty objectives, for a platform that defines none. */
   public static ServiceLevelObjectives none() {
     return new ServiceLevelObjectives(Map.of(), Map.of(), Map.of());
   }
 
   /**
-   * The shortest wait wanted of any class, in microseconds; {@link Long#MAX_VALUE} where none is.
+   * Returns the strictest wait objective of all classes, in microseconds; {@link Long#MAX_VALUE} if
+   * there is none.
    */
   public long shortestWaitMicros() {
     return waitMicros.values().stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
   }
 
-  /** Whether there is an objective for the time that the job waits for its start. */
+  /** Whether the job's class has an objective for the wait until the job starts. */
   public boolean wantsPromptStart(JobSpec job) {
     return waitMicros.containsKey(job.jobClass());
   }
 
   /**
-   * When the job should be complete, in microseconds from its submission, soonest first; empty
-   * where nothing is said.
+   * Returns the times by which the job should be complete, in microseconds after its submission,
+   * earliest first; empty if there is no such objective.
    */
   public List<Long> dueMicros(JobSpec job) {
-    List<Long> due = new ArrayList<>(finishMicros.getOrDefault(job.jobClass(), List.of()));
+    List<Long> dueOffsets = new ArrayList<>(finishMicros.getOrDefault(job.jobClass(), List.of()));
     if (job.deadlineMicros() > 0) {
-      for (double times : deadlineTimes.getOrDefault(job.jobClass(), ONCE)) {
-        due.add((long) (times * job.deadlineMicros()));
+      for (double multiple : deadlineTimes.getOrDefault(job.jobClass(), OWN_DEADLINE_ONLY)) {
+        dueOffsets.add((long) (multiple * job.deadlineMicros()));
       }
     }
-    due.sort(null);
-    return due;
+    dueOffsets.sort(null);
+    return dueOffsets;
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/TeamQuota.java
+++ b/src/main/java/madderrudder/coordination/policy/TeamQuota.java
@@ -3,44 +3,45 @@
 import madderrudder.protocol.Resources;
 
 /**
- * A team's quota. Memory is not shared out.
+ * The quota of a team, for processors and accelerators. Memory has no quota.
  *
  * @param name the team's name
- * @param guaranteed what the team is guaranteed
- * @param limit what the team's tasks may take at most
+ * @param guaranteed the resources that are guaranteed to the team
+ * @param limit the maximum of resources that the team's tasks may use together
  */
 public record TeamQuota(String name, Resources guaranteed, Resources limit) {
   private static final long UNBOUNDED = Long.MAX_VALUE / 2;
 
   /**
-   * A quota as the platform's settings say it, where 0 stands for no limit and no guarantee. A team
-   * whose quota is in accelerators alone has its processors unlimited; taken for a limit of 0, that
-   * once rejected every job of a deployment.
+   * Creates a quota from the platform's settings, where a value of 0 means that this resource has
+   * no bound; a guarantee of 0 for both resources means no guarantee. A team with a quota for
+   * accelerators only may use any number of processors: reading that 0 as a limit rejected every
+   * job of such a deployment.
    */
   public static TeamQuota of(String name, Resources guaranteed, Resources limit) {
-    boolean guarantees = guaranteed.milliCpus() > 0 || guaranteed.milliGpus() > 0;
+    boolean hasGuarantee = guaranteed.milliCpus() > 0 || guaranteed.milliGpus() > 0;
     return new TeamQuota(
-        name, guarantees ? unbounded(guaranteed) : Resources.NONE, unbounded(limit));
+        name, hasGuarantee ? zeroAsUnbounded(guaranteed) : Resources.NONE, zeroAsUnbounded(limit));
   }
 
-  private static Resources unbounded(Resources bound) {
+  private static Resources zeroAsUnbounded(Resources bound) {
     return new Resources(
         bound.milliCpus() == 0 ? UNBOUNDED : bound.milliCpus(),
         bound.milliGpus() == 0 ? UNBOUNDED : bound.milliGpus(),
         bound.memoryMb());
   }
 
-  /** Whether the team stays within its limit when its tasks take that much in all. */
+  /** Whether the team stays within its limit if its tasks use this total. */
   public boolean allows(Resources total) {
-    return within(total, limit);
+    return isWithin(total, limit);
   }
 
-  /** Whether the team stays within its guarantee when its tasks take that much in all. */
+  /** Whether the team stays within its guarantee if its tasks use this total. */
   public boolean guarantees(Resources total) {
-    return within(total, guaranteed);
+    return isWithin(total, guaranteed);
   }
 
-  private static boolean within(Resources total, Resources bound) {
+  private static boolean isWithin(Resources total, Resources bound) {
     return total.milliCpus() <= bound.milliCpus() && total.milliGpus() <= bound.milliGpus();
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/package-info.java
+++ b/src/main/java/madderrudder/coordination/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the platform and the operators have set, and the bounds in time and the tokens that follow
- * from it. Plain values without clocks or side effects.
+ * The settings of the platform and of the operators, and the time bounds and fencing tokens derived
+ * from them. Plain values without clocks or side effects.
  */
 package madderrudder.coordination.policy;
