--- a/src/test/java/madderrudder/coordination/cloud/CloudClientTest.java
+++ b/src/test/java/madderrudder/coordination/cloud/CloudClientTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the client sends, and what it does when it may send no more. */
+/** The requests that the client sends, and its result when the queue of calls is full. */
 class CloudClientTest {
   private final List<HttpRequest> sent = new ArrayList<>();
   private CloudClient cloud;
 
-  /** A clock that stands still: whatever waits for its turn waits for ever. */
+  /** A clock that does not advance and runs no timers, so that a queued call is never sent. */
   private static final class StoppedClock implements Scheduler {
     @Override
     public long nowMicros() {
@@ -40,37 +40,37 @@
   }
 
   @BeforeEach
-  void connect() {
+  void createClient() {
     cloud =
         new CloudClient(
             new StoppedClock(),
-            (address, request, timeoutMicros, answer) -> {
+            (address, request, timeoutMicros, onResponse) -> {
               sent.add(request);
-              answer.accept(HttpResponse.of(200, new byte[] {'{', '}'}));
+              onResponse.accept(HttpResponse.of(200, new byte[] {'{', '}'}));
             },
             "cloud:80",
             10);
   }
 
   @Test
-  void firstListPageIsAskedForWithoutAStart() {
+  void firstListPageIsRequestedWithoutSince() {
     cloud.list("", page -> {});
     assertEquals("/machines?most=500", sent.get(0).target());
   }
 
   @Test
-  void nextListPageBeginsAfterTheGivenMachine() {
+  void nextListPageIsRequestedSinceTheGivenMachine() {
     cloud.list("m-000230", page -> {});
     assertEquals("/machines?most=500&since=m-000230", sent.get(0).target());
   }
 
   @Test
-  void callBeyondAFullQueueIsUnknownAtOnce() {
+  void callWithAFullQueueIsUnknownAtOnce() {
     List<DeleteResult> results = new ArrayList<>();
     int calls = 0;
     while (!results.contains(DeleteResult.UNKNOWN)) {
       cloud.delete(List.of("m-1"), results::add);
-      assertTrue(++calls < 1_000, "the queue never filled");
+      assertTrue(++calls < 1_000, "the queue did not fill up");
     }
     assertEquals(sent.size(), results.size() - 1);
   }
--- a/src/test/java/madderrudder/coordination/cloud/CloudResponsesTest.java
+++ b/src/test/java/madderrudder/coordination/cloud/CloudResponsesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What each response of the cloud means. */
+/** The result for each kind of response of the cloud. */
 class CloudResponsesTest {
   private static HttpResponse response(int status, String body) {
     return HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8));
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void rentalCalledMalformedByTheCloudIsRejected() {
+  void rentalWithStatus400IsRejected() {
     assertEquals(
         new RentResult.Rejected(),
         CloudResponses.rent(HttpResponse.of(400, Json.error("malformed"))));
@@ -48,11 +48,11 @@
     assertInstanceOf(RentResult.Malformed.class, CloudResponses.rent(response(200, body)));
   }
 
-  /** An outage is a 503 with another text; the words of the refusal count in a 503 alone. */
+  /** The text that refuses a rental is significant in a response with status 503 only. */
   @ParameterizedTest
   @ValueSource(
       ints = {500, 502, 504, 429, 409, 404, 201, HttpResponse.NO_RESPONSE, HttpResponse.NOT_SENT})
-  void rentalWithAnyOtherStatusIsUnknownWhateverTheBodySays(int status) {
+  void rentalWithAnyOtherStatusIsUnknownRegardlessOfTheBody(int status) {
     assertEquals(
         new RentResult.Unknown(status),
         CloudResponses.rent(HttpResponse.of(status, Json.error("no capacity"))));
@@ -64,10 +64,9 @@
     assertEquals(new RentResult.Unknown(503), CloudResponses.rent(response(503, body)));
   }
 
-  /** The body of a deletion is not read. */
   @ParameterizedTest
   @ValueSource(strings = {"{}", "", "not JSON"})
-  void deletionIsConfirmedByItsStatusAlone(String body) {
+  void deletionIsConfirmedByItsStatusRegardlessOfTheBody(String body) {
     assertSame(DeleteResult.DELETED, CloudResponses.delete(response(200, body)));
   }
 
@@ -78,7 +77,7 @@
   }
 
   @Test
-  void listPageNamesItsMachinesAndWhetherMoreFollow() {
+  void listPageHasItsMachinesAndTheMoreFlag() {
     String body =
         "{\"fleet\":[{\"id\":\"m-7\",\"addr\":\"10.0.0.7:9\",\"build\":\"g8\",\"berth\":\"a\","
             + "\"driftwood\":true,\"trim\":\"failed\",\"held_s\":1.5}],\"more\":true}";
@@ -105,7 +104,7 @@
   }
 
   @Test
-  void catalogKeepsItsTextAsItCame() {
+  void catalogKeepsItsTextUnchanged() {
     byte[] body = "{ \"builds\" : [] }".getBytes(StandardCharsets.UTF_8);
     CloudResult.Received<?> received =
         assertInstanceOf(
@@ -117,7 +116,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "not JSON"})
-  void catalogThatIsNoObjectIsMalformed(String body) {
+  void catalogThatIsNotAnObjectIsMalformed(String body) {
     assertInstanceOf(CloudResult.Malformed.class, CloudResponses.catalog(response(200, body)));
   }
 }
--- a/src/test/java/madderrudder/coordination/policy/SafetyBoundsTest.java
+++ b/src/test/java/madderrudder/coordination/policy/SafetyBoundsTest.java
@@ -5,15 +5,16 @@
 import madderrudder.coordination.scheduling.PlanningFixture;
 import org.junit.jupiter.api.Test;
 
-/** Bounds that keep leases and cancellations safe with clocks that drift. */
+/** The bounds keep leases and cancellations safe if each clock drifts by up to 500 ppm. */
 class SafetyBoundsTest extends PlanningFixture {
   @Test
-  void answeringWithoutNewsEndsBeforeACancelledTaskIsDue() {
+  void answersWithoutStoreUpdatesEndBeforeTheCancellationDeadline() {
     Deployment.WorkerTimes workers = cluster.deployment.workers();
-    SafetyBounds safety = SafetyBounds.of(workers);
-    double drift = 1.0005 / 0.9995;
-    assertTrue((safety.answerMicros() + workers.leaseMicros()) * drift < workers.cancelMicros());
-    assertTrue(safety.leaseMicros() > workers.leaseMicros() * drift);
-    assertTrue(SafetyBounds.leaseEndMicros(0, 3 * SECOND) * drift < 3 * SECOND);
+    SafetyBounds bounds = SafetyBounds.of(workers);
+    double maxClockRatio = 1.0005 / 0.9995;
+    assertTrue(
+        (bounds.answerMicros() + workers.leaseMicros()) * maxClockRatio < workers.cancelMicros());
+    assertTrue(bounds.leaseMicros() > workers.leaseMicros() * maxClockRatio);
+    assertTrue(SafetyBounds.leaseEndMicros(0, 3 * SECOND) * maxClockRatio < 3 * SECOND);
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
@@ -17,64 +17,68 @@
 /** The order in which waiting jobs get capacity. */
 class DemandTest extends PlanningFixture {
   /**
-   * While gangs came several times as often, bulk work within guarantees took all capacity before
-   * gangs beyond.
+   * Guards against gangs outside their team's guarantee that never start: when gangs arrived
+   * several times as often as usual, bulk jobs within guarantees took all capacity first.
    */
   @Test
-  void aPromptGangComesBeforeLowerWorkWithinGuarantees() {
-    Cluster hasty =
+  void promptGangPrecedesLowerPriorityJobsWithinGuarantees() {
+    Cluster clusterWithWaitObjective =
         cluster(new ServiceLevelObjectives(Map.of("class", SECOND), Map.of(), Map.of()));
-    for (Cluster each : List.of(cluster, hasty)) {
+    for (Cluster tested : List.of(cluster, clusterWithWaitObjective)) {
       Job bulk = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 1, 4, false);
       Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 3, 4, false);
-      each.jobs.put("req-1", bulk);
-      each.jobs.put("req-2", gang);
-      assertEquals(Set.of(bulk), Demand.of(each, 0).guaranteed());
-      assertEquals(each == hasty ? gang : bulk, Demand.of(each, 0).waiting().get(0));
+      tested.jobs.put("req-1", bulk);
+      tested.jobs.put("req-2", gang);
+      assertEquals(Set.of(bulk), Demand.of(tested, 0).guaranteed());
+      assertEquals(
+          tested == clusterWithWaitObjective ? gang : bulk, Demand.of(tested, 0).waiting().get(0));
     }
   }
 
-  /** With too much to do, going by deadlines alone once made everything late in turn. */
+  /**
+   * Guards against a queue in which all jobs become late in turn under overload, as happened when
+   * jobs were ordered by deadline alone.
+   */
   @Test
-  void jobsThatCanStillBeInTimeComeBeforeLateOnes() {
-    Cluster wanted =
+  void jobsThatCanMeetADeadlinePrecedeLateJobs() {
+    Cluster clusterWithDeadlines =
         cluster(
             new ServiceLevelObjectives(
                 Map.of(), Map.of("class", List.of(60 * SECOND, 90 * SECOND)), Map.of()));
-    // Both take 30 s, and were accepted at 0 s and 1 us; the first is due at 60 s and can't make it
-    // any more.
+    // Both jobs take 30 s and were accepted at 0 s and at 1 us. After 30 s, the first one can no
+    // longer meet its deadline at 60 s.
     for (String id : List.of("req-1", "req-2")) {
       Job job = job(id, "alto", JobKind.ARRAY, Priority.NORMAL, 40, 2, false);
-      wanted.jobs.put(id, job);
+      clusterWithDeadlines.jobs.put(id, job);
     }
-    Job late = wanted.jobs.get("req-1");
-    Job fresh = wanted.jobs.get("req-2");
-    assertEquals(List.of(late, fresh), Demand.of(wanted, 30 * SECOND).waiting());
-    assertEquals(List.of(fresh, late), Demand.of(wanted, 30 * SECOND + 1).waiting());
-    assertEquals(List.of(late, fresh), Demand.of(wanted, 200 * SECOND).waiting());
-    // Tasks turn out to take half as long as estimated: the first can be in time after all.
+    Job older = clusterWithDeadlines.jobs.get("req-1");
+    Job newer = clusterWithDeadlines.jobs.get("req-2");
+    assertEquals(List.of(older, newer), Demand.of(clusterWithDeadlines, 30 * SECOND).waiting());
+    assertEquals(List.of(newer, older), Demand.of(clusterWithDeadlines, 30 * SECOND + 1).waiting());
+    assertEquals(List.of(older, newer), Demand.of(clusterWithDeadlines, 200 * SECOND).waiting());
+    // Observed run times are half of the estimate, so the first job can still meet its deadline.
     for (int i = 0; i < 200; i++) {
-      wanted.runTimes.observe(
-          new TaskRun(late.profile, i, i, "", "", late.spec.estimateMicros(), 15 * SECOND, true));
+      clusterWithDeadlines.runTimes.observe(
+          new TaskRun(older.profile, i, i, "", "", older.spec.estimateMicros(), 15 * SECOND, true));
     }
-    assertEquals(List.of(late, fresh), Demand.of(wanted, 30 * SECOND + 1).waiting());
+    assertEquals(List.of(older, newer), Demand.of(clusterWithDeadlines, 30 * SECOND + 1).waiting());
   }
 
   /**
-   * A job that cannot be in time comes last, and once did so for as long as others came that could.
-   * It now moves ahead step by step of all others within no guarantee, and back to its place once
-   * it has begun.
+   * Guards against the starvation of a job that can meet no deadline: it is ordered last, and
+   * waited for as long as new jobs arrived that could meet theirs. A starved job moves ahead of the
+   * other jobs outside guarantees, and returns to its place once a task of it is placed.
    */
   @Test
-  void aStarvedJobMovesAheadUntilItHasBegun() {
-    Machine there = machine("m-0", "east", true);
+  void starvedJobMovesAheadUntilItsFirstTaskIsPlaced() {
+    Machine machine = machine("m-0", "east", true);
     Job large = job("req-1", "alto", JobKind.ARRAY, Priority.LOW, 400, 1, false);
     Job other = job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 100, 1, false);
     Job guaranteed = job("req-3", "canto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
     assertEquals(List.of(guaranteed, other, large), Demand.of(cluster, 89 * SECOND).waiting());
     other.done.set(0);
     assertEquals(List.of(guaranteed, large, other), Demand.of(cluster, 91 * SECOND).waiting());
-    put(large, 0, there);
+    put(large, 0, machine);
     assertEquals(List.of(guaranteed, other, large), Demand.of(cluster, 91 * SECOND).waiting());
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
@@ -16,10 +16,10 @@
 import madderrudder.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Where waiting tasks are placed. */
+/** The machines on which waiting tasks are placed, and the machines that are reserved for gangs. */
 class PlacerTest extends PlanningFixture {
   @Test
-  void ownedMachinesTakeTasksAtOnceAndRentedOnesOnlyAfterTheThreshold() {
+  void ownedMachinesAreUsedAtOnceAndRentedMachinesAfterTheThreshold() {
     Machine owned = machine("m-0", "east", true);
     Machine rented = machine("m-1", "east", false);
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void teamLimitsAndZoneSpreadCountTasksThatMayBeThere() {
+  void teamLimitsAndZoneSpreadCountTasksThatMayBeRunning() {
     Machine east = machine("m-0", "east", true);
     machine("m-1", "east", true);
     machine("m-2", "east", true);
@@ -49,39 +49,61 @@
   }
 
   /**
-   * Where starts are wanted sooner than a machine boots, ordinary work leaves headroom to what is
-   * urgent.
+   * If a wait objective is shorter than the boot time of a machine, jobs of normal priority leave
+   * headroom for urgent jobs. Guards against withholding it without end: while nothing could be
+   * rented, these jobs waited beside the headroom for as long as the shortage lasted.
    */
   @Test
-  void ordinaryWorkLeavesHeadroom() {
-    // Twelve tasks are beyond the guarantee; what lies within one is exempt.
-    Cluster hasty =
+  void normalPriorityJobsLeaveHeadroomFreeForOneMinute() {
+    // Twelve tasks exceed the guarantee; headroom is not withheld from jobs within a guarantee.
+    Cluster clusterWithWaitObjective =
         cluster(new ServiceLevelObjectives(Map.of("class", SECOND), Map.of(), Map.of()));
-    hasty.types = cluster.types;
+    clusterWithWaitObjective.types = cluster.types;
     for (String id : List.of("m-0", "m-1")) {
-      hasty.add(heardLater(machine(id, "east", true)));
+      clusterWithWaitObjective.add(withHeartbeatAt70Seconds(machine(id, "east", true)));
     }
-    Job ordinary = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 12, 2, false);
-    hasty.jobs.put("req-1", ordinary);
-    assertEquals(2, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), SECOND).size());
+    Job normal = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 12, 2, false);
+    clusterWithWaitObjective.jobs.put("req-1", normal);
+    assertEquals(
+        2,
+        Placer.plan(
+                clusterWithWaitObjective, POLICY, Demand.of(clusterWithWaitObjective, 0), SECOND)
+            .size());
     assertEquals(4, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
-    hasty.jobs.put("req-2", job("req-2", "basso", JobKind.ARRAY, Priority.HIGH, 4, 2, false));
-    assertEquals(4, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), SECOND).size());
-    hasty.jobs.remove("req-2");
-    // Where nothing could be rented it once waited beside the headroom for ever; nobody is to do so
-    // for
-    // 90 s.
-    assertEquals(2, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), 59 * SECOND).size());
-    assertEquals(4, Placer.plan(hasty, POLICY, Demand.of(hasty, 0), 70 * SECOND).size());
+    clusterWithWaitObjective.jobs.put(
+        "req-2", job("req-2", "basso", JobKind.ARRAY, Priority.HIGH, 4, 2, false));
+    assertEquals(
+        4,
+        Placer.plan(
+                clusterWithWaitObjective, POLICY, Demand.of(clusterWithWaitObjective, 0), SECOND)
+            .size());
+    clusterWithWaitObjective.jobs.remove("req-2");
+    // Headroom is withheld for 60 s only, because no job may wait beside free capacity for 90 s.
+    assertEquals(
+        2,
+        Placer.plan(
+                clusterWithWaitObjective,
+                POLICY,
+                Demand.of(clusterWithWaitObjective, 0),
+                59 * SECOND)
+            .size());
+    assertEquals(
+        4,
+        Placer.plan(
+                clusterWithWaitObjective,
+                POLICY,
+                Demand.of(clusterWithWaitObjective, 0),
+                70 * SECOND)
+            .size());
   }
 
   /**
-   * A machine on which tasks of two jobs failed is passed over, for less than the 90 s that nobody
-   * is to wait beside free capacity.
+   * No task is placed on a machine on which tasks of two jobs failed. The cordon lasts one minute,
+   * less than the 90 s for which no job may wait beside free capacity.
    */
   @Test
-  void aCordonedMachineIsPassedOverForAMinute() {
-    Machine only = heardLater(machine("m-0", "east", true));
+  void cordonedMachineReceivesNoTasksForOneMinute() {
+    Machine only = withHeartbeatAt70Seconds(machine("m-0", "east", true));
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
     only.recordFailure("req-7", SECOND, 120 * SECOND, 60 * SECOND);
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 2 * SECOND).size());
@@ -92,9 +114,12 @@
     assertEquals(0, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 65 * SECOND).size());
   }
 
-  /** Most replicas once sat on the largest machine, and were missing for a lease when it died. */
+  /**
+   * Guards against placing most replicas on the largest machine: when it failed, all of them were
+   * missing for the duration of a lease.
+   */
   @Test
-  void replicasSpreadOverMachines() {
+  void replicasAreSpreadOverMachines() {
     Machine occupied = machine("m-0", "east", true);
     Machine other = machine("m-1", "east", true);
     put(job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, occupied);
@@ -108,7 +133,7 @@
   }
 
   @Test
-  void aGangIsPlacedWholeOrNotAtAll() {
+  void gangIsPlacedAsAWholeOrNotAtAll() {
     machine("m-0", "east", true);
     job("req-1", "alto", JobKind.GANG, Priority.NORMAL, 2, 3, false);
     assertEquals(List.of(), Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND));
@@ -117,66 +142,74 @@
   }
 
   /**
-   * Small tasks once refilled every machine that came free, and a gang of whole machines never
-   * found enough.
+   * Guards against the starvation of a gang whose tasks need whole machines: small tasks refilled
+   * each machine as soon as capacity on it became free.
    */
   @Test
-  void freeMachinesAreReservedForAGangUntilItHasAllItNeeds() {
+  void freeMachinesAreReservedForAGangUntilAllItsTasksFit() {
     Machine free = machine("m-0", "east", true);
-    Machine partly = machine("m-1", "east", true);
+    Machine partlyUsed = machine("m-1", "east", true);
     Job small = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 1, false);
-    Assignment going = put(small, 0, partly);
+    Assignment occupant = put(small, 0, partlyUsed);
     Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
-    // Until the other machine is being emptied for it, the gang lacks one; the free one is
-    // reserved.
+    // The free machine is reserved for the gang. The other one is not reserved until the task on it
+    // is being evicted.
     assertEquals(
-        List.of(partly, partly, partly),
-        Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND).stream()
+        List.of(partlyUsed, partlyUsed, partlyUsed),
+        Placer.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND).stream()
             .map(Placement::machine)
             .toList());
-    going.evicting = true;
-    assertEquals(List.of(), Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND));
-    cluster.release(going, SECOND);
-    List<Placement> placed = Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND);
+    occupant.evicting = true;
+    assertEquals(
+        List.of(), Placer.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND));
+    cluster.release(occupant, SECOND);
+    List<Placement> placed =
+        Placer.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND);
     assertEquals(
-        Set.of(free, partly), Set.copyOf(placed.stream().map(Placement::machine).toList()));
+        Set.of(free, partlyUsed), Set.copyOf(placed.stream().map(Placement::machine).toList()));
     assertTrue(placed.stream().allMatch(placement -> placement.job() == gang));
   }
 
   /**
-   * Capacity that comes free by itself is reserved for a gang, as capacity freed by preemption is.
+   * Capacity of tasks that are about to end is reserved for a gang, like capacity freed by
+   * preemption.
    */
   @Test
-  void capacityThatComesFreeIsReservedForAGang() {
-    Set<Assignment> ending = new HashSet<>();
-    Cluster known = cluster(ServiceLevelObjectives.none(), new KnownRunTimes(ending));
+  void capacityOfEndingTasksIsReservedForAGang() {
+    Set<Assignment> endingSoon = new HashSet<>();
+    Cluster clusterWithEndingTasks =
+        cluster(ServiceLevelObjectives.none(), new FixedRunTimes(endingSoon));
     Machine free = machine("m-0", "east", true);
     Machine freeing = machine("m-1", "east", true);
-    known.add(free);
-    known.add(freeing);
+    clusterWithEndingTasks.add(free);
+    clusterWithEndingTasks.add(freeing);
     Job old = job("req-1", "alto", JobKind.ARRAY, Priority.LOW, 1, 3, false);
-    Assignment last = put(old, 0, freeing);
+    Assignment ending = put(old, 0, freeing);
     Job gang = job("req-2", "canto", JobKind.GANG, Priority.HIGH, 2, 3, false);
     Job small = job("req-3", "basso", JobKind.ARRAY, Priority.LOW, 1, 1, false);
-    List.of(old, gang, small).forEach(job -> known.jobs.put(job.spec.id(), job));
+    List.of(old, gang, small).forEach(job -> clusterWithEndingTasks.jobs.put(job.spec.id(), job));
     assertEquals(
         List.of(freeing),
-        Placer.plan(known, POLICY, Demand.of(known, 0), SECOND).stream()
+        Placer.plan(clusterWithEndingTasks, POLICY, Demand.of(clusterWithEndingTasks, 0), SECOND)
+            .stream()
             .map(Placement::machine)
             .toList());
-    ending.add(last);
-    assertEquals(List.of(), Placer.plan(known, POLICY, Demand.of(known, 0), SECOND));
+    endingSoon.add(ending);
+    assertEquals(
+        List.of(),
+        Placer.plan(clusterWithEndingTasks, POLICY, Demand.of(clusterWithEndingTasks, 0), SECOND));
   }
 
-  /** One that no machines there could hold, even empty, must not hold up what can run. */
+  /** A gang that would not fit even on empty machines must not delay jobs that can run. */
   @Test
   void nothingIsReservedForAGangThatFitsOnNoMachines() {
     machine("m-0", "east", true);
     job("req-1", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
     Job small = job("req-2", "basso", JobKind.ARRAY, Priority.LOW, 4, 1, false);
     assertTrue(
-        Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND).stream()
+        Placer.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND).stream()
             .allMatch(placement -> placement.job() == small));
-    assertEquals(4, Placer.plan(cluster, at(0), Demand.of(cluster, 0), SECOND).size());
+    assertEquals(
+        4, Placer.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND).size());
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
@@ -16,11 +16,11 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** What planning costs with many machines, and with jobs that fail everywhere. */
+/** The cost of planning with many machines, and of jobs that fail on every machine. */
 class PlanningCostTest extends PlanningFixture {
-  /** Counts how often the planners look at a machine for a job. */
+  /** Counts how often the planners check whether a job may use a machine. */
   private static final class CountingCluster extends Cluster {
-    private long looks;
+    private long checks;
 
     CountingCluster(Deployment deployment) {
       super(deployment, new EstimatedRunTimes());
@@ -28,17 +28,17 @@
 
     @Override
     public boolean allowed(Job job, Machine machine) {
-      looks++;
+      checks++;
       return super.allowed(job, machine);
     }
   }
 
   /**
-   * Planning that looked at each machine for each waiting task took all of the processor at 490
-   * machines.
+   * Guards against planning that evaluates each machine for each waiting task: with 490 machines,
+   * it used all of a processor.
    */
   @Test
-  void planningLooksAtEachMachineOnceForAJobNotForEachTask() {
+  void planningChecksEachMachineOncePerJobRatherThanOncePerTask() {
     CountingCluster large = new CountingCluster(cluster.deployment);
     large.types = cluster.types;
     int machines = 400;
@@ -54,12 +54,12 @@
           "req-" + i, job("req-" + i, "alto", JobKind.ARRAY, Priority.NORMAL, 300, 0.01, false));
     }
     assertTrue(Placer.plan(large, POLICY, Demand.of(large, 0), SECOND).size() > 300);
-    assertTrue(large.looks <= (long) jobs * machines, large.looks + " looks to place");
-    large.looks = 0;
+    assertTrue(large.checks <= (long) jobs * machines, large.checks + " checks for placement");
+    large.checks = 0;
     Preemption.plan(large, POLICY, Demand.of(large, 0), SECOND);
-    assertTrue(large.looks <= (long) jobs * machines, large.looks + " looks to make room");
-    // What ends costs no look at any machine at all.
-    large.looks = 0;
+    assertTrue(large.checks <= (long) jobs * machines, large.checks + " checks for preemption");
+    // Releasing a task checks no machine.
+    large.checks = 0;
     Job first = large.jobs.get("req-0");
     List<Assignment> placed = new ArrayList<>();
     for (int task = 0; task < 300; task++) {
@@ -79,40 +79,40 @@
     assertEquals(3_000, large.usage().get("alto").milliCpus());
     placed.forEach(assignment -> large.release(assignment, SECOND));
     assertEquals(0, large.usage().get("alto").milliCpus());
-    assertEquals(0, large.looks);
+    assertEquals(0, large.checks);
   }
 
   /**
-   * A mistake in a job costs next to nothing: no rental, and one task at a time, each later than
-   * the one before. Its three hundred tasks were once tried each on its own account.
+   * Guards against a faulty job that starts each of its three hundred tasks independently. Nothing
+   * is rented for a failing job, and its tasks are tried one at a time, with growing delays.
    */
   @Test
-  void aJobThatFailsEverywhereCostsNextToNothing() {
+  void jobThatFailsOnEveryMachineIsRetriedRarelyAndRentsNothing() {
     for (int i = 0; i < 4; i++) {
       machine("m-" + i, "east", true);
     }
-    Job wrong = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 300, 1, false);
+    Job failingJob = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 300, 1, false);
     for (int i = 0; i < 4; i++) {
-      wrong.failed(i, "m-" + i, 0);
+      failingJob.failed(i, "m-" + i, 0);
     }
-    assertTrue(wrong.failing());
+    assertTrue(failingJob.failing());
     assertEquals(List.of(), scaleOut(100 * SECOND, 10));
-    int tried = 0;
-    for (long now = 0; now < 600 * SECOND; now += SECOND) {
+    int attempts = 0;
+    for (long nowMicros = 0; nowMicros < 600 * SECOND; nowMicros += SECOND) {
       for (Machine machine : cluster.machines.values()) {
-        machine.lastHeardMicros = now;
+        machine.lastHeardMicros = nowMicros;
       }
-      for (Placement placement : Placer.plan(cluster, POLICY, Demand.of(cluster, 0), now)) {
-        wrong.failed(placement.task(), placement.machine().id, now);
-        tried++;
+      for (Placement placement : Placer.plan(cluster, POLICY, Demand.of(cluster, 0), nowMicros)) {
+        failingJob.failed(placement.task(), placement.machine().id, nowMicros);
+        attempts++;
       }
     }
-    assertTrue(tried > 8 && tried < 20, tried + " tries in ten minutes");
-    wrong.completed();
+    assertTrue(attempts > 8 && attempts < 20, attempts + " attempts in ten minutes");
+    failingJob.completed();
     cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 700 * SECOND);
-    // Nor has it nowhere to go because it has failed everywhere.
+    // Once a task has completed, the job may again use the machines on which it failed.
     assertTrue(
         Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 700 * SECOND).size() > 4,
-        "it is not tried in full");
+        "tasks of the recovered job are still withheld");
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningFixture.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningFixture.java
@@ -23,7 +23,10 @@
 import madderrudder.protocol.TaskId;
 import madderrudder.protocol.TaskStatus.Phase;
 
-/** A small cluster of owned and rented machines, three teams and short ways to make jobs. */
+/**
+ * A small cluster with three teams, and helpers that create machines, jobs, running tasks and
+ * policies.
+ */
 public abstract class PlanningFixture {
   protected static final long SECOND = 1_000_000;
   protected static final MachineType TYPE =
@@ -49,7 +52,7 @@
           "basso", new TeamQuota("basso", Resources.of(4, 0, 0), Resources.of(16, 0, 0)),
           "canto", new TeamQuota("canto", Resources.of(16, 0, 0), Resources.of(16, 0, 0)));
   protected final Cluster cluster = cluster(ServiceLevelObjectives.none());
-  private long attempts;
+  private long lastAttempt;
 
   protected Cluster cluster(ServiceLevelObjectives objectives) {
     return cluster(objectives, new EstimatedRunTimes());
@@ -70,11 +73,15 @@
         runTimes);
   }
 
-  /** Knows that tasks take between 10 and 40 s, mostly 20, and which end within the next second. */
-  protected record KnownRunTimes(Set<Assignment> ending) implements RunTimes {
+  /**
+   * Run times with a median of 20 s and an upper bound of 40 s.
+   *
+   * @param endingSoon the tasks that are nearly certain to end within any given time
+   */
+  protected record FixedRunTimes(Set<Assignment> endingSoon) implements RunTimes {
     @Override
     public void observe(TaskRun run) {
-      throw new AssertionError("planning does not learn");
+      throw new AssertionError("planning must not record run times");
     }
 
     @Override
@@ -94,7 +101,7 @@
 
     @Override
     public boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros) {
-      return ending.contains(assignment);
+      return endingSoon.contains(assignment);
     }
   }
 
@@ -102,6 +109,7 @@
     cluster.types = Map.of("box", TYPE);
   }
 
+  /** Adds an empty machine that has sent a heartbeat at time 0. */
   protected Machine machine(String id, String zone, boolean owned) {
     Machine machine = new Machine(id, TYPE, zone, false, owned, 0, 0);
     machine.reported = true;
@@ -109,6 +117,7 @@
     return machine;
   }
 
+  /** Adds a job of the class "class" with an estimated run time of 30 s. */
   protected Job job(
       String id,
       String team,
@@ -142,11 +151,12 @@
     return job;
   }
 
+  /** Records the task as running on the machine. */
   protected Assignment put(Job job, int task, Machine machine) {
     Assignment assignment =
         new Assignment(
             new TaskId(job.spec.id(), task),
-            ++attempts,
+            ++lastAttempt,
             machine,
             job.spec.team(),
             job.spec.perTask(),
@@ -159,12 +169,14 @@
     return assignment;
   }
 
-  protected static Machine heardLater(Machine machine) {
+  /** Sets the last heartbeat of the machine to 70 s, so that it stays usable in later rounds. */
+  protected static Machine withHeartbeatAt70Seconds(Machine machine) {
     machine.lastHeardMicros = 70 * SECOND;
     return machine;
   }
 
-  protected static OperatorPolicy at(long thresholdMicros) {
+  /** Returns a policy with the threshold for rented machines and without headroom. */
+  protected static OperatorPolicy policyWithThreshold(long thresholdMicros) {
     return new OperatorPolicy(
         thresholdMicros,
         SECOND,
@@ -179,8 +191,11 @@
         false);
   }
 
-  protected List<ScaleOutRequest> scaleOut(long now, int budget) {
+  /**
+   * Returns the machines to request, with a limit of 50 machines per pool and no pending requests.
+   */
+  protected List<ScaleOutRequest> scaleOut(long nowMicros, int budget) {
     return ScaleOutPlanner.plan(
-        cluster, POLICY, Demand.of(cluster, 0), now, budget, pool -> 50, List.of());
+        cluster, POLICY, Demand.of(cluster, 0), nowMicros, budget, pool -> 50, List.of());
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
@@ -20,18 +20,18 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are rented. */
+/** The machines that are requested from the cloud for waiting tasks. */
 class ScaleOutPlannerTest extends PlanningFixture {
   @Test
-  void countedMachinesAreSteadyAndRentedAfterTheThresholdWithinTheBudget() {
+  void countedMachinesAreOnDemandAndRequestedAfterTheThresholdWithinTheBudget() {
     Machine owned = machine("m-0", "east", true);
     put(job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 4, false), 0, owned);
     job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 3, 4, false);
     assertEquals(List.of(), scaleOut(19 * SECOND, 10));
     assertEquals(List.of(), scaleOut(21 * SECOND, 0));
-    List<ScaleOutRequest> rented = scaleOut(21 * SECOND, 2);
-    assertEquals(2, rented.stream().mapToInt(ScaleOutRequest::count).sum());
-    assertTrue(rented.stream().allMatch(r -> r.counted() && !r.spot()));
+    List<ScaleOutRequest> requested = scaleOut(21 * SECOND, 2);
+    assertEquals(2, requested.stream().mapToInt(ScaleOutRequest::count).sum());
+    assertTrue(requested.stream().allMatch(r -> r.counted() && !r.spot()));
   }
 
   @Test
@@ -43,21 +43,22 @@
   }
 
   @Test
-  void machinesForTasksThatFitNoOwnedMachineAreRentedAtOnceAndNotCounted() {
+  void machinesForTasksThatFitNoOwnedMachineAreRequestedAtOnceAndNotCounted() {
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
-    List<ScaleOutRequest> rented = scaleOut(0, 0);
-    assertEquals(1, rented.size());
-    assertFalse(rented.get(0).counted());
-    assertTrue(rented.get(0).spot());
+    List<ScaleOutRequest> requested = scaleOut(0, 0);
+    assertEquals(1, requested.size());
+    assertFalse(requested.get(0).counted());
+    assertTrue(requested.get(0).spot());
   }
 
   /**
-   * Production that may not use spot instances starts at once only on steady machines, in free
-   * capacity or by preemption.
+   * Production that may not use spot machines starts at once only on other machines, in free
+   * capacity or by preemption. On-demand machines are requested for other jobs until there is
+   * enough headroom.
    */
   @Test
-  void ordinaryWorkRentsSteadyMachinesUntilProductionHasItsHeadroom() {
-    OperatorPolicy patient =
+  void onDemandMachinesAreRequestedUntilProductionHasItsHeadroom() {
+    OperatorPolicy policy =
         new OperatorPolicy(
             0,
             SECOND,
@@ -70,18 +71,25 @@
             0.5,
             false,
             false);
-    Cluster hasty =
+    Cluster clusterWithObjectives =
         cluster(
             new ServiceLevelObjectives(
                 Map.of("desk", SECOND), Map.of("class", List.of(100 * SECOND)), Map.of()));
-    hasty.types = cluster.types;
-    hasty.jobs.put("req-1", job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 4, false));
+    clusterWithObjectives.types = cluster.types;
+    clusterWithObjectives.jobs.put(
+        "req-1", job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 4, false));
     assertTrue(
         ScaleOutPlanner.plan(
-                hasty, patient, Demand.of(hasty, 0), SECOND, 100, pool -> 50, List.of())
+                clusterWithObjectives,
+                policy,
+                Demand.of(clusterWithObjectives, 0),
+                SECOND,
+                100,
+                pool -> 50,
+                List.of())
             .stream()
             .allMatch(ScaleOutRequest::spot));
-    JobSpec desk =
+    JobSpec deskSpec =
         new JobSpec(
             "req-2",
             "desk",
@@ -101,63 +109,77 @@
             0,
             0,
             0);
-    Job service = new Job(desk, teams.get("basso"), 1, 1, 0);
-    hasty.jobs.put("req-2", service);
+    Job service = new Job(deskSpec, teams.get("basso"), 1, 1, 0);
+    clusterWithObjectives.jobs.put("req-2", service);
     for (String id : List.of("m-0", "m-1", "m-2", "m-3")) {
       Machine machine = new Machine(id, TYPE, "east", !id.equals("m-0"), false, 0, 0);
       machine.reported = true;
-      hasty.add(machine);
+      clusterWithObjectives.add(machine);
     }
-    hasty.addAssignment(
+    clusterWithObjectives.addAssignment(
         new Assignment(
             new TaskId("req-2", 0),
             1,
-            hasty.machines.get("m-0"),
+            clusterWithObjectives.machines.get("m-0"),
             "basso",
             Resources.of(1, 0, 1),
             service,
             false,
             0));
-    List<ScaleOutRequest> rented =
+    List<ScaleOutRequest> requested =
         ScaleOutPlanner.plan(
-            hasty, patient, Demand.of(hasty, 0), SECOND, 100, pool -> 50, List.of());
-    // A quarter of 16 processors is wanted and 3 of the steady ones are free of production: one
-    // more is rented.
+            clusterWithObjectives,
+            policy,
+            Demand.of(clusterWithObjectives, 0),
+            SECOND,
+            100,
+            pool -> 50,
+            List.of());
+    // The headroom is a quarter of 16 processors, and production leaves 3 of the 4 non-spot
+    // processors free, so one on-demand machine is requested.
     assertEquals(
-        1, rented.stream().filter(rental -> !rental.spot()).mapToInt(ScaleOutRequest::count).sum());
+        1,
+        requested.stream()
+            .filter(request -> !request.spot())
+            .mapToInt(ScaleOutRequest::count)
+            .sum());
     assertEquals(
-        2, rented.stream().filter(ScaleOutRequest::spot).mapToInt(ScaleOutRequest::count).sum());
+        2, requested.stream().filter(ScaleOutRequest::spot).mapToInt(ScaleOutRequest::count).sum());
   }
 
-  /** Replicas of a zone that was cut off were missing for a lease and then for a boot as well. */
+  /**
+   * Guards against replicas of a disconnected zone that stay missing for a boot after the leases of
+   * their machines have expired.
+   */
   @Test
-  void replacementsForSilentMachinesWithProductionBootBeforeTheirLeasesExpire() {
+  void replacementsForSilentMachinesWithProductionAreRequestedBeforeLeasesExpire() {
     Job service = job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 2, 4, false);
     Machine silent = machine("m-0", "east", false);
     put(service, 0, silent);
     put(service, 1, machine("m-1", "east", false));
     machine("m-2", "east", false);
-    long later = 10 * SECOND;
-    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = later);
-    assertEquals(List.of(), scaleOut(later, 10));
+    long laterMicros = 10 * SECOND;
+    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = laterMicros);
+    assertEquals(List.of(), scaleOut(laterMicros, 10));
     silent.lastHeardMicros = 0;
-    List<ScaleOutRequest> rented = scaleOut(later, 10);
-    assertEquals(1, rented.stream().mapToInt(ScaleOutRequest::count).sum());
-    // What is on its way counts as capacity, so that nothing is rented twice.
+    List<ScaleOutRequest> requested = scaleOut(laterMicros, 10);
+    assertEquals(1, requested.stream().mapToInt(ScaleOutRequest::count).sum());
+    // Pending requests count as capacity, so no replacement is requested twice.
     assertEquals(
         List.of(),
         ScaleOutPlanner.plan(
-            cluster, POLICY, Demand.of(cluster, 0), later, 10, pool -> 50, rented));
-    // With most machines silent, this node is cut off, and renting would help nobody.
+            cluster, POLICY, Demand.of(cluster, 0), laterMicros, 10, pool -> 50, requested));
+    // If most machines are silent, this controller is disconnected, and nothing is requested.
     cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 0);
-    assertEquals(List.of(), scaleOut(later, 10));
+    assertEquals(List.of(), scaleOut(laterMicros, 10));
   }
 
   /**
-   * A machine that boots for far longer than its type takes no longer counts; its replacement does.
+   * A machine that takes far longer to boot than its type usually takes no longer counts as
+   * capacity; its replacement does.
    */
   @Test
-  void aBootThatIsFarTooLateIsNotCountedAsCapacity() {
+  void machineThatBootsFarTooLongDoesNotCountAsCapacity() {
     job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 3, false);
     Machine late = new Machine("m-0", TYPE, "east", false, false, 0, 0);
     cluster.add(late);
--- a/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
@@ -10,25 +10,28 @@
 import madderrudder.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** What is stopped on machines that the cloud reclaims. */
+/** The tasks that are stopped on machines that the cloud reclaims. */
 class SpotReclaimDrainTest extends PlanningFixture {
-  /** Tasks on a reclaimed machine were once started again only after its lease had expired. */
+  /**
+   * Guards against tasks that are lost with a reclaimed machine and restarted only after its lease
+   * has expired.
+   */
   @Test
   void tasksThatCannotEndBeforeTheReclaimAreStopped() {
-    Machine going = machine("m-0", "east", false);
+    Machine reclaimed = machine("m-0", "east", false);
     Job batch = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
-    Assignment young = put(batch, 0, going);
-    Assignment nearlyDone = put(batch, 1, going);
+    Assignment younger = put(batch, 0, reclaimed);
+    Assignment nearlyDone = put(batch, 1, reclaimed);
     Assignment replica =
-        put(job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, going);
+        put(job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, reclaimed);
     Assignment elsewhere = put(batch, 2, machine("m-1", "east", false));
-    young.runningMicros = 10 * SECOND;
+    younger.runningMicros = 10 * SECOND;
     nearlyDone.runningMicros = 0;
     elsewhere.runningMicros = 10 * SECOND;
     replica.runningMicros = 0;
     assertEquals(List.of(), SpotReclaimDrain.plan(cluster, 20 * SECOND));
-    // Tasks of this class take 30 s; the cloud takes the machine in 15 s.
-    going.reclaimMicros = 35 * SECOND;
-    assertEquals(List.of(young), SpotReclaimDrain.plan(cluster, 20 * SECOND));
+    // Tasks of this class take 30 s; the cloud reclaims the machine in 15 s.
+    reclaimed.reclaimMicros = 35 * SECOND;
+    assertEquals(List.of(younger), SpotReclaimDrain.plan(cluster, 20 * SECOND));
   }
 }
