--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -81,7 +81,7 @@
     ScaleOutPlanner planner = new ScaleOutPlanner(round, budgetLeft, requestLimit, pendingRequests);
     for (Job job : demand.waiting()) {
       if (!job.failing() && job.nextWaiting(0) >= 0 && demand.coverage().suffices(job)) {
-        planner.planWaiting(job);
+        planner.planForWaitingTasks(job);
       }
     }
     ProductionAtRisk.countByJob(round).forEach(planner::planReplacements);
@@ -90,16 +90,16 @@
 
   private void planReplacements(Job job, int count) {
     JobCapacity capacity = new JobCapacity(job);
-    for (int left = count; left > 0; left--) {
-      if (!capacity.allocateTask(left, () -> true)) {
+    for (int remaining = count; remaining > 0; remaining--) {
+      if (!capacity.allocateTask(remaining, () -> true)) {
         return;
       }
     }
   }
 
-  private void planWaiting(Job job) {
+  private void planForWaitingTasks(Job job) {
     JobCapacity capacity = new JobCapacity(job);
-    int waiting = job.waitingCount();
+    int waitingTasks = job.waitingCount();
     for (int next = job.nextWaiting(0); next >= 0; next = job.nextWaiting(next + 1)) {
       int task = next;
       if (!usage.teamAllows(job)) {
@@ -109,10 +109,10 @@
         continue;
       }
       if (!capacity.allocateTask(
-          waiting, () -> !capacity.fitsOwned || onDemandAllowed(job, task))) {
+          waitingTasks, () -> !capacity.fitsOwned || onDemandAllowed(job, task))) {
         return;
       }
-      waiting--;
+      waitingTasks--;
     }
   }
 
@@ -169,17 +169,17 @@
     /**
      * Allocates capacity for one task on an incoming machine, or on one that is requested for it.
      *
-     * @param waiting how many tasks of the job could share a requested machine
+     * @param waitingTasks how many tasks of the job could share a requested machine
      * @param onDemandAllowed whether an on-demand machine may be requested; evaluated only if no
      *     incoming machine fits
      * @return false if there is no such machine
      */
-    boolean allocateTask(int waiting, BooleanSupplier onDemandAllowed) {
+    boolean allocateTask(int waitingTasks, BooleanSupplier onDemandAllowed) {
       while (nextIndex < fittingMachines.size() && !fits(job, fittingMachines.get(nextIndex))) {
         nextIndex++;
       }
       if (nextIndex == fittingMachines.size()
-          && !requestMachine(waiting, onDemandAllowed.getAsBoolean())) {
+          && !requestMachine(waitingTasks, onDemandAllowed.getAsBoolean())) {
         return false;
       }
       IncomingMachine machine = fittingMachines.get(nextIndex);
@@ -188,8 +188,8 @@
       return true;
     }
 
-    private boolean requestMachine(int waiting, boolean onDemandAllowed) {
-      IncomingMachine machine = selection.request(job, fitsOwned, waiting, onDemandAllowed);
+    private boolean requestMachine(int waitingTasks, boolean onDemandAllowed) {
+      IncomingMachine machine = selection.request(job, fitsOwned, waitingTasks, onDemandAllowed);
       if (machine == null) {
         return false;
       }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
@@ -78,16 +78,16 @@
    * Requests one more machine for the job.
    *
    * @param counted whether the machine counts against the budget
-   * @param waiting how many tasks of the job could share the machine
+   * @param waitingTasks how many tasks of the job could share the machine
    * @param onDemandAllowed whether an on-demand machine may be requested although the policy allows
    *     a spot machine
    * @return the machine, or null if none can be requested
    */
-  IncomingMachine request(Job job, boolean counted, int waiting, boolean onDemandAllowed) {
+  IncomingMachine request(Job job, boolean counted, int waitingTasks, boolean onDemandAllowed) {
     if (counted && budgetLeft < 1) {
       return null;
     }
-    ScaleOutRequest best = cheapest(job, counted, waiting, onDemandAllowed);
+    ScaleOutRequest best = cheapest(job, counted, waitingTasks, onDemandAllowed);
     if (best == null) {
       return null;
     }
@@ -103,7 +103,8 @@
     return IncomingMachine.of(best);
   }
 
-  private ScaleOutRequest cheapest(Job job, boolean counted, int waiting, boolean onDemandAllowed) {
+  private ScaleOutRequest cheapest(
+      Job job, boolean counted, int waitingTasks, boolean onDemandAllowed) {
     boolean spotAllowed = spotAllowed(counted);
     ScaleOutRequest best = null;
     double bestCost = Double.MAX_VALUE;
@@ -121,7 +122,7 @@
           if (!usage.allows(job, type, zone, spot) || atRequestLimit(request)) {
             continue;
           }
-          double cost = cost(job, request, Math.min(tasksPerMachine, Math.max(1, waiting)));
+          double cost = cost(job, request, Math.min(tasksPerMachine, Math.max(1, waitingTasks)));
           if (cost < bestCost) {
             best = request;
             bestCost = cost;
