--- a/src/main/java/madderrudder/coordination/heartbeat/CommandPlan.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/CommandPlan.java
@@ -5,12 +5,13 @@
 import madderrudder.protocol.WorkerCommand;
 
 /**
- * What {@link CommandPlanner} decided to tell one worker. Nothing has been sent or noted yet.
+ * The commands that {@link CommandPlanner} has chosen for one worker. They have been neither sent
+ * nor recorded as sent.
  *
- * @param commands the commands, in the order in which they are to be sent
+ * @param commands the commands, in the order in which the worker executes them
  * @param starts the assignments that the commands start
- * @param stops the assignments that the commands stop; a stop of an unrecorded task has none
- * @param raiseToken whether the machine's fencing token has to be raised before it is sent along
+ * @param stops the assignments that the commands stop; a task without a record has no assignment
+ * @param raiseToken whether the machine's fencing token must be raised before the commands are sent
  */
 record CommandPlan(
     List<WorkerCommand> commands,
--- a/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
@@ -16,28 +16,33 @@
 import madderrudder.protocol.WorkerCommand;
 
 /**
- * Decides which commands a worker is sent: a pure function of the heartbeat and the cluster state,
- * which changes neither. The caller notes what it has sent ({@link SentCommands}).
+ * Decides which commands to send to a worker. The decision is a pure function of the heartbeat and
+ * the cluster state, and modifies neither; the caller records what it sends in {@link
+ * SentCommandRecorder}.
  *
- * <p>A task is started only if its record is durable; a task is stopped if no record names it or
- * its record is to go; a worker forgets an exit ("reap" on the wire) once the record of it is gone.
+ * <p>A task is started only if its record is durable. A task is stopped if it has no record or its
+ * record is to be removed. A worker is told to forget an exited task ("reap" on the wire) once the
+ * task's record has been removed.
  */
 final class CommandPlanner {
-  /** A stop that was sent directly and shows no effect is repeated after this time. */
-  private static final long STOP_REPEAT_MICROS = 1_000_000;
+  /** Time after which a direct stop without visible effect is sent again. */
+  private static final long STOP_RETRY_INTERVAL_MICROS = 1_000_000;
 
   /**
-   * A command takes about 110 bytes, and a worker accepts 64 KiB at most in one response line or
-   * request.
+   * Keeps a message below the 64 KiB that a worker accepts in one response line or request; an
+   * encoded command takes about 110 bytes.
    */
-  private static final int MAX_COMMANDS = 400;
+  private static final int MAX_COMMANDS_PER_MESSAGE = 400;
 
   private final TaskFactsBuilder facts;
   private final long gangPeerMicros;
 
   /**
-   * @param facts derives what is known of a task
-   * @param gangPeerMicros how long the tasks of a gang may take to notice that one of them stops
+   * Creates a planner.
+   *
+   * @param facts derives the reconciler's input and decision for a task
+   * @param gangPeerMicros the longest time in which the other tasks of a gang detect that one of
+   *     them is stopping
    */
   CommandPlanner(TaskFactsBuilder facts, long gangPeerMicros) {
     this.facts = facts;
@@ -45,50 +50,54 @@
   }
 
   /**
-   * The commands that answer a heartbeat.
+   * Returns the commands that answer a heartbeat. The answer to a heartbeat that is not the
+   * machine's newest contains stops only.
    *
-   * @param machine the machine that sent it, with the heartbeat already taken in
-   * @param heartbeat what the worker reported
-   * @param holdsLease whether the leader's lease lasts, without which nothing is started
+   * @param machine the machine that sent the heartbeat, after the heartbeat was applied to it
+   * @param heartbeat the worker's report
+   * @param holdsLease whether the leader's lease is valid; no task is started without it
    */
   CommandPlan planAnswer(Machine machine, Heartbeat heartbeat, boolean holdsLease) {
-    boolean newest = machine.epoch == heartbeat.epoch() && machine.sequence == heartbeat.sequence();
-    if (!newest) {
+    boolean isNewest =
+        machine.epoch == heartbeat.epoch() && machine.sequence == heartbeat.sequence();
+    if (!isNewest) {
       return planStops(machine, heartbeat);
     }
     List<WorkerCommand> commands = new ArrayList<>();
     List<Assignment> starts = new ArrayList<>();
     List<Assignment> stops = new ArrayList<>();
-    boolean settleDirectStarts = false;
+    boolean invalidateDirectStarts = false;
     for (TaskStatus task : heartbeat.tasks()) {
       Assignment assignment = machine.assignments.get(attemptOf(task));
       if (assignment == null) {
-        settleDirectStarts |= addUnrecorded(task, commands);
+        invalidateDirectStarts |= addCommandForUnrecorded(task, commands);
       } else if (facts.decide(assignment).verdict() == Verdict.STOP) {
-        commands.add(stop(assignment));
+        commands.add(stopCommand(assignment));
         stops.add(assignment);
       }
     }
     for (Assignment assignment : machine.assignments.values()) {
       TaskDecision decision = facts.decide(assignment);
-      settleDirectStarts |=
+      invalidateDirectStarts |=
           decision.verdict() == Verdict.AWAIT && assignment.directToken >= machine.seenToken;
-      if (commands.size() < MAX_COMMANDS && startable(assignment, decision, holdsLease)) {
+      if (commands.size() < MAX_COMMANDS_PER_MESSAGE
+          && mayStart(assignment, decision, holdsLease)) {
         commands.add(WorkerCommand.start(assignment.task, assignment.attempt));
         starts.add(assignment);
       }
     }
-    // A late copy of a direct start could start again what its worker has been told to forget, so
-    // that copy must carry too low a token by then. Whatever waits for a direct start of unknown
-    // fate is settled in the same way.
-    boolean raiseToken = settleDirectStarts && machine.directToken >= machine.issuedToken;
+    // A delayed copy of a direct start could restart a task that the worker has been told to
+    // forget. Raising the token first makes the worker reject that copy. It also resolves a direct
+    // start with an unknown outcome: the start has no effect once the worker has seen the new
+    // token.
+    boolean raiseToken = invalidateDirectStarts && machine.directToken >= machine.issuedToken;
     return new CommandPlan(commands, starts, stops, raiseToken);
   }
 
   /**
-   * The answer to a heartbeat that is not the newest: stops of all it shows that must not run.
-   * Stops name attempts, and are right however old the heartbeat is. No answer that renews a lease
-   * goes out without them.
+   * Returns the answer to a heartbeat that is not the machine's newest: a stop for each reported
+   * attempt that must not run. A stop names one attempt, so it is correct however old the heartbeat
+   * is. Every answer that renews a worker's lease must include these stops.
    */
   CommandPlan planStops(Machine machine, Heartbeat heartbeat) {
     List<WorkerCommand> commands = new ArrayList<>();
@@ -101,7 +110,7 @@
       if (assignment == null) {
         commands.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
       } else if (facts.desiredState(assignment) == DesiredState.REMOVE) {
-        commands.add(stop(assignment));
+        commands.add(stopCommand(assignment));
         stops.add(assignment);
       }
     }
@@ -109,33 +118,37 @@
   }
 
   /**
-   * The commands that do not wait for the machine's next heartbeat: starts that were never sent,
-   * and stops of evicted tasks, repeated until they show.
+   * Returns the commands to send without waiting for the machine's next heartbeat: starts that were
+   * never sent, and stops of evicted tasks, which are repeated until the worker reports the exit.
    *
-   * @param nowMicros the time on the scheduler's steady clock
-   * @param holdsLease whether the leader's lease lasts, without which nothing is started
+   * @param nowMicros the time on the scheduler's monotonic clock
+   * @param holdsLease whether the leader's lease is valid; no task is started without it
    */
   CommandPlan planDirect(Machine machine, long nowMicros, boolean holdsLease) {
     List<WorkerCommand> commands = new ArrayList<>(2);
     List<Assignment> starts = new ArrayList<>(2);
     List<Assignment> stops = new ArrayList<>(2);
     for (Assignment assignment : machine.assignments.values()) {
-      if (commands.size() >= MAX_COMMANDS) {
+      if (commands.size() >= MAX_COMMANDS_PER_MESSAGE) {
         break;
       }
-      if (startsDirectly(assignment, holdsLease)) {
+      if (needsDirectStart(assignment, holdsLease)) {
         commands.add(WorkerCommand.start(assignment.task, assignment.attempt));
         starts.add(assignment);
-      } else if (stopsDirectly(assignment, nowMicros)) {
-        commands.add(stop(assignment));
+      } else if (needsDirectStop(assignment, nowMicros)) {
+        commands.add(stopCommand(assignment));
         stops.add(assignment);
       }
     }
     return new CommandPlan(commands, starts, stops, false);
   }
 
-  /** Adds the command for a task without a record; true if the worker is told to forget it. */
-  private static boolean addUnrecorded(TaskStatus task, List<WorkerCommand> commands) {
+  /**
+   * Adds the command for a reported task without a record, if it needs one.
+   *
+   * @return true if the command tells the worker to forget the task
+   */
+  private static boolean addCommandForUnrecorded(TaskStatus task, List<WorkerCommand> commands) {
     Verdict verdict = TaskFactsBuilder.decideUnrecorded(task).verdict();
     if (verdict == Verdict.FORGET) {
       commands.add(WorkerCommand.reap(task.task(), task.attempt()));
@@ -145,33 +158,36 @@
     return verdict == Verdict.FORGET;
   }
 
-  private boolean startsDirectly(Assignment assignment, boolean holdsLease) {
+  private boolean needsDirectStart(Assignment assignment, boolean holdsLease) {
     Machine machine = assignment.machine;
     return !assignment.startSent
         && assignment.reportedSequence != machine.sequence
         && FencingToken.canRise(machine.issuedToken)
-        && startable(assignment, facts.decide(assignment), holdsLease);
+        && mayStart(assignment, facts.decide(assignment), holdsLease);
   }
 
-  private static boolean stopsDirectly(Assignment assignment, long nowMicros) {
+  private static boolean needsDirectStop(Assignment assignment, long nowMicros) {
     return assignment.evicting
         && assignment.reportedByWorker()
         && !assignment.completed
         && assignment.phase != Phase.EXITED
         && (assignment.stopSentMicros < 0
-            || nowMicros - assignment.stopSentMicros > STOP_REPEAT_MICROS);
+            || nowMicros - assignment.stopSentMicros > STOP_RETRY_INTERVAL_MICROS);
   }
 
-  private static boolean startable(
+  private static boolean mayStart(
       Assignment assignment, TaskDecision decision, boolean holdsLease) {
     return decision.verdict() == Verdict.START && !assignment.machine.retiring && holdsLease;
   }
 
-  /** A stop, with time to write a checkpoint if the job goes on and writes any. */
-  private WorkerCommand stop(Assignment assignment) {
+  /**
+   * Returns a stop command. Its grace period leaves time for a checkpoint if the job continues and
+   * writes checkpoints, and is 0 otherwise.
+   */
+  private WorkerCommand stopCommand(Assignment assignment) {
     Job job = assignment.job;
-    boolean checkpoints = job != null && !job.ended && job.spec.checkpointIntervalMicros() > 0;
-    long graceMicros = checkpoints ? job.spec.checkpointSaveMicros() + gangPeerMicros : 0;
+    boolean writesCheckpoint = job != null && !job.ended && job.spec.checkpointIntervalMicros() > 0;
+    long graceMicros = writesCheckpoint ? job.spec.checkpointSaveMicros() + gangPeerMicros : 0;
     return WorkerCommand.stop(assignment.task, assignment.attempt, graceMicros);
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -15,62 +15,70 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends commands that do not wait for a heartbeat to a worker's own address, and takes the report
- * in that the worker responds with. One request at a time is in flight to a machine. Confined to
- * the event loop thread.
+ * Sends commands that cannot wait for a heartbeat to the worker's own address, and applies the
+ * report in the worker's response. At most one request per machine is in flight. Confined to the
+ * event loop thread.
  */
 final class DirectCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
-  private static final long TIMEOUT_MICROS = 2_500_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 2_500_000;
 
-  /** A machine that did not execute commands is sent none directly for this time. */
-  private static final long PAUSE_MICROS = 10_000_000;
+  /** Time without direct commands to a machine after a request that it did not execute. */
+  private static final long FAILURE_PAUSE_MICROS = 10_000_000;
 
-  private static final int OK = 200;
-  private static final int MALFORMED = 400;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_BAD_REQUEST = 400;
 
-  /** The token was lower than one that the worker has seen, or the epoch does not match. */
-  private static final int CONFLICT = 409;
+  /** The worker has seen a higher token than that of the request, or is in a different epoch. */
+  private static final int STATUS_CONFLICT = 409;
 
   private final LeaderTerm term;
   private final CommandPlanner planner;
-  private final SentCommands sent;
+  private final SentCommandRecorder commandRecorder;
   private final TaskStatusIngest tasks;
   private final Runnable onCapacityFreed;
 
-  /** {@code onCapacityFreed} is run when a response shows that a task has gone. */
+  /**
+   * Creates the sender of one term.
+   *
+   * @param onCapacityFreed run when a response shows that a task no longer uses the machine
+   */
   DirectCommandSender(
       LeaderTerm term,
       CommandPlanner planner,
-      SentCommands sent,
+      SentCommandRecorder commandRecorder,
       TaskStatusIngest tasks,
       Runnable onCapacityFreed) {
     this.term = term;
     this.planner = planner;
-    this.sent = sent;
+    this.commandRecorder = commandRecorder;
     this.tasks = tasks;
     this.onCapacityFreed = onCapacityFreed;
   }
 
-  /** Sends what cannot wait for the machine's next heartbeat; true if a request went out. */
+  /**
+   * Sends the commands that cannot wait for the machine's next heartbeat.
+   *
+   * @return true if a request was sent
+   */
   boolean send(Machine machine) {
     long nowMicros = term.scheduler.nowMicros();
-    if (!reachable(machine, nowMicros) || term.closed()) {
+    if (!mayReceiveDirectCommands(machine, nowMicros) || term.closed()) {
       return false;
     }
     CommandPlan plan = planner.planDirect(machine, nowMicros, term.election.holdsLease());
-    SentCommands.noteDirectStops(plan, nowMicros);
+    SentCommandRecorder.recordDirectStops(plan, nowMicros);
     if (plan.commands().isEmpty() || !Addresses.valid(machine.address)) {
       return false;
     }
-    long token = sent.issueToken(machine, machine.seenToken);
-    SentCommands.noteDirectStarts(machine, plan, token, nowMicros);
+    long token = commandRecorder.issueToken(machine, machine.seenToken);
+    SentCommandRecorder.recordDirectStarts(machine, plan, token, nowMicros);
     machine.directInFlight = true;
     long epoch = machine.epoch;
     term.calls.call(
         machine.address,
         HttpRequest.post("/orders", WorkerCodec.directCommands(token, epoch, plan.commands())),
-        TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         response -> {
           machine.directInFlight = false;
           if (!term.closed()) {
@@ -80,7 +88,7 @@
     return true;
   }
 
-  private boolean reachable(Machine machine, long nowMicros) {
+  private boolean mayReceiveDirectCommands(Machine machine, long nowMicros) {
     return !machine.directInFlight
         && !machine.address.isEmpty()
         && nowMicros >= machine.directBlockedUntilMicros
@@ -90,21 +98,26 @@
   private void handleResponse(
       Machine machine, long epoch, List<Assignment> starts, HttpResponse response) {
     int status = response.status();
-    if (status == HttpResponse.NOT_SENT || status == CONFLICT || status == MALFORMED) {
+    if (status == HttpResponse.NOT_SENT
+        || status == STATUS_CONFLICT
+        || status == STATUS_BAD_REQUEST) {
       starts.forEach(Assignment::startRefused);
     }
-    boolean overtaken =
-        (status == OK || status == CONFLICT) && handleReport(machine, epoch, starts, response);
-    // The answer to a heartbeat may have been quicker and carried a higher token; the next request
-    // carries that token too, so there is no need to pause.
-    if (status != OK && !overtaken) {
-      machine.directBlockedUntilMicros = term.scheduler.nowMicros() + PAUSE_MICROS;
+    boolean superseded =
+        (status == STATUS_OK || status == STATUS_CONFLICT)
+            && handleReport(machine, epoch, starts, response);
+    // The answer to a heartbeat may have arrived first with a higher token. The next request
+    // carries that token too, so no pause is needed.
+    if (status != STATUS_OK && !superseded) {
+      machine.directBlockedUntilMicros = term.scheduler.nowMicros() + FAILURE_PAUSE_MICROS;
     }
   }
 
   /**
-   * Takes in the report in a response; true if the worker of that epoch knows this term, so that a
-   * refusal means only that a higher token of this term has overtaken the request.
+   * Applies the report in a response.
+   *
+   * @return true if the worker is in the epoch of the request and has seen a token of this term, so
+   *     that a refusal means only that a higher token of this term superseded the request
    */
   private boolean handleReport(
       Machine machine, long epoch, List<Assignment> starts, HttpResponse response) {
@@ -112,19 +125,22 @@
       Heartbeat report = WorkerCodec.readHeartbeat(response.body());
       if (FencingToken.term(report.token()) > term.number) {
         term.election.observeToken(report.token());
-      } else if (response.status() == OK && report.machine().equals(machine.id)) {
+      } else if (response.status() == STATUS_OK && report.machine().equals(machine.id)) {
         mergeReport(machine, epoch, starts, report);
       }
       return FencingToken.term(report.token()) == term.number && report.epoch() == epoch;
     } catch (MalformedMessageException e) {
-      LOG.info("malformed response of {} to direct commands: {}", machine.id, e.getMessage());
+      LOG.info(
+          "machine {} sent a malformed response to direct commands: {}",
+          machine.id,
+          e.getMessage());
       return false;
     }
   }
 
   /**
-   * Takes in the worker's state after direct commands. It shows which tasks are there, and proves
-   * nothing about tasks that it does not name.
+   * Applies the worker's report after it executed direct commands. The report proves which tasks
+   * the worker has, but not that a task it does not name is absent.
    */
   private void mergeReport(Machine machine, long epoch, List<Assignment> starts, Heartbeat report) {
     if (machine.epoch != epoch || !report.newerThan(machine.epoch, machine.sequence)) {
--- a/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
@@ -3,25 +3,26 @@
 import madderrudder.coordination.state.Machine;
 import madderrudder.protocol.Heartbeat;
 
-/** How a heartbeat relates to what is already known of its worker. */
+/** How a heartbeat compares with the reports already received from its worker. */
 public enum Freshness {
-  /** It is newer than anything known of its worker. */
+  /** The heartbeat is newer than every earlier report of its worker. */
   NEW,
   /**
-   * The response to a direct command has overtaken it: it says nothing new, but its worker still
-   * waits for an answer to it.
+   * A newer report has already arrived, in the response to a direct command or as a copy of this
+   * heartbeat, but the worker still waits for an answer to this heartbeat.
    */
   OVERTAKEN,
-  /** Its worker has moved on since and ignores any answer to it. */
+  /** The worker no longer waits for an answer to the heartbeat and would ignore one. */
   STALE;
 
-  /** A worker ignores answers that come later than this after its heartbeat. */
+  /** A worker ignores an answer that arrives later than this after its heartbeat. */
   private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
 
   /**
-   * Compares a heartbeat with what is known of its worker. A worker has one heartbeat under way at
-   * a time and drops an answer that comes after its timeout. An answer to an older heartbeat than
-   * the last it sent by itself reaches nobody, and must not count as a renewal of its lease.
+   * Compares a heartbeat with the reports already received from its worker. A worker has at most
+   * one heartbeat in flight and drops an answer that arrives after its timeout. The worker
+   * therefore ignores an answer to any periodic heartbeat but its last, and such an answer must not
+   * count as a renewal of its lease.
    */
   static Freshness of(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (!machine.reported || heartbeat.newerThan(machine.epoch, machine.sequence)) {
@@ -31,7 +32,7 @@
       return STALE;
     }
     boolean firstArrival = heartbeat.sequence() > machine.heartbeatSequence;
-    boolean awaited = nowMicros - machine.heartbeatMicros < ANSWER_TIMEOUT_MICROS;
-    return firstArrival || awaited ? OVERTAKEN : STALE;
+    boolean workerStillWaits = nowMicros - machine.heartbeatMicros < ANSWER_TIMEOUT_MICROS;
+    return firstArrival || workerStillWaits ? OVERTAKEN : STALE;
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -14,23 +14,23 @@
 import madderrudder.protocol.WorkerCommand;
 
 /**
- * Takes heartbeats in and gives the commands and the fencing token that answer them. The steps are
- * separate: {@link #accept} updates the cluster state, {@link #commandsFor} plans the answer and
- * notes it as sent. Confined to the event loop thread.
+ * Applies heartbeats to the cluster state and issues the commands and the fencing token of the
+ * answers. The steps are separate: {@link #accept} updates the cluster state, and {@link
+ * #issueCommands} plans an answer and records it as sent. Confined to the event loop thread.
  */
 public final class HeartbeatHandler {
   private final LeaderTerm term;
   private final CommandPlanner planner;
-  private final SentCommands sent;
+  private final SentCommandRecorder commandRecorder;
   private final HeartbeatIngest ingest;
-  private final DirectCommandSender direct;
+  private final DirectCommandSender directSender;
 
   /**
    * Creates the handler of one term.
    *
-   * @param onCapacityFreed run when a task may be placed that could not be before
-   * @param startDeferred whether no task of the job may be started anew yet, because it is not
-   *     known how much of the capacity is needed for work that comes before it
+   * @param onCapacityFreed run when a task may be placed that could not be placed before
+   * @param startDeferred tests whether no task of a job may be started yet, because the leader does
+   *     not yet know how much capacity work that ranks before the job needs
    */
   public HeartbeatHandler(
       LeaderTerm term,
@@ -44,40 +44,44 @@
     TaskExitHandler exits = new TaskExitHandler(term, machines, jobs);
     TaskStatusIngest tasks = new TaskStatusIngest(term, machines, facts, exits);
     planner = new CommandPlanner(facts, term.deployment.workers().gangPeerMicros());
-    sent = new SentCommands(term.number);
+    commandRecorder = new SentCommandRecorder(term.number);
     ingest = new HeartbeatIngest(term, machines, scaleOut, tasks, onCapacityFreed);
-    direct = new DirectCommandSender(term, planner, sent, tasks, onCapacityFreed);
+    directSender = new DirectCommandSender(term, planner, commandRecorder, tasks, onCapacityFreed);
   }
 
-  /** Takes a heartbeat into the cluster state. */
+  /**
+   * Applies a heartbeat to the cluster state if it is newer than the worker's last report, and
+   * returns how it compares with the reports already received.
+   */
   public Freshness accept(Heartbeat heartbeat) {
     return ingest.accept(heartbeat);
   }
 
-  /** Takes in a heartbeat that was answered while the stored state was being read. */
-  public void acceptAnswered(Heartbeat heartbeat) {
+  /** Applies a heartbeat that was already answered while the stored state was being read. */
+  public void acceptAnsweredEarlier(Heartbeat heartbeat) {
     ingest.accept(heartbeat);
-    Machine machine = machineOf(heartbeat);
+    Machine machine = findMachine(heartbeat);
     if (machine != null) {
       machine.answeredInTerm = true;
     }
   }
 
   /**
-   * Whether the heartbeat must not be answered. A machine that has shown no sign of an answer for a
-   * whole lease, though it reports, has dropped its tasks if its heartbeats are fresh; if they are
-   * late copies, answers to them reach nobody. Either way nothing is lost by giving none. Once none
-   * was given for a lease, what earlier leaders placed there is gone for certain, which its worker
-   * cannot show by this term's token.
+   * Returns whether the heartbeat must not be answered, because the machine may have tasks and has
+   * acknowledged no answer for a whole lease. If such heartbeats are current, the worker's lease
+   * has expired and it has killed its tasks; if they are delayed copies, no worker receives the
+   * answer. In both cases withholding the answer loses nothing. After a lease without answers, the
+   * tasks that earlier leaders placed on the machine have certainly ended; the worker cannot prove
+   * that by acknowledging this term's token.
    */
-  public boolean withholdsAnswer(Heartbeat heartbeat) {
-    Machine machine = machineOf(heartbeat);
+  public boolean mustWithholdAnswer(Heartbeat heartbeat) {
+    Machine machine = findMachine(heartbeat);
     return machine != null
         && !machine.empty()
         && machine.unacknowledgedFor(term.scheduler.nowMicros(), term.safety.leaseMicros());
   }
 
-  /** Whether the machine has a record that is not durable yet, and could be started once it is. */
+  /** Returns whether the machine has a task that waits only for its record to become durable. */
   public boolean awaitsDurableRecord(String machineId) {
     Machine machine = term.cluster.machines.get(machineId);
     if (machine == null) {
@@ -92,60 +96,65 @@
   }
 
   /**
-   * The commands that answer the heartbeat, empty for an unknown machine. Notes that they are sent
-   * and that the worker's lease is renewed: to be called only when the answer goes out, and before
-   * {@link #tokenFor}, because the commands may need a higher token.
+   * Returns the commands that answer the heartbeat; empty for an unknown machine. Records the
+   * commands as sent and the worker's lease as renewed, so it must be called only when the answer
+   * is sent. It must be called before {@link #issueToken}, because the commands may require a
+   * higher token.
    */
-  public List<WorkerCommand> commandsFor(Heartbeat heartbeat) {
-    Machine machine = machineOf(heartbeat);
+  public List<WorkerCommand> issueCommands(Heartbeat heartbeat) {
+    Machine machine = findMachine(heartbeat);
     if (machine == null) {
       return List.of();
     }
     long nowMicros = term.scheduler.nowMicros();
-    noteAnswered(machine, nowMicros);
+    recordLeaseRenewal(machine, nowMicros);
     machine.lastHeardMicros = nowMicros;
     CommandPlan plan = planner.planAnswer(machine, heartbeat, term.election.holdsLease());
-    SentCommands.noteAnswer(machine, plan, heartbeat.sequence(), nowMicros);
+    SentCommandRecorder.recordAnswer(machine, plan, heartbeat.sequence(), nowMicros);
     return plan.commands();
   }
 
   /**
-   * The commands that answer an overtaken heartbeat: stops only, and empty for an unknown machine.
-   * That answer renews the worker's lease too. Such answers were once not counted, so that the
-   * machine was taken for empty up to a heartbeat interval before it was; and they carried no
-   * stops, so that cancelled tasks lived on with them.
+   * Returns the stops that answer an overtaken heartbeat; empty for an unknown machine. Records
+   * them as sent and the worker's lease as renewed. Without that record, the leader would treat the
+   * machine as empty up to one heartbeat interval too early; without the stops, the renewed lease
+   * would keep cancelled tasks running.
    */
-  public List<WorkerCommand> commandsForOvertaken(Heartbeat heartbeat) {
-    Machine machine = machineOf(heartbeat);
+  public List<WorkerCommand> issueStops(Heartbeat heartbeat) {
+    Machine machine = findMachine(heartbeat);
     if (machine == null) {
       return List.of();
     }
     long nowMicros = term.scheduler.nowMicros();
-    noteAnswered(machine, nowMicros);
+    recordLeaseRenewal(machine, nowMicros);
     CommandPlan plan = planner.planStops(machine, heartbeat);
-    SentCommands.noteAnswer(machine, plan, heartbeat.sequence(), nowMicros);
+    SentCommandRecorder.recordAnswer(machine, plan, heartbeat.sequence(), nowMicros);
     return plan.commands();
   }
 
-  /** The fencing token that goes out with the answer to the heartbeat. */
-  public long tokenFor(Heartbeat heartbeat) {
-    Machine machine = machineOf(heartbeat);
+  /** Returns the fencing token for the answer to the heartbeat, and records it as issued. */
+  public long issueToken(Heartbeat heartbeat) {
+    Machine machine = findMachine(heartbeat);
     return machine == null
         ? FencingToken.echo(heartbeat.token(), term.number)
-        : sent.issueToken(machine, heartbeat.token());
+        : commandRecorder.issueToken(machine, heartbeat.token());
   }
 
-  /** Sends what cannot wait for the machine's next heartbeat; true if a request went out. */
-  public boolean sendDirect(Machine machine) {
-    return direct.send(machine);
+  /**
+   * Sends the commands that cannot wait for the machine's next heartbeat.
+   *
+   * @return true if a request was sent
+   */
+  public boolean sendDirectCommands(Machine machine) {
+    return directSender.send(machine);
   }
 
-  private Machine machineOf(Heartbeat heartbeat) {
+  private Machine findMachine(Heartbeat heartbeat) {
     return term.cluster.machines.get(heartbeat.machine());
   }
 
-  /** The answer renews the worker's lease. */
-  private static void noteAnswered(Machine machine, long nowMicros) {
+  /** Records that an answer renews the worker's lease. */
+  private static void recordLeaseRenewal(Machine machine, long nowMicros) {
     machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, nowMicros);
     machine.answeredInTerm = true;
   }
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes heartbeats into the cluster state: unknown machines, new epochs, the state of the worker
- * and of its tasks. Confined to the event loop thread.
+ * Applies heartbeats to the cluster state: registers unknown machines, detects new epochs, and
+ * updates the state of the worker and its tasks. Confined to the event loop thread.
  */
 final class HeartbeatIngest {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatIngest.class);
@@ -22,7 +22,12 @@
   private final TaskStatusIngest tasks;
   private final Runnable onCapacityFreed;
 
-  /** {@code onCapacityFreed} is run when a task may be placed that could not be before. */
+  /**
+   * Creates the ingest of one term.
+   *
+   * @param onCapacityFreed run when a heartbeat may have made capacity available for a task that
+   *     could not be placed before
+   */
   HeartbeatIngest(
       LeaderTerm term,
       MachineRegistry machines,
@@ -36,7 +41,10 @@
     this.onCapacityFreed = onCapacityFreed;
   }
 
-  /** Takes a heartbeat in, if it is newer than what is known of its worker. */
+  /**
+   * Applies a heartbeat if it is newer than the last report of its worker. Registers the machine if
+   * it is unknown; a heartbeat of a machine that was deleted in this term is stale.
+   */
   Freshness accept(Heartbeat heartbeat) {
     Machine machine = term.cluster.machines.get(heartbeat.machine());
     if (machine == null) {
@@ -48,7 +56,7 @@
     long nowMicros = term.scheduler.nowMicros();
     Freshness freshness = Freshness.of(machine, heartbeat, nowMicros);
     if (freshness == Freshness.NEW) {
-      update(machine, heartbeat, nowMicros);
+      applyHeartbeat(machine, heartbeat, nowMicros);
     } else if (freshness == Freshness.OVERTAKEN
         && heartbeat.sequence() > machine.heartbeatSequence) {
       machine.heartbeatSequence = heartbeat.sequence();
@@ -57,23 +65,23 @@
     return freshness;
   }
 
-  private void update(Machine machine, Heartbeat heartbeat, long nowMicros) {
-    checkAcknowledgement(machine, heartbeat, nowMicros);
-    boolean first = !machine.reported;
-    if (first || machine.leaseExpired) {
+  private void applyHeartbeat(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    trackAcknowledgement(machine, heartbeat, nowMicros);
+    boolean firstReport = !machine.reported;
+    if (firstReport || machine.leaseExpired) {
       machine.idleSinceMicros = nowMicros;
       scaleOut.machineUp(machine);
-      LOG.info("{} is up", machine.id);
+      LOG.info("machine {} is up", machine.id);
     }
     updateWorkerState(machine, heartbeat, nowMicros);
-    boolean freed = tasks.applyStatuses(machine, heartbeat, nowMicros);
-    freed |= tasks.releaseGone(machine);
-    if (freed || first) {
+    boolean capacityFreed = tasks.applyStatuses(machine, heartbeat, nowMicros);
+    capacityFreed |= tasks.releaseGoneAssignments(machine);
+    if (capacityFreed || firstReport) {
       onCapacityFreed.run();
     }
   }
 
-  /** Adds the machine of a worker that is heard for the first time. */
+  /** Adds the unknown machine that sent a heartbeat. */
   private Machine register(Heartbeat heartbeat) {
     Machine machine =
         machines.add(
@@ -84,32 +92,33 @@
             scaleOut.ownedStillOpen(),
             term.scheduler.wallMicros());
     LOG.info(
-        "first heartbeat of unknown machine {} ({} {}{}), {}",
+        "first heartbeat from unknown machine {} ({} {}{}), {}",
         machine.id,
         heartbeat.type(),
         heartbeat.zone(),
         heartbeat.spot() ? " spot" : "",
         machine.owned ? "owned" : "rented");
     machines.save(machine);
-    // It may have been returned long ago, and this heartbeat be a late copy: nothing is placed
-    // there before its worker has answered.
+    // A rented machine may have been returned long ago and this heartbeat may be a delayed copy. No
+    // task is placed on the machine until its worker acknowledges an answer.
     if (!machine.owned) {
       expectAcknowledgementUnlessSeen(machine, heartbeat, term.scheduler.nowMicros());
     }
     return machine;
   }
 
-  /** Follows whether answers reach the worker, by the token that its heartbeat shows. */
-  private void checkAcknowledgement(Machine machine, Heartbeat heartbeat, long nowMicros) {
+  /** Uses the token in a heartbeat to determine whether answers reach the worker. */
+  private void trackAcknowledgement(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (machine.reported && heartbeat.epoch() > machine.epoch) {
       beginEpoch(machine);
       machine.expectAcknowledgement(nowMicros);
     } else if (machine.reported && machine.answeredInTerm) {
-      // The answer to an earlier heartbeat carried this term's token, and did not reach the worker.
+      // An earlier answer carried this term's token; a lower token here shows that it did not reach
+      // the worker.
       expectAcknowledgementUnlessSeen(machine, heartbeat, machine.lastHeardMicros);
     }
     if (machine.recordAcknowledgement(heartbeat.token())) {
-      LOG.debug("answers reach {}", machine.id);
+      LOG.debug("machine {} acknowledged an answer", machine.id);
     }
   }
 
@@ -121,13 +130,14 @@
   }
 
   /**
-   * The worker's lease ran out in between: it dropped what this leader had started, and old
-   * commands no longer match. What an earlier leader started may belong to the new epoch, because
-   * both heartbeats may be older than that, held on their way. Such tasks were once taken for gone
-   * and ran twice, so they are released only by a heartbeat that knows this term.
+   * Handles a new epoch, which follows the expiry of the worker's lease: the worker has killed the
+   * tasks that this leader started, and rejects commands of the old epoch. Tasks that an earlier
+   * leader started may belong to the new epoch, because both heartbeats may have been delayed in
+   * the network since before those starts. Releasing such tasks here would run them twice, so they
+   * are released only after a heartbeat that carries this term's token.
    */
   private void beginEpoch(Machine machine) {
-    LOG.info("{} begins a new epoch", machine.id);
+    LOG.info("machine {} began a new epoch, releasing the tasks placed in this term", machine.id);
     machines.releaseOwn(machine);
     machine.heartbeatSequence = -1;
   }
--- a/src/main/java/madderrudder/coordination/heartbeat/SentCommands.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/SentCommandRecorder.java
@@ -5,21 +5,29 @@
 import madderrudder.coordination.state.Machine;
 
 /**
- * Notes in the cluster state what a worker is being sent: the second step after {@link
- * CommandPlanner}. The reconciler later tells from these notes which commands may still arrive.
+ * Records in the cluster state the commands that are about to be sent to a worker, after {@link
+ * CommandPlanner} has chosen them. The reconciler uses these records to determine which commands
+ * may still arrive. Also issues the fencing token that accompanies the commands.
  */
-final class SentCommands {
+final class SentCommandRecorder {
   private final long term;
 
   /**
+   * Creates a recorder for one term.
+   *
    * @param term the leader's term
    */
-  SentCommands(long term) {
+  SentCommandRecorder(long term) {
     this.term = term;
   }
 
-  /** Notes a plan that goes out as the answer to the heartbeat with the sequence number. */
-  static void noteAnswer(
+  /**
+   * Records a plan that is sent as the answer to a heartbeat, and raises the machine's fencing
+   * token if the plan requires it.
+   *
+   * @param heartbeatSequence the sequence number of that heartbeat
+   */
+  static void recordAnswer(
       Machine machine, CommandPlan plan, long heartbeatSequence, long nowMicros) {
     for (Assignment stop : plan.stops()) {
       if (stop.stopSentMicros < 0) {
@@ -38,15 +46,19 @@
     }
   }
 
-  /** Notes the stops of a plan for the worker's own address. */
-  static void noteDirectStops(CommandPlan plan, long nowMicros) {
+  /** Records the stops of a plan that is sent to the worker's own address. */
+  static void recordDirectStops(CommandPlan plan, long nowMicros) {
     for (Assignment stop : plan.stops()) {
       stop.stopSentMicros = nowMicros;
     }
   }
 
-  /** Notes the starts of a plan that is sent to the worker's own address with the token. */
-  static void noteDirectStarts(Machine machine, CommandPlan plan, long token, long nowMicros) {
+  /**
+   * Records the starts of a plan that is sent to the worker's own address.
+   *
+   * @param token the fencing token that the request carries
+   */
+  static void recordDirectStarts(Machine machine, CommandPlan plan, long token, long nowMicros) {
     for (Assignment start : plan.starts()) {
       start.startSent = true;
       start.startSentMicros = nowMicros;
@@ -56,8 +68,10 @@
   }
 
   /**
-   * The fencing token to send to a worker that has last shown the token given; it never falls
-   * within a term.
+   * Returns the fencing token to send to a worker, and records it as issued to the machine. The
+   * issued token never decreases within a term.
+   *
+   * @param seenToken the token that the worker last reported
    */
   long issueToken(Machine machine, long seenToken) {
     machine.issuedToken = Math.max(machine.issuedToken, FencingToken.echo(seenToken, term));
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
@@ -14,20 +14,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records the exit of a task: its completion or release, how long it ran, and whether the job or
- * the machine is at fault. Confined to the event loop thread.
+ * Records the exit of a task: completes or releases its assignment, records the run time, and
+ * attributes a failure to the job or the machine. Confined to the event loop thread.
  */
 final class TaskExitHandler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskExitHandler.class);
 
-  /** Errors on a machine that lie further apart than this are taken for unrelated. */
-  private static final long FAILURE_WINDOW_MICROS = 120_000_000;
+  /** Failures on a machine that are further apart than this are treated as unrelated. */
+  private static final long MACHINE_FAILURE_WINDOW_MICROS = 120_000_000;
 
   /**
-   * How long a machine with failures of several jobs is cordoned. No job should wait for 90 s while
-   * there is capacity, and one more error shows soon enough that the machine is still at fault.
+   * Time for which a machine is cordoned after failures of several jobs. It is shorter than 90 s,
+   * because no job should wait that long while there is capacity; if the machine is still faulty,
+   * the next failure shows it.
    */
-  private static final long CORDON_MICROS = 60_000_000;
+  private static final long CORDON_DURATION_MICROS = 60_000_000;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
@@ -39,14 +40,18 @@
     this.jobs = jobs;
   }
 
-  /** Records the exit; true if that freed capacity, false if it was recorded before. */
+  /**
+   * Records the exit that a worker reports for a task.
+   *
+   * @return true if capacity was freed, false if the completion was recorded before
+   */
   boolean recordExit(Assignment assignment, TaskStatus task, long nowMicros) {
     if (assignment.completed) {
       return false;
     }
     assignment.phase = Phase.EXITED;
     LOG.debug(
-        "{} attempt {} exited on {}: {}",
+        "task {} attempt {} exited on machine {}: {}",
         task.task(),
         task.attempt(),
         assignment.machine.id,
@@ -88,17 +93,18 @@
   }
 
   /**
-   * A fault of the job and a fault of the machine are told apart by what else fails: the job on
-   * several machines, or several jobs on the machine.
+   * Attributes a failure to the job if the job fails on several machines, and to the machine if
+   * several jobs fail on it.
    */
   private void recordFailure(Job job, TaskStatus task, Machine machine, long nowMicros) {
-    boolean failingBefore = job.failing();
+    boolean wasFailing = job.failing();
     job.failed(task.task().index(), machine.id, nowMicros);
     if (!job.failing()) {
-      machine.recordFailure(job.spec.id(), nowMicros, FAILURE_WINDOW_MICROS, CORDON_MICROS);
-    } else if (!failingBefore) {
+      machine.recordFailure(
+          job.spec.id(), nowMicros, MACHINE_FAILURE_WINDOW_MICROS, CORDON_DURATION_MICROS);
+    } else if (!wasFailing) {
       LOG.info(
-          "{} fails on every machine it is tried on: from now on one task at a time is tried",
+          "job {} failed on several machines and completed no task, starting one task at a time",
           job.spec.id());
       jobs.markFailing(job);
       clearMachineFailures(job);
@@ -115,8 +121,10 @@
   }
 
   /**
-   * Records how long a task has run: its whole run time if {@code complete}, else a lower bound.
-   * The starting time of a task that an earlier leader started is not known here.
+   * Records the run time of a task. Records nothing if the task was never reported as running or
+   * was started by an earlier leader, whose start time is not known.
+   *
+   * @param complete true if the run time is that of a whole run, false if it is a lower bound
    */
   private void recordRun(Assignment assignment, long nowMicros, boolean complete) {
     if (assignment.runningMicros < 0 || assignment.inherited) {
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
@@ -18,24 +18,26 @@
 import madderrudder.protocol.TaskStatus.Phase;
 
 /**
- * Derives the facts that {@link TaskReconciler} decides on from the cluster state and a task's
- * reported status. Reads the state and changes nothing.
+ * Builds the input of {@link TaskReconciler} from the cluster state and a task's reported status,
+ * and returns the reconciler's decision. Does not modify the cluster state.
  */
 final class TaskFactsBuilder {
   private final long term;
   private final Predicate<Job> startDeferred;
 
   /**
+   * Creates a builder for one term.
+   *
    * @param term the leader's term
-   * @param startDeferred whether no task of the job may be started anew yet, because it is not
-   *     known how much of the capacity is needed for work that comes before it
+   * @param startDeferred tests whether no task of a job may be started yet, because the leader does
+   *     not yet know how much capacity work that ranks before the job needs
    */
   TaskFactsBuilder(long term, Predicate<Job> startDeferred) {
     this.term = term;
     this.startDeferred = startDeferred;
   }
 
-  /** The decision on a recorded attempt, by the newest report of its machine. */
+  /** Returns the decision on a recorded attempt, based on the newest report of its machine. */
   TaskDecision decide(Assignment assignment) {
     return TaskReconciler.of(
         facts(
@@ -46,15 +48,18 @@
   }
 
   /**
-   * The decision on a recorded attempt that a report carrying the token says has exited. A start
-   * sent by an earlier leader for the same attempt may have arrived after that exit.
+   * Returns the decision on a recorded attempt that the worker reports as exited. If the report
+   * carries a token of an earlier term, a start that an earlier leader sent for the same attempt
+   * may have reached the worker after the exit.
+   *
+   * @param token the fencing token in the report
    */
   TaskDecision decideExit(Assignment assignment, TaskStatus task, long token) {
     boolean startMayArrive = assignment.inherited && FencingToken.term(token) < term;
     return TaskReconciler.of(facts(assignment, exitState(task), startMayArrive, true));
   }
 
-  /** The decision on a reported task that no record names on the machine. */
+  /** Returns the decision on a reported task that has no record on the machine. */
   static TaskDecision decideUnrecorded(TaskStatus task) {
     ReportedState reported = task.phase() == Phase.EXITED ? exitState(task) : ReportedState.PRESENT;
     return TaskReconciler.of(
@@ -69,8 +74,9 @@
   }
 
   /**
-   * What is wanted of a recorded attempt. A task of a deferred job that was stopped by the end of a
-   * lease needs no command to stay stopped.
+   * Returns the desired state of a recorded attempt. An inherited attempt of a deferred job that
+   * its worker has not reported may run but is not started: if it stopped because the worker's
+   * lease expired, it needs no command to stay stopped.
    */
   DesiredState desiredState(Assignment assignment) {
     if (assignment.completed) {
@@ -88,13 +94,16 @@
   }
 
   private TaskFacts facts(
-      Assignment assignment, ReportedState reported, boolean startMayArrive, boolean seen) {
+      Assignment assignment,
+      ReportedState reported,
+      boolean startMayArrive,
+      boolean reportedByWorker) {
     return new TaskFacts(
         assignment.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
         desiredState(assignment),
         reported,
         startMayArrive,
-        seen,
+        reportedByWorker,
         assignment.durable,
         gangState(assignment.job));
   }
@@ -110,9 +119,10 @@
   }
 
   /**
-   * Whether a start of the attempt may still reach the worker. A worker that has seen this term's
-   * token takes no command of an earlier leader any more. It drops the answer to a heartbeat once
-   * the next one is under way, so that a newer report settles a start that does not show in it.
+   * Returns whether a start of the attempt may still take effect on the worker. A worker that has
+   * seen this term's token rejects commands of earlier leaders. A worker also discards the answer
+   * to a heartbeat once it has sent the next one, so a start that an answer carried is lost if a
+   * newer report does not include the task.
    */
   private boolean startMayArrive(Assignment assignment) {
     Machine machine = assignment.machine;
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the reported states of a machine's tasks into the cluster state. Confined to the event loop
+ * Applies the task statuses that a machine reports to the cluster state. Confined to the event loop
  * thread.
  */
 final class TaskStatusIngest {
@@ -38,33 +38,39 @@
     this.exits = exits;
   }
 
-  /** Applies the status of each task in the report; true if capacity may have become free. */
+  /**
+   * Applies the status of each task in a report.
+   *
+   * @return true if capacity may have become free
+   */
   boolean applyStatuses(Machine machine, Heartbeat report, long nowMicros) {
-    boolean freed = !machine.orphanTasks.isEmpty();
+    boolean capacityFreed = !machine.orphanTasks.isEmpty();
     List<OrphanTask> orphanTasks = new ArrayList<>();
     for (TaskStatus task : report.tasks()) {
       TaskAttempt attempt = new TaskAttempt(task.task(), task.attempt());
       Assignment assignment = machine.assignments.get(attempt);
       if (assignment != null) {
         assignment.reportedSequence = report.sequence();
-        freed |= applyStatus(assignment, task, report.token(), nowMicros);
+        capacityFreed |= applyStatus(assignment, task, report.token(), nowMicros);
       } else if (task.phase() != Phase.EXITED) {
-        orphanTasks.add(orphanTask(attempt));
+        orphanTasks.add(toOrphanTask(attempt));
       }
     }
-    if (freed || !orphanTasks.isEmpty()) {
+    if (capacityFreed || !orphanTasks.isEmpty()) {
       term.cluster.replaceOrphanTasks(machine, orphanTasks);
     }
-    return freed;
+    return capacityFreed;
   }
 
   /**
-   * Drops the records of tasks that the worker neither has nor can still be made to start; true if
-   * there were any. A start that went out with the answer to an earlier heartbeat and does not show
-   * in this one has not reached the worker.
+   * Releases the assignments of tasks that the worker does not have and that no command in flight
+   * can still start. A start that was sent with the answer to an earlier heartbeat and is missing
+   * from the newest one did not reach the worker, so an acknowledgement is requested.
+   *
+   * @return true if any assignment was released
    */
-  boolean releaseGone(Machine machine) {
-    List<Assignment> gone = new ArrayList<>();
+  boolean releaseGoneAssignments(Machine machine) {
+    List<Assignment> goneAssignments = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
       if (!assignment.reportedByWorker()
           && assignment.startSequence >= 0
@@ -72,18 +78,18 @@
         machine.expectAcknowledgement(term.scheduler.nowMicros());
       }
       if (facts.decide(assignment).verdict() == Verdict.GONE) {
-        gone.add(assignment);
+        goneAssignments.add(assignment);
       }
     }
-    gone.forEach(machines::release);
-    return !gone.isEmpty();
+    goneAssignments.forEach(machines::release);
+    return !goneAssignments.isEmpty();
   }
 
   private boolean applyStatus(Assignment assignment, TaskStatus task, long token, long nowMicros) {
     if (task.phase() == Phase.EXITED) {
       Verdict verdict = facts.decideExit(assignment, task, token).verdict();
-      boolean recorded = verdict == Verdict.RECORD_DONE || verdict == Verdict.RECORD_EXIT;
-      return recorded && exits.recordExit(assignment, task, nowMicros);
+      boolean recordsExit = verdict == Verdict.RECORD_DONE || verdict == Verdict.RECORD_EXIT;
+      return recordsExit && exits.recordExit(assignment, task, nowMicros);
     }
     applyProgress(assignment, task.phase(), nowMicros);
     return false;
@@ -95,7 +101,7 @@
     }
     if (phase == Phase.RUNNING && assignment.runningMicros < 0) {
       assignment.runningMicros = nowMicros;
-      recordStart(assignment, nowMicros);
+      recordStartLatency(assignment, nowMicros);
       if (assignment.job != null) {
         assignment.job.gangStarted = true;
       }
@@ -103,7 +109,7 @@
     assignment.phase = phase;
   }
 
-  private void recordStart(Assignment assignment, long nowMicros) {
+  private void recordStartLatency(Assignment assignment, long nowMicros) {
     if (assignment.inherited) {
       return;
     }
@@ -111,7 +117,8 @@
         Timing.STARTING, assignment.waitedMicros + nowMicros - assignment.placedMicros);
     if (LOG.isDebugEnabled()) {
       LOG.debug(
-          "{} of {} runs on {} ({} {}): waited {} ms, recorded {} ms, sent {} ms, fetched {} ms{}",
+          "task {} of class {} is running on machine {} ({} {}): waited {} ms to be placed,"
+              + " recorded in {} ms, start sent after {} ms, running after {} ms{}",
           assignment.task,
           assignment.job == null ? "?" : assignment.job.spec.jobClass(),
           assignment.machine.id,
@@ -132,7 +139,7 @@
     return machine.owned ? "owned" : "on-demand";
   }
 
-  private OrphanTask orphanTask(TaskAttempt attempt) {
+  private OrphanTask toOrphanTask(TaskAttempt attempt) {
     Job job = term.cluster.jobs.get(attempt.task().job());
     return job == null
         ? new OrphanTask(attempt, "", Resources.NONE)
--- a/src/main/java/madderrudder/coordination/heartbeat/package-info.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Heartbeats of workers, from the report that comes in to the commands that answer it. {@link
- * madderrudder.coordination.heartbeat.HeartbeatHandler} is the entry. A heartbeat is first taken
- * into the cluster state ({@code HeartbeatIngest}); which commands answer it is then decided by a
- * pure function ({@code CommandPlanner}), and what was sent is noted in a step of its own ({@code
- * SentCommands}).
+ * The leader's processing of worker heartbeats. The entry point is {@link
+ * madderrudder.coordination.heartbeat.HeartbeatHandler}. {@code HeartbeatIngest} applies a
+ * heartbeat to the cluster state, {@code CommandPlanner} chooses the commands of the answer without
+ * side effects, and {@code SentCommandRecorder} records the commands as sent. {@code
+ * DirectCommandSender} sends commands that cannot wait for the next heartbeat.
  *
- * <p>Everything here is confined to the event loop thread.
+ * <p>All classes are confined to the event loop thread.
  */
 package madderrudder.coordination.heartbeat;
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -59,7 +59,7 @@
 
   /** Accepts the heartbeats that were answered while the stored state was being read. */
   void acceptEarly() {
-    early.values().forEach(heartbeats::acceptAnswered);
+    early.values().forEach(heartbeats::acceptAnsweredEarlier);
     early.clear();
   }
 
@@ -82,7 +82,7 @@
       receiver.accept(new HeartbeatReply.Refused());
     } else if (!ready) {
       keepEarly(heartbeat);
-      receiver.accept(new HeartbeatReply.Answered(heartbeats.tokenFor(heartbeat), List.of()));
+      receiver.accept(new HeartbeatReply.Answered(heartbeats.issueToken(heartbeat), List.of()));
     } else {
       replyByState(heartbeat, receiver);
     }
@@ -125,12 +125,12 @@
 
   private void replyByState(Heartbeat heartbeat, Consumer<HeartbeatReply> receiver) {
     Freshness freshness = heartbeats.accept(heartbeat);
-    if (freshness == Freshness.STALE || heartbeats.withholdsAnswer(heartbeat)) {
+    if (freshness == Freshness.STALE || heartbeats.mustWithholdAnswer(heartbeat)) {
       receiver.accept(new HeartbeatReply.Refused());
     } else if (freshness == Freshness.OVERTAKEN) {
       receiver.accept(
           new HeartbeatReply.Answered(
-              heartbeats.tokenFor(heartbeat), heartbeats.commandsForOvertaken(heartbeat)));
+              heartbeats.issueToken(heartbeat), heartbeats.issueStops(heartbeat)));
     } else if (heartbeats.awaitsDurableRecord(heartbeat.machine()) && term.election.holdsLease()) {
       answerWhenDurable(new PendingReply(heartbeat, receiver));
     } else {
@@ -156,7 +156,7 @@
 
   /** The commands come first: they may raise the token. */
   private HeartbeatReply answer(Heartbeat heartbeat) {
-    List<WorkerCommand> commands = heartbeats.commandsFor(heartbeat);
-    return new HeartbeatReply.Answered(heartbeats.tokenFor(heartbeat), commands);
+    List<WorkerCommand> commands = heartbeats.issueCommands(heartbeat);
+    return new HeartbeatReply.Answered(heartbeats.issueToken(heartbeat), commands);
   }
 }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -179,7 +179,7 @@
 
   private void onDurable(Machine machine) {
     responder.onDurable(machine);
-    heartbeats.sendDirect(machine);
+    heartbeats.sendDirectCommands(machine);
   }
 
   private void tick() {
@@ -192,14 +192,14 @@
     coverage.refresh();
     scaleOut.reconcileMachines(term.scheduler.nowMicros(), coverage.coverage());
     planning.plan();
-    sendDirect();
+    sendDirectCommands();
   }
 
   /** Repeats stops that show no effect, and sends starts that the coverage allows by now. */
-  private void sendDirect() {
+  private void sendDirectCommands() {
     int sent = 0;
     for (Machine machine : term.cluster.machines.values()) {
-      if (sent < MAX_DIRECT_PER_TICK && heartbeats.sendDirect(machine)) {
+      if (sent < MAX_DIRECT_PER_TICK && heartbeats.sendDirectCommands(machine)) {
         sent++;
       }
     }
--- a/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
+++ b/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
@@ -96,7 +96,7 @@
       placeAndPreempt(demand, nowMicros);
     }
     scaleOut.scaleOut(demand, nowMicros);
-    machines.takePendingPushes().forEach(heartbeats::sendDirect);
+    machines.takePendingPushes().forEach(heartbeats::sendDirectCommands);
     lastRoundMicros = term.scheduler.nowMicros() - nowMicros;
     term.metrics.record(Timing.PLANNING, lastRoundMicros);
     LOG.debug("planned for {} jobs in {} ms", demand.waiting().size(), lastRoundMicros / 1000);
--- a/src/test/java/madderrudder/coordination/heartbeat/FreshnessTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/FreshnessTest.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.heartbeat;
 
-import static madderrudder.coordination.heartbeat.MachineFixture.SEQ;
-import static madderrudder.coordination.heartbeat.MachineFixture.SESSION;
+import static madderrudder.coordination.heartbeat.MachineFixture.EPOCH;
+import static madderrudder.coordination.heartbeat.MachineFixture.SEQUENCE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import madderrudder.coordination.state.Machine;
@@ -9,18 +9,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against renewing a lease with an answer that its worker ignores, and against refusing a
+ * heartbeat whose worker still waits for the answer.
+ */
 class FreshnessTest {
   private static final long ARRIVED_MICROS = 20_000_000;
 
   private final MachineFixture fixture = new MachineFixture();
   private final Machine machine = fixture.machine;
 
-  /** The last heartbeat sent by itself was number 3; a response to a command was number 5. */
-  private Freshness freshness(long epoch, long sequence, long afterMicros) {
-    machine.epoch = SESSION;
-    machine.heartbeatSequence = SEQ - 2;
+  /**
+   * Compares a heartbeat with a machine whose last periodic heartbeat has the sequence number 3 and
+   * whose newest report, the response to a direct command, has the sequence number 5.
+   */
+  private Freshness freshness(long epoch, long sequence, long elapsedMicros) {
+    machine.epoch = EPOCH;
+    machine.heartbeatSequence = SEQUENCE - 2;
     machine.heartbeatMicros = ARRIVED_MICROS;
-    return Freshness.of(machine, fixture.heartbeat(epoch, sequence), ARRIVED_MICROS + afterMicros);
+    return Freshness.of(
+        machine, fixture.heartbeat(epoch, sequence), ARRIVED_MICROS + elapsedMicros);
   }
 
   @ParameterizedTest
@@ -34,13 +42,13 @@
     "3,2,0,STALE",
     "2,9,0,STALE"
   })
-  void aHeartbeatIsComparedWithTheNewestReportAndTheLastHeartbeat(
-      long epoch, long sequence, long afterMicros, Freshness expected) {
-    assertEquals(expected, freshness(epoch, sequence, afterMicros));
+  void comparesHeartbeatWithNewestReportAndLastPeriodicHeartbeat(
+      long epoch, long sequence, long elapsedMicros, Freshness expected) {
+    assertEquals(expected, freshness(epoch, sequence, elapsedMicros));
   }
 
   @Test
-  void theFirstHeartbeatOfAMachineIsNew() {
+  void firstHeartbeatOfMachineIsNew() {
     machine.reported = false;
     assertEquals(Freshness.NEW, freshness(0, 0, 0));
   }
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -17,30 +17,42 @@
 import madderrudder.protocol.TaskStatus.ExitReason;
 import madderrudder.protocol.TaskStatus.Phase;
 
-/** A machine in the cluster state of term 7, whose newest heartbeat has been taken in. */
+/**
+ * A machine in the cluster state of a leader in {@link #TERM}. Its newest heartbeat, with the epoch
+ * {@link #EPOCH} and the sequence number {@link #SEQUENCE}, has been applied.
+ */
 final class MachineFixture {
   static final long TERM = 7;
-  static final long SECOND = 1_000_000;
-  static final long SESSION = 3;
-  static final long SEQ = 5;
+  static final long SECOND_MICROS = 1_000_000;
+  static final long EPOCH = 3;
+  static final long SEQUENCE = 5;
   static final long ATTEMPT = 11;
 
-  private static final MachineType TYPE =
+  private static final MachineType MACHINE_TYPE =
       new MachineType(
-          "box", Resources.of(4, 0, 16), 30, 1, 1.0, 0.3, 10 * SECOND, List.of("east", "west"));
+          "box",
+          Resources.of(4, 0, 16),
+          30,
+          1,
+          1.0,
+          0.3,
+          10 * SECOND_MICROS,
+          List.of("east", "west"));
 
-  final Machine machine = new Machine("m-0", TYPE, "east", false, true, 0, 0);
+  final Machine machine = new Machine("m-0", MACHINE_TYPE, "east", false, true, 0, 0);
 
   MachineFixture() {
     machine.address = "10.0.1.1:80";
     machine.reported = true;
-    machine.epoch = SESSION;
-    machine.sequence = SEQ;
+    machine.epoch = EPOCH;
+    machine.sequence = SEQUENCE;
     machine.seenToken = FencingToken.first(TERM);
     machine.issuedToken = FencingToken.first(TERM);
   }
 
-  /** A job whose tasks write checkpoints, which takes two seconds, if {@code checkpoints}. */
+  /**
+   * Returns a job; if {@code checkpoints}, its tasks write checkpoints, each taking two seconds.
+   */
   static Job job(boolean checkpoints) {
     JobSpec spec =
         new JobSpec(
@@ -58,14 +70,14 @@
             false,
             false,
             true,
-            30 * SECOND,
-            checkpoints ? 10 * SECOND : 0,
-            checkpoints ? 2 * SECOND : 0,
+            30 * SECOND_MICROS,
+            checkpoints ? 10 * SECOND_MICROS : 0,
+            checkpoints ? 2 * SECOND_MICROS : 0,
             0);
     return new Job(spec, new TeamQuota("alto", Resources.NONE, Resources.NONE), 1, 0, 0);
   }
 
-  /** A durable record of a task that the worker has not reported. */
+  /** Adds a durable record of a task that the worker has not reported. */
   Assignment place(Job job, int index, boolean inherited) {
     Assignment assignment =
         new Assignment(
@@ -75,10 +87,10 @@
     return assignment;
   }
 
-  /** A durable record of a task that the newest heartbeat names. */
+  /** Adds a durable record of a task that the newest heartbeat reports as running. */
   Assignment placeReported(Job job, int index) {
     Assignment assignment = place(job, index, false);
-    assignment.reportedSequence = SEQ;
+    assignment.reportedSequence = SEQUENCE;
     assignment.phase = Phase.RUNNING;
     return assignment;
   }
@@ -87,14 +99,14 @@
     return new TaskId("req-1", index);
   }
 
-  static TaskStatus status(int index, Phase phase) {
+  static TaskStatus taskStatus(int index, Phase phase) {
     return new TaskStatus(
         task(index), ATTEMPT, phase, phase == Phase.EXITED ? ExitReason.DONE : null, false);
   }
 
-  /** The heartbeat that has been taken in, with these tasks. */
-  Heartbeat newest(TaskStatus... tasks) {
-    return heartbeat(SESSION, SEQ, tasks);
+  /** Returns the newest applied heartbeat, with the given tasks. */
+  Heartbeat newestHeartbeat(TaskStatus... tasks) {
+    return heartbeat(EPOCH, SEQUENCE, tasks);
   }
 
   Heartbeat heartbeat(long epoch, long sequence, TaskStatus... tasks) {
