--- a/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
+++ b/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores the machine type catalog with each refresh, for controllers that start while the cloud is
- * down. Confined to the event loop thread.
+ * Writes the machine type catalog to the store after each refresh, so that a controller can start
+ * while the cloud is unavailable. Confined to the event loop thread.
  */
 final class CatalogPersister {
   private static final Logger LOG = LoggerFactory.getLogger(CatalogPersister.class);
@@ -25,20 +25,23 @@
     this.catalog = catalog;
   }
 
-  /** Stores the catalog now and with each refresh, until the term ends. */
+  /**
+   * Stores the catalog now and after each refresh, until the term ends. A catalog that does not fit
+   * into one value of the store is not stored.
+   */
   void start() {
     catalog.onRefresh(this::save);
     save();
   }
 
   private void save() {
-    byte[] text = catalog.latestJson();
-    if (!term.closed() && text != null && text.length < term.deployment.state().valueBytes()) {
-      term.commits.add(new CatalogChange(text), Urgency.LATER);
+    byte[] json = catalog.latestJson();
+    if (!term.closed() && json != null && json.length < term.deployment.state().valueBytes()) {
+      term.commits.add(new CatalogChange(json), Urgency.LATER);
     }
   }
 
-  private record CatalogChange(byte[] text) implements PendingChange {
+  private record CatalogChange(byte[] json) implements PendingChange {
     @Override
     public String name() {
       return Keys.CATALOG;
@@ -46,7 +49,7 @@
 
     @Override
     public List<Write> writes() {
-      return List.of(Write.put(Keys.CATALOG, text));
+      return List.of(Write.put(Keys.CATALOG, json));
     }
 
     @Override
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -10,97 +10,101 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows after a failover how much of the cluster has been heard from, and which starts wait for
- * more. Confined to the event loop thread.
+ * Tracks how much of the cluster has reported after a failover, and decides which starts are
+ * deferred until more machines have reported. Confined to the event loop thread.
  */
 final class CoverageTracker {
   private static final Logger LOG = LoggerFactory.getLogger(CoverageTracker.class);
 
   private final LeaderTerm term;
-  private final long patienceMicros;
-  private final long beginMicros;
+  private final long reportTimeoutMicros;
+  private final long termStartMicros;
 
-  /** Since when workers are answered by what is recorded. */
-  private long readyMicros;
+  /** When the stored state was loaded, from which on heartbeats are answered from it. */
+  private long stateLoadedMicros;
 
   private ClusterCoverage coverage = ClusterCoverage.FULL;
 
-  /** The jobs that were within their teams' guarantees when this leader took over. */
-  private Set<Job> guaranteed = Set.of();
+  /** The jobs that were within their teams' guaranteed quotas when this leader took over. */
+  private Set<Job> guaranteedJobs = Set.of();
 
   /**
-   * Starts with the term.
+   * Creates the tracker at the start of a term.
    *
-   * @param members how many controllers there are, this one included
+   * @param controllerCount the number of controllers, including this one
    */
-  CoverageTracker(LeaderTerm term, int members) {
+  CoverageTracker(LeaderTerm term, int controllerCount) {
     this.term = term;
-    patienceMicros = ClusterCoverage.patienceMicros(term.deployment.workers(), members);
-    beginMicros = term.scheduler.nowMicros();
+    reportTimeoutMicros =
+        ClusterCoverage.patienceMicros(term.deployment.workers(), controllerCount);
+    termStartMicros = term.scheduler.nowMicros();
   }
 
   /**
-   * The stored state has been read. Assesses the cluster before and after the early heartbeats,
-   * those that came meanwhile, are accepted. They have been answered already; what they say is as
-   * good as that of any heartbeat that comes late.
+   * Starts tracking once the stored state has been loaded. Determines the guaranteed jobs from the
+   * stored state alone, and the coverage with the early heartbeats, which arrived while the state
+   * was being read. Those have already been answered, but their reports are as valid as those of
+   * any delayed heartbeat.
+   *
+   * @param acceptEarlyHeartbeats applies the early heartbeats to the cluster state
    */
   void begin(Runnable acceptEarlyHeartbeats) {
-    readyMicros = term.scheduler.nowMicros();
+    stateLoadedMicros = term.scheduler.nowMicros();
     LOG.info(
         "term {}: took over {} jobs and {} machines",
         term.number,
         term.cluster.jobs.size(),
         term.cluster.machines.size());
     coverage = assess();
-    guaranteed = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage).guaranteed();
+    guaranteedJobs = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage).guaranteed();
     acceptEarlyHeartbeats.run();
     coverage = assess();
     LOG.info(
-        "term {}: the store was read in {} ms; {} of the machines that were up have reported{}",
+        "term {}: stored state loaded in {} ms, {} of the expected machines have reported{}",
         term.number,
-        (readyMicros - beginMicros) / 1000,
+        (stateLoadedMicros - termStartMicros) / 1000,
         percent(coverage.share()),
-        coverage.suffices() ? "" : ", scale-out and preemption wait for more");
+        coverage.suffices() ? "" : ", scale-out and preemption are deferred");
   }
 
-  /** The coverage as last assessed; full before {@link #begin}. */
+  /** Returns the coverage as of the last assessment; full before {@link #begin}. */
   ClusterCoverage coverage() {
     return coverage;
   }
 
-  /** Assesses the cluster anew, until all machines that are expected have reported. */
+  /** Updates the coverage, unless all expected machines have already reported. */
   void refresh() {
     if (coverage.complete()) {
       return;
     }
-    boolean sufficed = coverage.suffices();
+    boolean wasSufficient = coverage.suffices();
     coverage = assess();
-    if (!sufficed && coverage.suffices()) {
+    if (!wasSufficient && coverage.suffices()) {
       LOG.info(
-          "term {}: {} of the machines that were up have reported after {} ms",
+          "term {}: {} of the expected machines have reported after {} ms",
           term.number,
           percent(coverage.share()),
-          (term.scheduler.nowMicros() - readyMicros) / 1000);
+          (term.scheduler.nowMicros() - stateLoadedMicros) / 1000);
     }
   }
 
   /**
-   * Whether tasks of the job are not started before more machines have reported. Jobs of production
-   * priority and those within a guarantee are started at once where they are recorded; the rest
-   * could be preempted again by work that waits.
+   * Returns whether no task of the job is started until more machines have reported. Tasks of
+   * production jobs and of jobs within a guaranteed quota are started at once on the machines where
+   * they are recorded; tasks of other jobs could soon be preempted by waiting work.
    */
   boolean defersStart(Job job) {
     return !coverage.complete()
         && !coverage.suffices(job)
         && job.spec.priority() != Priority.PRODUCTION
-        && !guaranteed.contains(job);
+        && !guaranteedJobs.contains(job);
   }
 
   private ClusterCoverage assess() {
     return ClusterCoverage.of(
         term.cluster,
-        term.scheduler.nowMicros() - readyMicros,
-        patienceMicros,
+        term.scheduler.nowMicros() - stateLoadedMicros,
+        reportTimeoutMicros,
         term.scheduler.wallMicros());
   }
 
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -13,8 +13,9 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
- * What other controllers may answer in this leader's stead, and what they have answered: both
- * decide when a silent machine's lease is over. Confined to the event loop thread.
+ * Grants other controllers the right to answer heartbeats on behalf of this leader, and records the
+ * lease renewals that they report. Both determine when the lease of a silent machine has expired.
+ * Confined to the event loop thread.
  */
 final class DelegationGrants {
   private final LeaderTerm term;
@@ -30,11 +31,11 @@
   }
 
   /**
-   * For how long other controllers may answer workers in this leader's stead, with no command; 0
-   * for not at all. The bound is that a worker which got their last answer still drops in time
-   * whatever may have been cancelled since. Other controllers know nothing of tasks of jobs that
-   * were cancelled earlier and may still be somewhere, so that the time counts from before the
-   * users of those jobs were told.
+   * Returns for how long from now other controllers may answer workers on behalf of this leader,
+   * without commands; 0 if they may not. The bound ensures that a worker that received the last
+   * such answer still kills the tasks of jobs cancelled since within the time limit for
+   * cancellations. Other controllers do not know which tasks of jobs that were cancelled earlier
+   * may still run, so the time counts from before the users of those jobs were told.
    */
   long grantMicros() {
     if (!term.policy.delegation()) {
@@ -42,56 +43,68 @@
     }
     long cancellationsSettledMicros =
         term.cluster.cancellationsSettledMicros(jobs.knownUpToMicros());
-    long fromMicros = Math.min(cancellationsSettledMicros, term.election.leaseEndMicros());
-    return Math.max(0, fromMicros + term.safety.answerMicros() - term.scheduler.nowMicros());
+    long knownUpToMicros = Math.min(cancellationsSettledMicros, term.election.leaseEndMicros());
+    return Math.max(0, knownUpToMicros + term.safety.answerMicros() - term.scheduler.nowMicros());
   }
 
-  /** Records the grant, and returns those of the processes heard from that it may go out to. */
-  List<StampEcho> grant(List<StampEcho> heard, long grantMicros) {
+  /**
+   * Records a grant that is about to be sent to other controllers.
+   *
+   * @param processes the latest known processes of the other controllers
+   * @param grantMicros the length of the grant
+   * @return the processes that the grant may be sent to
+   */
+  List<StampEcho> recordGrant(List<StampEcho> processes, long grantMicros) {
     long untilMicros = term.scheduler.nowMicros() + grantMicros;
-    return heard.stream().filter(echo -> term.delegation.grant(echo, untilMicros)).toList();
+    return processes.stream().filter(echo -> term.delegation.grant(echo, untilMicros)).toList();
   }
 
-  /** Another controller has answered machines. */
-  void onRenewals(DelegatedRenewals renewals) {
+  /** Records the lease renewals that another controller made on behalf of this leader. */
+  void recordRenewals(DelegatedRenewals renewals) {
     long nowMicros = term.scheduler.nowMicros();
     for (LeaseRenewal renewal : renewals.answers()) {
       Machine machine = term.cluster.machines.get(renewal.machine());
       if (machine != null) {
-        long agoMicros = SafetyBounds.minusClockDrift(1000L * renewal.agoMillis());
-        machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, nowMicros - agoMicros);
+        long renewalAgeMicros = SafetyBounds.minusClockDrift(1000L * renewal.agoMillis());
+        machine.lastAnsweredMicros =
+            Math.max(machine.lastAnsweredMicros, nowMicros - renewalAgeMicros);
       }
     }
     term.delegation.recordRenewals(renewals);
   }
 
-  /** Another controller's status, with what it has heard of this process, or null. */
-  void onStatus(MembershipStatus status, StampEcho mine) {
+  /**
+   * Records another controller's status; ignores an unknown controller.
+   *
+   * @param echo the last stamp that the controller received from this process, or null if none
+   */
+  void recordStatus(MembershipStatus status, StampEcho echo) {
     if (!otherMembers.contains(status.member())) {
       return;
     }
     long nowMicros = term.scheduler.nowMicros();
-    term.delegation.recordStatus(status, mine, nowMicros);
-    if (termAcknowledgements.record(status, mine, nowMicros)) {
-      endEarlierTerms();
+    term.delegation.recordStatus(status, echo, nowMicros);
+    if (termAcknowledgements.record(status, echo, nowMicros)) {
+      endLeaseExtensions();
     }
   }
 
   /**
-   * A machine that an earlier leader used may still be answered by that leader for a while, and its
-   * worker's lease begins only after that.
+   * Extends the assumed lease of a machine that an earlier leader used. That leader may continue to
+   * answer the worker for a bounded time, until all other controllers have acknowledged this term.
    */
-  void allowForEarlierLeader(Machine machine) {
+  void extendLeaseForEarlierLeader(Machine machine) {
     if (!termAcknowledgements.complete()) {
       machine.lastAnsweredMicros += term.safety.answerMicros();
     }
   }
 
   /**
-   * No machine's lease can be renewed under an earlier term any more: the lease of one that has
-   * died expires a lease from now, without the time an earlier leader might have gone on.
+   * Removes the lease extensions for earlier leaders, because no lease can be renewed under an
+   * earlier term any more. The lease of a machine that has not reported expires one lease duration
+   * from now.
    */
-  private void endEarlierTerms() {
+  private void endLeaseExtensions() {
     long nowMicros = term.scheduler.nowMicros();
     for (Machine machine : term.cluster.machines.values()) {
       if (!machine.reported) {
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatReply.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatReply.java
@@ -6,13 +6,13 @@
 /** The leader's reply to a heartbeat. */
 public sealed interface HeartbeatReply {
   /**
-   * The worker is answered, which renews its lease.
+   * An answer that renews the worker's lease.
    *
-   * @param token the fencing token that the commands carry
-   * @param commands the commands, in the order in which the worker executes them; often none
+   * @param token the fencing token that accompanies the commands
+   * @param commands the commands, in the order in which the worker executes them; may be empty
    */
   record Answered(long token, List<WorkerCommand> commands) implements HeartbeatReply {}
 
-  /** This node may not answer the worker, which has to look for another controller. */
+  /** This controller must not answer the worker, which has to try another controller. */
   record Refused() implements HeartbeatReply {}
 }
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -15,31 +15,33 @@
 import madderrudder.protocol.WorkerCommand;
 
 /**
- * Decides whether and when a heartbeat is answered; what the answer says is up to {@link
- * HeartbeatHandler}. Confined to the event loop thread.
+ * Decides whether and when a heartbeat is answered. {@link HeartbeatHandler} provides the content
+ * of the answer. Confined to the event loop thread.
  */
 final class HeartbeatResponder {
-  /** An answer waits at most this long for records that are about to become durable. */
-  private static final long DURABILITY_WAIT_MICROS = 250_000;
+  /** Longest time that an answer is delayed until the machine's records are durable. */
+  private static final long MAX_DURABILITY_WAIT_MICROS = 250_000;
 
   private final LeaderTerm term;
   private final JobRegistry jobs;
   private final HeartbeatHandler heartbeats;
   private final LongSupplier delegatedUntilMicros;
 
-  /** The answers that wait for durable records, by machine. */
-  private final Map<String, PendingReply> pending = new HashMap<>();
+  /** The replies that wait for durable records, by machine id. */
+  private final Map<String, PendingReply> pendingReplies = new HashMap<>();
 
-  /** The newest heartbeat of each machine that came while the stored state was being read. */
-  private final Map<String, Heartbeat> early = new LinkedHashMap<>();
+  /** The newest heartbeat of each machine that arrived while the stored state was being read. */
+  private final Map<String, Heartbeat> earlyHeartbeats = new LinkedHashMap<>();
 
   private boolean ready;
 
-  private record PendingReply(Heartbeat heartbeat, Consumer<HeartbeatReply> receiver) {}
+  private record PendingReply(Heartbeat heartbeat, Consumer<HeartbeatReply> callback) {}
 
   /**
-   * @param delegatedUntilMicros until when an earlier leader has allowed this controller to answer
-   *     without commands, on the scheduler's clock
+   * Creates the responder of one term, which is not ready yet.
+   *
+   * @param delegatedUntilMicros returns until when an earlier leader has allowed this controller to
+   *     answer without commands, on the scheduler's clock
    */
   HeartbeatResponder(
       LeaderTerm term,
@@ -52,109 +54,126 @@
     this.delegatedUntilMicros = delegatedUntilMicros;
   }
 
-  /** From now on answers are given by the stored state, which has been read. */
+  /**
+   * Marks the stored state as loaded. Heartbeats are answered from the cluster state afterwards.
+   */
   void markReady() {
     ready = true;
   }
 
-  /** Accepts the heartbeats that were answered while the stored state was being read. */
-  void acceptEarly() {
-    early.values().forEach(heartbeats::acceptAnsweredEarlier);
-    early.clear();
+  /** Applies the heartbeats that were answered while the stored state was being read. */
+  void acceptEarlyHeartbeats() {
+    earlyHeartbeats.values().forEach(heartbeats::acceptAnsweredEarlier);
+    earlyHeartbeats.clear();
   }
 
-  /** Refuses whatever still waits for an answer, because the term has ended. */
+  /** Refuses all heartbeats with a pending reply, because the term has ended. */
   void close() {
-    for (PendingReply reply : pending.values()) {
-      reply.receiver().accept(new HeartbeatReply.Refused());
+    for (PendingReply reply : pendingReplies.values()) {
+      reply.callback().accept(new HeartbeatReply.Refused());
     }
-    pending.clear();
+    pendingReplies.clear();
   }
 
-  /** Whether heartbeats are answered or refused now, rather than once the state is read. */
-  boolean decides() {
+  /**
+   * Returns whether heartbeats can be decided now. Until the stored state is loaded, that is the
+   * case only while a grant of an earlier leader allows answers.
+   */
+  boolean decidesNow() {
     return ready || mayAnswer();
   }
 
-  /** Replies to a heartbeat, now or a little later. */
-  void handle(Heartbeat heartbeat, Consumer<HeartbeatReply> receiver) {
+  /**
+   * Replies to a heartbeat, immediately or once the machine's records are durable.
+   *
+   * @param callback receives the reply
+   */
+  void handle(Heartbeat heartbeat, Consumer<HeartbeatReply> callback) {
     if (!mayAnswer()) {
-      receiver.accept(new HeartbeatReply.Refused());
+      callback.accept(new HeartbeatReply.Refused());
     } else if (!ready) {
-      keepEarly(heartbeat);
-      receiver.accept(new HeartbeatReply.Answered(heartbeats.issueToken(heartbeat), List.of()));
+      keepEarlyHeartbeat(heartbeat);
+      callback.accept(new HeartbeatReply.Answered(heartbeats.issueToken(heartbeat), List.of()));
     } else {
-      replyByState(heartbeat, receiver);
+      replyFromState(heartbeat, callback);
     }
   }
 
-  /** A record of the machine has become durable: an answer that waited for it may go out. */
+  /** Sends the machine's pending answer, if all its records have become durable. */
   void onDurable(Machine machine) {
     if (heartbeats.awaitsDurableRecord(machine.id)) {
       return;
     }
-    PendingReply reply = pending.remove(machine.id);
+    PendingReply reply = pendingReplies.remove(machine.id);
     if (reply != null) {
-      reply.receiver().accept(answer(reply.heartbeat()));
+      reply.callback().accept(answer(reply.heartbeat()));
     }
   }
 
   /**
-   * Heartbeats may be answered while the leader's lease lasts, and for a bounded time after the
-   * last news from the store: long enough for workers to keep their tasks through an outage, and
-   * short enough that they drop a job in time that was cancelled where this node cannot see it.
-   * Before the state is read it is not known what was cancelled, even long ago. Answers without
-   * commands once went out in that state for as long as the lease was extended; they are bounded
-   * now by what an earlier leader has granted, as those of any other controller are.
+   * Returns whether heartbeats may be answered now. A ready leader answers for a bounded time after
+   * the end of its lease, or after the time up to which it knows all cancellations, whichever is
+   * earlier. The bound lets workers keep their tasks through a store outage, but makes them kill in
+   * time the tasks of jobs whose cancellation this controller cannot see.
+   *
+   * <p>Until the stored state is loaded, the leader does not know which jobs were cancelled, even
+   * long ago. Answers without commands for as long as its lease is extended would then keep
+   * cancelled tasks running, so they are also limited to the time that an earlier leader granted,
+   * as for any other controller.
    */
   private boolean mayAnswer() {
     long nowMicros = term.scheduler.nowMicros();
     if (!ready) {
       return term.election.holdsLease() && nowMicros < delegatedUntilMicros.getAsLong();
     }
-    long lastNewsMicros = Math.min(jobs.knownUpToMicros(), term.election.leaseEndMicros());
-    return nowMicros < lastNewsMicros + term.safety.answerMicros();
+    long knownUpToMicros = Math.min(jobs.knownUpToMicros(), term.election.leaseEndMicros());
+    return nowMicros < knownUpToMicros + term.safety.answerMicros();
   }
 
-  private void keepEarly(Heartbeat heartbeat) {
-    Heartbeat known = early.get(heartbeat.machine());
+  private void keepEarlyHeartbeat(Heartbeat heartbeat) {
+    Heartbeat known = earlyHeartbeats.get(heartbeat.machine());
     if (known == null || heartbeat.newerThan(known.epoch(), known.sequence())) {
-      early.put(heartbeat.machine(), heartbeat);
+      earlyHeartbeats.put(heartbeat.machine(), heartbeat);
     }
   }
 
-  private void replyByState(Heartbeat heartbeat, Consumer<HeartbeatReply> receiver) {
+  private void replyFromState(Heartbeat heartbeat, Consumer<HeartbeatReply> callback) {
     Freshness freshness = heartbeats.accept(heartbeat);
     if (freshness == Freshness.STALE || heartbeats.mustWithholdAnswer(heartbeat)) {
-      receiver.accept(new HeartbeatReply.Refused());
+      callback.accept(new HeartbeatReply.Refused());
     } else if (freshness == Freshness.OVERTAKEN) {
-      receiver.accept(
+      callback.accept(
           new HeartbeatReply.Answered(
               heartbeats.issueToken(heartbeat), heartbeats.issueStops(heartbeat)));
     } else if (heartbeats.awaitsDurableRecord(heartbeat.machine()) && term.election.holdsLease()) {
-      answerWhenDurable(new PendingReply(heartbeat, receiver));
+      answerWhenDurable(new PendingReply(heartbeat, callback));
     } else {
-      receiver.accept(answer(heartbeat));
+      callback.accept(answer(heartbeat));
     }
   }
 
-  /** Answers once the machine's records are durable, or after the longest wait. */
+  /**
+   * Delays an answer until the machine's records are durable, at most for {@link
+   * #MAX_DURABILITY_WAIT_MICROS}. An older pending answer to the machine is sent at once.
+   */
   private void answerWhenDurable(PendingReply reply) {
     String machineId = reply.heartbeat().machine();
-    PendingReply older = pending.put(machineId, reply);
+    PendingReply older = pendingReplies.put(machineId, reply);
     if (older != null) {
-      older.receiver().accept(answer(older.heartbeat()));
+      older.callback().accept(answer(older.heartbeat()));
     }
     term.after(
-        DURABILITY_WAIT_MICROS,
+        MAX_DURABILITY_WAIT_MICROS,
         () -> {
-          if (pending.remove(machineId, reply)) {
-            reply.receiver().accept(answer(reply.heartbeat()));
+          if (pendingReplies.remove(machineId, reply)) {
+            reply.callback().accept(answer(reply.heartbeat()));
           }
         });
   }
 
-  /** The commands come first: they may raise the token. */
+  /**
+   * Returns the answer to a heartbeat. Issues the commands first, since they may raise the token.
+   */
   private HeartbeatReply answer(Heartbeat heartbeat) {
     List<WorkerCommand> commands = heartbeats.issueCommands(heartbeat);
     return new HeartbeatReply.Answered(heartbeats.issueToken(heartbeat), commands);
--- a/src/main/java/madderrudder/coordination/leader/JobProgressReporter.java
+++ b/src/main/java/madderrudder/coordination/leader/JobProgressReporter.java
@@ -7,30 +7,34 @@
 import madderrudder.coordination.state.Job;
 import madderrudder.protocol.PeerMessage.JobProgress;
 
-/** Tells other controllers how far jobs have come. Confined to the event loop thread. */
+/** Reports the progress of jobs for the other controllers. Confined to the event loop thread. */
 final class JobProgressReporter {
-  private static final int MAX_JOBS = 1_000;
+  private static final int MAX_JOBS_PER_BATCH = 1_000;
 
   private final LeaderTerm term;
-  private int nextIndex;
+  private int nextBatchStart;
 
   JobProgressReporter(LeaderTerm term) {
     this.term = term;
   }
 
-  /** How far a live job has come; empty if it is not known. */
+  /** Returns the progress of a live job; empty if the job is not known. */
   Optional<JobProgress> progress(String id) {
     return Optional.ofNullable(term.cluster.jobs.get(id)).map(JobProgressReporter::progress);
   }
 
-  /** The progress of at most a thousand jobs, the next ones with each call if there are more. */
+  /**
+   * Returns the progress of at most {@link #MAX_JOBS_PER_BATCH} jobs. If there are more jobs, each
+   * call continues where the last one ended.
+   */
   List<JobProgress> nextBatch() {
     List<JobProgress> batch = new ArrayList<>();
     List<Job> jobs = new ArrayList<>(term.cluster.jobs.values());
-    for (int i = 0; i < Math.min(MAX_JOBS, jobs.size()); i++) {
-      batch.add(progress(jobs.get((nextIndex + i) % jobs.size())));
+    for (int i = 0; i < Math.min(MAX_JOBS_PER_BATCH, jobs.size()); i++) {
+      batch.add(progress(jobs.get((nextBatchStart + i) % jobs.size())));
     }
-    nextIndex = jobs.size() <= MAX_JOBS ? 0 : (nextIndex + MAX_JOBS) % jobs.size();
+    nextBatchStart =
+        jobs.size() <= MAX_JOBS_PER_BATCH ? 0 : (nextBatchStart + MAX_JOBS_PER_BATCH) % jobs.size();
     return batch;
   }
 
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -23,19 +23,20 @@
  * event loop thread.
  */
 public final class Leader {
-  private static final long TICK_MICROS = 250_000;
-  private static final long SUMMARY_MICROS = 30_000_000;
+  private static final long TICK_INTERVAL_MICROS = 250_000;
+  private static final long SUMMARY_INTERVAL_MICROS = 30_000_000;
 
   /**
-   * Direct requests per tick. A turn of the event loop stays short, and 1,000 machines are sent
-   * their commands within ten ticks, before their next heartbeats.
+   * Limits the direct requests per tick, so that one turn of the event loop stays short. 1,000
+   * machines still receive their commands within ten ticks, before their next heartbeats.
    */
-  private static final int MAX_DIRECT_PER_TICK = 100;
+  private static final int MAX_DIRECT_REQUESTS_PER_TICK = 100;
 
+  /** Added to two heartbeat intervals before a machine counts as silent. */
   private static final long SILENCE_SLACK_MICROS = 1_000_000;
 
-  /** Fewer machines than this do not show that the leader is cut off from its workers. */
-  private static final int MIN_MACHINES_FOR_SILENCE = 3;
+  /** With fewer machines, their silence does not show that the leader is cut off from them. */
+  private static final int MIN_MACHINES_FOR_SILENCE_CHECK = 3;
 
   private final LeaderDependencies dependencies;
   private final LeaderTerm term;
@@ -52,11 +53,11 @@
   private boolean ready;
 
   /**
-   * Creates the leader of a term, which does nothing before {@link #begin}.
+   * Creates the leader of a term, which is inactive until {@link #begin}.
    *
    * @param termNumber the number of the term that was won
    * @param termVersion the version of the term's key in the store
-   * @param onLost run when a commit shows that another leader has written to the store
+   * @param onLost run when a commit fails because another leader has written to the store
    */
   public Leader(
       LeaderDependencies dependencies, long termNumber, long termVersion, Runnable onLost) {
@@ -78,88 +79,103 @@
     machines.onDurable(this::onDurable);
   }
 
-  /** Begins to read the stored state. */
+  /** Starts reading the stored state. The leader is ready once the state is loaded. */
   public void begin() {
     loader.load(this::takeOver);
   }
 
-  /** Ends the term: whatever waits for an answer is refused, and nothing is written any more. */
+  /** Ends the term: refuses heartbeats with a pending reply and stops writing to the store. */
   public void end() {
     term.close();
     responder.close();
   }
 
-  /** The number of the term. */
+  /** Returns the number of the term. */
   public long number() {
     return term.number;
   }
 
-  /** Whether the stored state has been read, so that commands are given. */
+  /** Returns whether the stored state has been loaded, so that this leader issues commands. */
   public boolean ready() {
     return ready;
   }
 
-  /** Whether a heartbeat is replied to at this moment, rather than once the state is read. */
+  /**
+   * Returns whether heartbeats can be decided now. Until the stored state is loaded, that is the
+   * case only while a grant of an earlier leader allows answers.
+   */
   public boolean decidesHeartbeats() {
-    return responder.decides();
+    return responder.decidesNow();
   }
 
-  /** Takes a worker's heartbeat; the reply may come a little later. */
-  public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatReply> receiver) {
-    responder.handle(heartbeat, receiver);
+  /**
+   * Processes a worker's heartbeat.
+   *
+   * @param callback receives the reply, either during this call or after a short delay
+   */
+  public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatReply> callback) {
+    responder.handle(heartbeat, callback);
   }
 
   /**
-   * For how long, in microseconds, other controllers may answer workers in this leader's stead,
-   * with no command; 0 for not at all.
+   * Returns for how long, in microseconds, other controllers may answer workers on behalf of this
+   * leader, without commands; 0 if they may not.
    */
   public long delegationGrantMicros() {
     return ready ? delegation.grantMicros() : 0;
   }
 
   /**
-   * Grants delegation for the time to other controllers, and returns those of the processes heard
-   * from that may be sent the grant.
+   * Records a delegation grant that is about to be sent to other controllers.
+   *
+   * @param processes the latest known processes of the other controllers
+   * @param grantMicros the length of the grant
+   * @return the processes that the grant may be sent to
    */
-  public List<StampEcho> grantDelegation(List<StampEcho> heard, long grantMicros) {
-    return delegation.grant(heard, grantMicros);
+  public List<StampEcho> grantDelegation(List<StampEcho> processes, long grantMicros) {
+    return delegation.recordGrant(processes, grantMicros);
   }
 
-  /** Another controller has answered machines in this leader's stead. */
+  /** Handles a report of another controller that renewed leases on behalf of this leader. */
   public void onDelegatedRenewals(DelegatedRenewals renewals) {
-    delegation.onRenewals(renewals);
+    delegation.recordRenewals(renewals);
   }
 
-  /** Another controller's status, with what it has heard of this process, or null. */
-  public void onMembershipStatus(MembershipStatus peer, StampEcho mine) {
-    delegation.onStatus(peer, mine);
+  /**
+   * Handles another controller's status.
+   *
+   * @param echo the last stamp that the controller received from this process, or null if none
+   */
+  public void onMembershipStatus(MembershipStatus status, StampEcho echo) {
+    delegation.recordStatus(status, echo);
   }
 
-  /** How far a job has come; empty if this leader does not know it. */
+  /** Returns the progress of a job; empty if the leader is not ready or does not know the job. */
   public Optional<JobProgress> progress(String jobId) {
     return ready ? progress.progress(jobId) : Optional.empty();
   }
 
-  /** The progress of a part of the jobs, a different part each time if there are many. */
+  /** Returns the progress of a batch of jobs. Successive calls cycle through all jobs. */
   public List<JobProgress> nextProgressBatch() {
     return progress.nextBatch();
   }
 
   /**
-   * How many writes a second this leader is likely to leave over for users.
+   * Returns how many writes per second of its share this leader is expected to leave for users; 0
+   * if it is not ready.
    *
-   * @param sinceMicros the time since this was last asked
+   * @param sinceMicros the time since the last call
    */
   public double spareWritesPerSecond(long sinceMicros) {
     return ready ? term.commits.spareWritesPerSecond(sinceMicros) : 0;
   }
 
-  /** Writes the fields of {@code GET /metrics} that only the leader knows. */
+  /** Writes the fields of {@code GET /metrics} that only the leader provides. */
   public void writeMetrics(JsonGenerator out) throws IOException {
     status.writeMetrics(out);
   }
 
-  /** Writes the runs of tasks that ended after the run with the number. */
+  /** Writes the task runs that follow the run with the number {@code after} in the history. */
   public void writeHistory(JsonGenerator out, long after) throws IOException {
     term.history.write(out, after);
   }
@@ -168,9 +184,9 @@
     new CatalogPersister(term, dependencies.catalog()).start();
     ready = true;
     responder.markReady();
-    coverage.begin(responder::acceptEarly);
-    term.every(TICK_MICROS, this::tick);
-    term.every(SUMMARY_MICROS, status::logSummary);
+    coverage.begin(responder::acceptEarlyHeartbeats);
+    term.every(TICK_INTERVAL_MICROS, this::tick);
+    term.every(SUMMARY_INTERVAL_MICROS, status::logSummary);
   }
 
   private void planSoon() {
@@ -184,7 +200,7 @@
 
   private void tick() {
     if (mostMachinesSilent()) {
-      term.election.yieldLeadership("most machines have fallen silent at once");
+      term.election.yieldLeadership("heartbeats of most machines are missing");
       return;
     }
     machines.expireSilentLeases(term.scheduler.nowMicros());
@@ -195,34 +211,34 @@
     sendDirectCommands();
   }
 
-  /** Repeats stops that show no effect, and sends starts that the coverage allows by now. */
+  /** Repeats stops without visible effect, and sends starts that are no longer deferred. */
   private void sendDirectCommands() {
     int sent = 0;
     for (Machine machine : term.cluster.machines.values()) {
-      if (sent < MAX_DIRECT_PER_TICK && heartbeats.sendDirectCommands(machine)) {
+      if (sent < MAX_DIRECT_REQUESTS_PER_TICK && heartbeats.sendDirectCommands(machine)) {
         sent++;
       }
     }
   }
 
   /**
-   * Whether this leader is likely to be cut off from the workers. It would keep its lease on the
-   * lead while their leases run out. Machines rarely fall silent together by themselves, so another
-   * node should try while the leases still last. In an outage of the store no other node could be
-   * elected, and the lead is kept.
+   * Returns whether this leader is probably cut off from the workers. It would remain the leader
+   * while the workers' leases expire. Most machines rarely fail at the same time, so another
+   * controller should take over while the leases are still valid. During a store outage no other
+   * controller can be elected, so this leader does not step down.
    */
   private boolean mostMachinesSilent() {
     long nowMicros = term.scheduler.nowMicros();
-    long limitMicros = 2 * term.deployment.workers().reportMicros() + SILENCE_SLACK_MICROS;
+    long silenceLimitMicros = 2 * term.deployment.workers().reportMicros() + SILENCE_SLACK_MICROS;
     int reported = 0;
     int silent = 0;
     for (Machine machine : term.cluster.machines.values()) {
       if (machine.reported && !machine.leaseExpired && !machine.retiring) {
         reported++;
-        silent += nowMicros - machine.lastHeardMicros > limitMicros ? 1 : 0;
+        silent += nowMicros - machine.lastHeardMicros > silenceLimitMicros ? 1 : 0;
       }
     }
-    return reported >= MIN_MACHINES_FOR_SILENCE
+    return reported >= MIN_MACHINES_FOR_SILENCE_CHECK
         && 3 * silent >= 2 * reported
         && term.election.holdsLease();
   }
--- a/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
+++ b/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state of the cluster for operators, in {@code GET /metrics} and in the log. Confined to the
- * event loop thread.
+ * Reports the state of the cluster to operators, in {@code GET /metrics} and in the log. Confined
+ * to the event loop thread.
  */
 final class LeaderStatus {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
@@ -36,17 +36,17 @@
     this.planning = planning;
   }
 
-  /** Logs one line about the cluster. */
+  /** Logs one line with the machines in use, the waiting tasks and the remaining budget. */
   void logSummary() {
     LOG.info(
-        "machines and processors in use: {}; {} tasks wait, {} changes unwritten, budget left {}",
+        "machines and processors in use: {}; {} tasks waiting, {} unwritten changes, budget left {}",
         ClusterSummary.of(term.cluster),
         waitingTasks(),
         term.commits.backlog(),
         scaleOut.budgetLeft());
   }
 
-  /** Writes the fields of {@code GET /metrics} that only the leader knows. */
+  /** Writes the fields of {@code GET /metrics} that only the leader provides. */
   void writeMetrics(JsonGenerator out) throws IOException {
     out.writeNumberField("jobs", term.cluster.jobs.size());
     out.writeNumberField("waiting_tasks", waitingTasks());
@@ -69,14 +69,14 @@
     writeCoverage(out, coverage.coverage());
   }
 
-  private void writeCoverage(JsonGenerator out, ClusterCoverage now) throws IOException {
+  private void writeCoverage(JsonGenerator out, ClusterCoverage current) throws IOException {
     out.writeObjectFieldStart("heard");
-    out.writeNumberField("share", now.share());
-    out.writeBooleanField("overdue", now.overdue());
+    out.writeNumberField("share", current.share());
+    out.writeBooleanField("overdue", current.overdue());
     out.writeNumberField("jobs_held_back", planning.jobsHeldBack());
-    writeShares(out, "zones", now.zones());
-    writeShares(out, "types", now.types());
-    writeShares(out, "teams", now.teams());
+    writeShares(out, "zones", current.zones());
+    writeShares(out, "types", current.types());
+    writeShares(out, "teams", current.teams());
     out.writeEndObject();
   }
 
@@ -94,7 +94,7 @@
     return term.cluster.jobs.values().stream().mapToInt(Job::waitingCount).sum();
   }
 
-  private long countMachines(Predicate<Machine> test) {
-    return term.cluster.machines.values().stream().filter(test).count();
+  private long countMachines(Predicate<Machine> condition) {
+    return term.cluster.machines.values().stream().filter(condition).count();
   }
 }
--- a/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
+++ b/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
@@ -19,21 +19,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Works out the wanted state of the cluster from its present state, again and again, and acts on
- * the difference: placements, preemptions, evictions and scale-out. Confined to the event loop
+ * Plans the cluster in rounds: compares the demand of the jobs with the current state of the
+ * cluster and places tasks, preempts and evicts tasks, and scales out. Confined to the event loop
  * thread.
  */
 final class PlanningLoop {
   private static final Logger LOG = LoggerFactory.getLogger(PlanningLoop.class);
 
-  /** Events that come within this time of one another share a round. */
-  private static final long COALESCE_MICROS = 5_000;
+  /** Minimum delay of a requested round, so that events within this time share one round. */
+  private static final long COALESCING_DELAY_MICROS = 5_000;
 
   /**
-   * A round is followed by a pause of this many times what the last one took, so that planning
-   * never takes more than its part of the processor, however large the cluster is.
+   * Minimum delay of a requested round, as a multiple of the duration of the last round. It bounds
+   * the share of processor time that planning takes, however large the cluster is.
    */
-  private static final int PAUSE_PER_ROUND = 4;
+  private static final int PAUSE_TO_ROUND_RATIO = 4;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
@@ -41,12 +41,14 @@
   private final HeartbeatHandler heartbeats;
   private final CoverageTracker coverage;
   private final BooleanSupplier ready;
-  private boolean scheduled;
+  private boolean roundScheduled;
   private long lastRoundMicros;
   private long jobsHeldBack;
 
   /**
-   * {@code ready} tells whether the stored state has been read, before which nothing is planned.
+   * Creates the planning loop of one term.
+   *
+   * @param ready returns whether the stored state has been loaded; nothing is planned before that
    */
   PlanningLoop(
       LeaderTerm term,
@@ -63,30 +65,30 @@
     this.ready = ready;
   }
 
-  /** Plans a little later, together with whatever else happens until then. */
+  /** Schedules a planning round after a short delay, unless one is already scheduled. */
   void planSoon() {
-    if (scheduled) {
+    if (roundScheduled) {
       return;
     }
-    scheduled = true;
+    roundScheduled = true;
     term.after(
-        Math.max(COALESCE_MICROS, PAUSE_PER_ROUND * lastRoundMicros),
+        Math.max(COALESCING_DELAY_MICROS, PAUSE_TO_ROUND_RATIO * lastRoundMicros),
         () -> {
-          if (scheduled) {
+          if (roundScheduled) {
             plan();
           }
         });
   }
 
-  /** Plans now, if the leader's lease lasts. */
+  /** Runs a planning round now, if the stored state is loaded and the leader's lease is valid. */
   void plan() {
-    scheduled = false;
+    roundScheduled = false;
     if (!ready.getAsBoolean() || !term.election.holdsLease()) {
       return;
     }
     long nowMicros = term.scheduler.nowMicros();
-    // A gang goes as a whole: its other tasks are stopped in the same round, so that they can write
-    // their checkpoints together.
+    // A gang is evicted as a whole: its other tasks are stopped in the same round, so that they can
+    // write their checkpoints together.
     SpotReclaimDrain.plan(term.cluster, nowMicros).forEach(machines::evict);
     evictBrokenGangs();
     coverage.refresh();
@@ -99,15 +101,18 @@
     machines.takePendingPushes().forEach(heartbeats::sendDirectCommands);
     lastRoundMicros = term.scheduler.nowMicros() - nowMicros;
     term.metrics.record(Timing.PLANNING, lastRoundMicros);
-    LOG.debug("planned for {} jobs in {} ms", demand.waiting().size(), lastRoundMicros / 1000);
+    LOG.debug(
+        "planning round for {} waiting jobs took {} ms",
+        demand.waiting().size(),
+        lastRoundMicros / 1000);
   }
 
-  /** How many waiting jobs the last round held back until more machines have reported. */
+  /** Returns how many waiting jobs the last round held back until more machines have reported. */
   long jobsHeldBack() {
     return jobsHeldBack;
   }
 
-  /** Gangs that lost a task, or of which a task is being stopped, go as a whole. */
+  /** Evicts all tasks of each gang that has a stopping task, or has lost a task after its start. */
   private void evictBrokenGangs() {
     for (Job job : term.cluster.jobs.values()) {
       if (job.spec.kind() == JobKind.GANG
@@ -135,7 +140,7 @@
       place(placement);
     }
     for (Assignment victim : Preemption.plan(term.cluster, term.policy, demand, nowMicros)) {
-      LOG.debug("preempting {} on {}", victim.task, victim.machine.id);
+      LOG.debug("preempting task {} on machine {}", victim.task, victim.machine.id);
       machines.evict(victim);
     }
   }
@@ -145,7 +150,10 @@
     machines.assign(placement.machine(), job, placement.task(), nextAttempt(job));
   }
 
-  /** The tasks of a gang share one attempt number for as long as any of them is placed. */
+  /**
+   * Returns the attempt number for a task of the job. The tasks of a gang share one attempt number
+   * for as long as any of them is placed.
+   */
   private long nextAttempt(Job job) {
     if (job.spec.kind() != JobKind.GANG) {
       return term.nextAttempt();
--- a/src/main/java/madderrudder/coordination/leader/StateLoader.java
+++ b/src/main/java/madderrudder/coordination/leader/StateLoader.java
@@ -12,12 +12,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the stored state at the begin of a term and loads it into the cluster state. Confined to
+ * Reads the stored state at the start of a term and loads it into the cluster state. Confined to
  * the event loop thread.
  */
 final class StateLoader {
   private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
-  private static final long CATALOG_RETRY_MICROS = 250_000;
+  private static final long CATALOG_RETRY_INTERVAL_MICROS = 250_000;
 
   private final LeaderTerm term;
   private final MachineTypeCatalog catalog;
@@ -41,35 +41,45 @@
     this.delegation = delegation;
   }
 
-  /** Reads the state and runs the action once it is loaded; steps down if it is malformed. */
+  /**
+   * Reads the stored state and loads it once the machine type catalog is known. Steps down if a
+   * record is malformed.
+   *
+   * @param onLoaded run once the state is loaded
+   */
   void load(Runnable onLoaded) {
-    long readMicros = term.scheduler.nowMicros();
-    StoredStateReader.read(term, found -> loadWhenCatalogKnown(found, readMicros, onLoaded));
+    long readStartMicros = term.scheduler.nowMicros();
+    StoredStateReader.read(
+        term, storedState -> loadWhenCatalogKnown(storedState, readStartMicros, onLoaded));
   }
 
-  private void loadWhenCatalogKnown(StoredState found, long readMicros, Runnable onLoaded) {
+  private void loadWhenCatalogKnown(
+      StoredState storedState, long readStartMicros, Runnable onLoaded) {
     if (!catalog.known()) {
-      term.after(CATALOG_RETRY_MICROS, () -> loadWhenCatalogKnown(found, readMicros, onLoaded));
+      term.after(
+          CATALOG_RETRY_INTERVAL_MICROS,
+          () -> loadWhenCatalogKnown(storedState, readStartMicros, onLoaded));
       return;
     }
     term.cluster.types = catalog.types();
     try {
-      loadAll(found, readMicros);
+      loadStoredState(storedState, readStartMicros);
     } catch (MalformedMessageException e) {
-      LOG.error("malformed record in the store: {}", e.getMessage());
-      term.election.stepDown("malformed records");
+      LOG.error("malformed record in the store, stepping down: {}", e.getMessage());
+      term.election.stepDown("the store contains malformed records");
       return;
     }
     onLoaded.run();
   }
 
-  private void loadAll(StoredState found, long readMicros) throws MalformedMessageException {
-    jobs.load(found, readMicros);
-    machines.load(found.logSegments());
-    term.cluster.machines.values().forEach(delegation::allowForEarlierLeader);
-    scaleOut.load(found);
+  private void loadStoredState(StoredState storedState, long readStartMicros)
+      throws MalformedMessageException {
+    jobs.load(storedState, readStartMicros);
+    machines.load(storedState.logSegments());
+    term.cluster.machines.values().forEach(delegation::extendLeaseForEarlierLeader);
+    scaleOut.load(storedState);
     if (term.learned != null) {
-      term.learned.load(found.runTimes());
+      term.learned.load(storedState.runTimes());
       term.learned.startPersisting();
     }
   }
