--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -8,58 +8,61 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
- * What a leader knows of the controllers to which it has delegated the answering of heartbeats:
- * until when each may answer, and up to which moment all its answers are known. From that follows
- * when a silent machine's worker has certainly dropped its tasks. The argument is in
- * docs/delegation.md.
+ * Tracks the controllers to which a leader has delegated the answering of heartbeats: until when
+ * each may answer, and up to which time all its answers are known. From these the tracker derives
+ * when the worker of a silent machine has certainly dropped its tasks. docs/delegation.md contains
+ * the safety argument.
  *
  * <p>Confined to the event loop thread. All times are microseconds of the leader's steady clock.
  */
 public final class DelegationTracker {
-  private static final long NEVER = Long.MIN_VALUE / 4;
+  private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
 
   private final SafetyBounds safety;
   private final long termBeginMicros;
   private final Map<String, Delegate> delegates = new HashMap<>();
 
-  /** The process of a controller that is known to be its latest. */
+  /** The latest known process of a controller. */
   private static final class Delegate {
     long incarnation;
-    long firstHeardMicros;
 
-    /** Up to this moment all its answers are known. */
-    long answersKnownUpToMicros = NEVER;
+    /** When the first status of this process was received. */
+    long firstStatusMicros;
 
-    /** It may answer until this moment. */
-    long grantEndMicros = NEVER;
+    /** All answers that the process gave up to this time are known. */
+    long answersKnownUpToMicros = DISTANT_PAST_MICROS;
 
-    /** Earlier processes of its name may have answered until this moment. */
-    long predecessorsEndMicros = NEVER;
+    /** The process may answer heartbeats until this time. */
+    long grantEndMicros = DISTANT_PAST_MICROS;
 
-    /** The stamp of the renewals that came last, and how many messages with it have come. */
+    /** Earlier processes of the same controller may have answered heartbeats until this time. */
+    long predecessorsAnswerEndMicros = DISTANT_PAST_MICROS;
+
+    /** The stamp of the last renewals message. */
     long renewalsStampMicros;
 
-    int renewalsMessages;
+    /** How many renewals messages with that stamp were received. */
+    int renewalsMessageCount;
 
-    void startOver(long newIncarnation, long nowMicros) {
+    void reset(long newIncarnation, long nowMicros) {
       incarnation = newIncarnation;
-      firstHeardMicros = nowMicros;
-      answersKnownUpToMicros = NEVER;
-      grantEndMicros = NEVER;
-      renewalsMessages = 0;
+      firstStatusMicros = nowMicros;
+      answersKnownUpToMicros = DISTANT_PAST_MICROS;
+      grantEndMicros = DISTANT_PAST_MICROS;
+      renewalsMessageCount = 0;
     }
 
-    boolean hasSentAllRenewals(MembershipStatus status) {
+    boolean allRenewalsReceived(MembershipStatus status) {
       return status.answeredParts() == 0
           || (renewalsStampMicros == status.stampMicros()
-              && renewalsMessages == status.answeredParts());
+              && renewalsMessageCount == status.answeredParts());
     }
   }
 
   /**
-   * Creates a tracker that knows of no delegate.
+   * Creates a tracker without delegates.
    *
-   * @param safety the length of a worker's lease, with its margin
+   * @param safety the length of a worker's lease, with its safety margin
    * @param termBeginMicros when the leader's term began
    */
   public DelegationTracker(SafetyBounds safety, long termBeginMicros) {
@@ -68,11 +71,12 @@
   }
 
   /**
-   * Notes a grant that is about to be sent: the process may answer heartbeats until it ends.
+   * Records a grant before it is sent: the process may answer heartbeats until the grant ends.
    *
-   * @param to the process, as it was last heard
-   * @return false if it is not the latest known process of its controller; then it must not be sent
-   *     the grant
+   * @param to the process that receives the grant, with its last received stamp
+   * @param untilMicros when the grant ends
+   * @return false if the process is not the latest known one of its controller; the grant must then
+   *     not be sent
    */
   public boolean grant(StampEcho to, long untilMicros) {
     Delegate delegate = delegates.get(to.member());
@@ -84,8 +88,8 @@
   }
 
   /**
-   * Notes that one message of a delegate's renewals has come. The renewals themselves are for the
-   * caller to enter at their machines.
+   * Records that one message of a delegate's renewals was received. The caller applies the renewals
+   * to the machines.
    */
   public void recordRenewals(DelegatedRenewals renewals) {
     Delegate delegate = delegates.get(renewals.member());
@@ -93,80 +97,85 @@
       return;
     }
     boolean sameStamp = delegate.renewalsStampMicros == renewals.stampMicros();
-    delegate.renewalsMessages = sameStamp ? delegate.renewalsMessages + 1 : 1;
+    delegate.renewalsMessageCount = sameStamp ? delegate.renewalsMessageCount + 1 : 1;
     delegate.renewalsStampMicros = renewals.stampMicros();
   }
 
   /**
-   * Notes the status that another controller has sent after its renewals.
+   * Records a status that another controller has sent after its renewals.
    *
-   * @param echo what that controller has heard of this very process, or null if nothing
+   * @param echo the last stamp of this process that the controller has received, or null if none
    */
   public void recordStatus(MembershipStatus status, StampEcho echo, long nowMicros) {
     Delegate delegate = delegates.get(status.member());
     if (delegate == null) {
       delegate = new Delegate();
-      delegate.startOver(status.incarnation(), nowMicros);
+      delegate.reset(status.incarnation(), nowMicros);
       delegates.put(status.member(), delegate);
     } else if (delegate.incarnation != status.incarnation()
-        && !replace(delegate, status, echo, nowMicros)) {
+        && !replaceIfLater(delegate, status, echo, nowMicros)) {
       return;
     }
-    if (echo != null && delegate.hasSentAllRenewals(status)) {
+    if (echo != null && delegate.allRenewalsReceived(status)) {
       delegate.answersKnownUpToMicros =
-          Math.max(delegate.answersKnownUpToMicros, echo.stampMicros() + silenceAfter(echo));
+          Math.max(delegate.answersKnownUpToMicros, echo.stampMicros() + silenceMicrosAfter(echo));
     }
   }
 
-  /** A delegate that has heard the leader of this term does not answer for a while after that. */
-  private long silenceAfter(StampEcho echo) {
+  /**
+   * Returns for how long after the echoed stamp a delegate gives no answer, since it has then
+   * received a message of this term's leader; 0 if the stamp is from before the term.
+   */
+  private long silenceMicrosAfter(StampEcho echo) {
     return echo.stampMicros() >= termBeginMicros
         ? SafetyBounds.minusClockDrift(safety.leaderSilenceMicros())
         : 0;
   }
 
   /**
-   * Puts a new process in the place of an earlier one of the same name, if it is the later of the
-   * two. One process at a time has the name. A process that has heard what was sent after another
-   * was first heard lived later than that one, which therefore ended before this one began.
-   * Otherwise the message may be the earlier process's, late on its way.
+   * Replaces the known process of a controller by the sender of the status if that is the later of
+   * the two. At most one running process has a controller's name. A process that has received a
+   * message sent after the other's first status arrived is the later one, so the other ended before
+   * it started. Without that proof the status may be a delayed message of the earlier process.
    *
-   * @return false if the process is not proved to be the later one
+   * @return false if the sender is not proved to be the later process
    */
-  private static boolean replace(
+  private static boolean replaceIfLater(
       Delegate delegate, MembershipStatus status, StampEcho echo, long nowMicros) {
-    if (echo == null || echo.stampMicros() < delegate.firstHeardMicros) {
+    if (echo == null || echo.stampMicros() < delegate.firstStatusMicros) {
       return false;
     }
-    long bornMicros = nowMicros - SafetyBounds.minusClockDrift(status.ageMicros());
-    long lastAnswerMicros = Math.min(delegate.grantEndMicros, bornMicros);
+    long startedMicros = nowMicros - SafetyBounds.minusClockDrift(status.ageMicros());
+    long lastAnswerMicros = Math.min(delegate.grantEndMicros, startedMicros);
     if (lastAnswerMicros > delegate.answersKnownUpToMicros) {
-      delegate.predecessorsEndMicros = Math.max(delegate.predecessorsEndMicros, lastAnswerMicros);
+      delegate.predecessorsAnswerEndMicros =
+          Math.max(delegate.predecessorsAnswerEndMicros, lastAnswerMicros);
     }
-    delegate.startOver(status.incarnation(), nowMicros);
+    delegate.reset(status.incarnation(), nowMicros);
     return true;
   }
 
   /**
-   * Whether a worker's lease has certainly expired, so that it has dropped its tasks. A delegate
-   * whose answers are not all known up to the end of the lease may have renewed it for as long as
-   * its grant lasts; the answers of the others then have to be known up to that later end.
+   * Returns whether a worker's lease has certainly expired, so that the worker has dropped its
+   * tasks. A delegate whose answers are not all known up to the end of the lease may have renewed
+   * it until its grant ended. The lease may then end later, and the answers of the other delegates
+   * have to be known up to that later end.
    *
-   * @param lastAnsweredMicros when the worker's heartbeat was last known to be answered
+   * @param lastAnsweredMicros the time of the last known answer to the worker
    */
   public boolean leaseExpired(long lastAnsweredMicros, long nowMicros) {
     long endMicros = lastAnsweredMicros + safety.leaseMicros();
     for (Delegate delegate : delegates.values()) {
-      endMicros = Math.max(endMicros, delegate.predecessorsEndMicros + safety.leaseMicros());
+      endMicros = Math.max(endMicros, delegate.predecessorsAnswerEndMicros + safety.leaseMicros());
     }
-    boolean moved = nowMicros > endMicros;
-    while (moved) {
-      moved = false;
+    boolean recheck = nowMicros > endMicros;
+    while (recheck) {
+      recheck = false;
       for (Delegate delegate : delegates.values()) {
-        long possibleEndMicros = delegate.grantEndMicros + safety.leaseMicros();
-        if (delegate.answersKnownUpToMicros < endMicros && possibleEndMicros > endMicros) {
-          endMicros = possibleEndMicros;
-          moved = true;
+        long delegatedEndMicros = delegate.grantEndMicros + safety.leaseMicros();
+        if (delegate.answersKnownUpToMicros < endMicros && delegatedEndMicros > endMicros) {
+          endMicros = delegatedEndMicros;
+          recheck = true;
         }
       }
     }
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -17,60 +17,74 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * Answers heartbeats on behalf of a leader that can't be reached, so that workers' leases are
- * renewed, and never with a command. A leader grants that for a bounded time, counted on this
- * controller's clock from the sending of what the grant answers: a grant that was delayed on its
- * way is worth no more for it. The argument is in docs/delegation.md.
+ * Decides whether this controller answers heartbeats on behalf of an unreachable leader, and
+ * reports the answers to its peers. Such an answer renews a worker's lease and carries no command.
+ * The leader grants the permission for a bounded time, which counts on this controller's clock from
+ * when it sent the status that the grant replies to, so that a delay of the grant does not extend
+ * it. docs/delegation.md contains the safety argument.
  *
  * <p>Confined to the event loop thread. All times are microseconds of this controller's steady
  * clock.
  */
 public final class HeartbeatDelegate {
   /**
-   * Five times the period of status messages: a leader not heard for so long may be gone, or this
-   * controller cut off.
+   * Five times the period of status messages. A leader without a message for this long may have
+   * failed, or this controller may be partitioned.
    */
-  private static final long HEARD_LATELY_MICROS = 2_000_000;
+  private static final long PEER_CONTACT_TIMEOUT_MICROS = 2_000_000;
 
-  /** Leases that were renewed longer ago have certainly expired, and need not be reported. */
-  private static final long REPORT_SLACK_MICROS = 2_000_000;
+  /**
+   * Margin beyond the length of a lease after which a renewal is no longer reported, since the
+   * lease has certainly expired.
+   */
+  private static final long RENEWAL_REPORT_MARGIN_MICROS = 2_000_000;
 
-  private static final int RENEWALS_MESSAGE_BYTES = PeerMessageCodec.MAX_BYTES / 2;
+  /**
+   * A renewals message is complete when its estimated size exceeds this; the other half of the
+   * limit is margin.
+   */
+  private static final int RENEWALS_MESSAGE_FLUSH_BYTES = PeerMessageCodec.MAX_BYTES / 2;
 
   /**
-   * A renewal's bytes in a message beside the machine's name, whose letters may take three bytes
-   * each.
+   * Bytes of a renewal in a message, without the machine's name. Each character of the name may
+   * take three more.
    */
-  private static final int RENEWAL_BYTES = 6;
+  private static final int RENEWAL_OVERHEAD_BYTES = 6;
 
   private final Scheduler scheduler;
   private final SafetyBounds safety;
   private final String member;
   private final long incarnation;
-  private final long bornMicros;
+  private final long startedMicros;
   private final Map<String, PeerContact> peers = new HashMap<>();
 
-  /** Each machine's latest answer; the machine answered longest ago comes first. */
-  private final Map<String, Answered> answered = new LinkedHashMap<>();
+  /** The last answer to each machine, by machine id, oldest answer first. */
+  private final Map<String, Answer> lastAnswers = new LinkedHashMap<>();
 
   private long grantTerm;
-  private String granter;
+  private String grantingLeader;
   private long grantEndMicros;
   private long renewalSafeUntilMicros = Long.MIN_VALUE / 4;
 
-  /** When an answer was given, and the epoch and sequence number of the heartbeat it was for. */
-  private record Answered(long atMicros, long epoch, long sequence) {}
+  /**
+   * The time of an answer, and the epoch and sequence number of the heartbeat that it replies to.
+   */
+  private record Answer(long answeredMicros, long epoch, long sequence) {}
 
-  /** The process and stamp last heard of a peer, and when on this controller's clock. */
-  private record PeerContact(long incarnation, long stampMicros, long heardMicros) {}
+  /**
+   * The incarnation and stamp in the last status of a peer, and when that was received, on this
+   * controller's clock.
+   */
+  private record PeerContact(long incarnation, long stampMicros, long receivedMicros) {}
 
   /**
    * Creates a delegate without a grant.
    *
    * @param scheduler the steady clock
-   * @param safety the length of a worker's lease, with its margin
+   * @param safety the length of a worker's lease, with its safety margin
    * @param member this controller's name
-   * @param incarnation a random number that tells this process from others of the same name
+   * @param incarnation a random number that distinguishes this process from others with the same
+   *     name
    */
   public HeartbeatDelegate(
       Scheduler scheduler, SafetyBounds safety, String member, long incarnation) {
@@ -78,12 +92,12 @@
     this.safety = safety;
     this.member = member;
     this.incarnation = incarnation;
-    bornMicros = scheduler.nowMicros();
+    startedMicros = scheduler.nowMicros();
   }
 
   /**
-   * Notes a peer's status. If it leads in the highest term known and grants this process something,
-   * that grant counts from now on.
+   * Records a peer's status. If the peer leads in the highest known term and grants this process
+   * permission to answer, that grant replaces or extends the current one.
    */
   public void recordStatus(MembershipStatus status, long highestTerm) {
     peers.put(
@@ -97,10 +111,10 @@
     grantEndMicros = status.term() == grantTerm ? Math.max(grantEndMicros, end) : end;
     renewalSafeUntil(end);
     grantTerm = status.term();
-    granter = status.member();
+    grantingLeader = status.member();
   }
 
-  /** What the peer has heard of this very process, or null if nothing. */
+  /** Returns the last stamp of this process that the peer has received, or null if none. */
   public StampEcho echoOfThisProcess(MembershipStatus status) {
     for (StampEcho echo : status.echoes()) {
       if (echo.member().equals(member) && echo.incarnation() == incarnation) {
@@ -110,70 +124,74 @@
     return null;
   }
 
-  /** Whether the peer was heard within the last 2 s. */
+  /** Returns whether a status of the peer was received within the last 2 s. */
   public boolean hasHeardLately(String peer) {
     PeerContact last = peers.get(peer);
-    return last != null && scheduler.nowMicros() - last.heardMicros() < HEARD_LATELY_MICROS;
+    return last != null
+        && scheduler.nowMicros() - last.receivedMicros() < PEER_CONTACT_TIMEOUT_MICROS;
   }
 
   /**
-   * Whether heartbeats may be answered under the grant: no higher term is known, the grant lasts,
-   * and nothing was heard for a while of the leader that gave it.
+   * Returns whether heartbeats may be answered under the grant: no higher term is known, the grant
+   * has not ended, and no status of the granting leader was received for {@link
+   * SafetyBounds#leaderSilenceMicros}.
    */
   public boolean mayAnswer(long highestTerm) {
     long nowMicros = scheduler.nowMicros();
     return grantTerm > 0
         && grantTerm == highestTerm
         && nowMicros < grantEndMicros
-        && nowMicros - peers.get(granter).heardMicros() > safety.leaderSilenceMicros();
+        && nowMicros - peers.get(grantingLeader).receivedMicros() > safety.leaderSilenceMicros();
   }
 
-  /** Notes the end of a grant that this process has given itself, as the leader. */
+  /** Records the end of a grant that this process has issued as the leader. */
   public void renewalSafeUntil(long grantEnd) {
     renewalSafeUntilMicros = Math.max(renewalSafeUntilMicros, grantEnd);
   }
 
   /**
-   * Up to this moment an answer without commands keeps no cancelled task for too long, whoever
-   * gives it and in whatever term: it is the latest end of any grant that this process has received
-   * or given. Of the jobs that were cancelled before the news that the grant counts from, no task
-   * was left anywhere, and a lease that such an answer renews expires in time for those cancelled
-   * since. Far in the past if there was no grant.
+   * Returns the time until which an answer without commands cannot keep a cancelled task running
+   * beyond its deadline, whichever controller gives the answer and in whichever term. This is the
+   * latest end of any grant that this process has received or issued. A grant counts from a time up
+   * to which the leader knew the content of the store. No task was left of the jobs that were
+   * cancelled before that time, and a lease that such an answer renews expires in time for the jobs
+   * cancelled since. Far in the past if there was no grant.
    */
   public long renewalSafeUntilMicros() {
     return renewalSafeUntilMicros;
   }
 
-  /** The term of the grant, under whose token heartbeats are answered; 0 without a grant. */
+  /** Returns the term of the grant, whose fencing token the answers carry; 0 without a grant. */
   public long grantTerm() {
     return grantTerm;
   }
 
   /**
-   * Notes that a heartbeat is answered at this moment.
+   * Records that a heartbeat is answered now.
    *
-   * @return false if a later heartbeat of the worker has been answered: this one is a late copy,
-   *     and must not be answered
+   * @return false if this heartbeat or a later one of the worker was answered before; this one is
+   *     then a late copy, and must not be answered
    */
   public boolean recordAnswer(Heartbeat heartbeat) {
-    Answered last = answered.get(heartbeat.machine());
+    Answer last = lastAnswers.get(heartbeat.machine());
     if (last != null && !heartbeat.newerThan(last.epoch(), last.sequence())) {
       return false;
     }
-    answered.remove(heartbeat.machine());
-    answered.put(
+    lastAnswers.remove(heartbeat.machine());
+    lastAnswers.put(
         heartbeat.machine(),
-        new Answered(scheduler.nowMicros(), heartbeat.epoch(), heartbeat.sequence()));
+        new Answer(scheduler.nowMicros(), heartbeat.epoch(), heartbeat.sequence()));
     return true;
   }
 
   /**
-   * What peers are to be sent: which machines this process has answered within the length of a
-   * lease, and then its status.
+   * Returns the messages to broadcast to peers: the machines that this process has answered within
+   * the length of a lease, followed by its status.
    *
-   * @param highestTerm the highest term known
+   * @param highestTerm the highest known term
    * @param grantMicros for how long peers may answer, if this controller leads; else 0
-   * @param echoes the stamps to be sent back, as {@link #echoes}
+   * @param echoes the stamps to send back; those of {@link #echoes} that the leader grants, if this
+   *     controller leads
    */
   public List<PeerMessage> statusMessages(
       long highestTerm, long grantMicros, List<StampEcho> echoes) {
@@ -184,7 +202,7 @@
             member,
             incarnation,
             nowMicros,
-            nowMicros - bornMicros,
+            nowMicros - startedMicros,
             highestTerm,
             grantMicros,
             messages.size(),
@@ -192,22 +210,22 @@
     return messages;
   }
 
-  /** The renewals, in as many messages as keep each within its bound; forgets expired ones. */
+  /** Returns the renewals, split into messages within the size limit, and removes expired ones. */
   private List<PeerMessage> renewalMessages(long nowMicros) {
     List<PeerMessage> messages = new ArrayList<>();
     List<LeaseRenewal> renewals = new ArrayList<>();
     int bytes = 0;
-    Iterator<Map.Entry<String, Answered>> entries = answered.entrySet().iterator();
+    Iterator<Map.Entry<String, Answer>> entries = lastAnswers.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<String, Answered> entry = entries.next();
-      long agoMicros = nowMicros - entry.getValue().atMicros();
-      if (agoMicros > safety.leaseMicros() + REPORT_SLACK_MICROS) {
+      Map.Entry<String, Answer> entry = entries.next();
+      long ageMicros = nowMicros - entry.getValue().answeredMicros();
+      if (ageMicros > safety.leaseMicros() + RENEWAL_REPORT_MARGIN_MICROS) {
         entries.remove();
         continue;
       }
-      renewals.add(new LeaseRenewal(entry.getKey(), (int) (agoMicros / 1000)));
-      bytes += RENEWAL_BYTES + 3 * entry.getKey().length();
-      if (bytes > RENEWALS_MESSAGE_BYTES) {
+      renewals.add(new LeaseRenewal(entry.getKey(), (int) (ageMicros / 1000)));
+      bytes += RENEWAL_OVERHEAD_BYTES + 3 * entry.getKey().length();
+      if (bytes > RENEWALS_MESSAGE_FLUSH_BYTES) {
         messages.add(new DelegatedRenewals(member, incarnation, nowMicros, renewals));
         renewals = new ArrayList<>();
         bytes = 0;
@@ -219,7 +237,7 @@
     return messages;
   }
 
-  /** The stamps last heard of each peer, to be sent back. */
+  /** Returns the last received stamp of each peer, to be sent back. */
   public List<StampEcho> echoes() {
     return peers.entrySet().stream().map(peer -> echo(peer.getKey(), peer.getValue())).toList();
   }
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -9,15 +9,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Elects the leader. The leader's key in the store is attached to a lease; the compare-and-swap
- * that writes it raises the term in the same transaction, so that a term has one leader at most.
+ * Elects the leader. The leader key in the store is attached to a lease. The compare-and-swap that
+ * writes the key raises the term in the same transaction, so that a term has at most one leader.
  *
  * <pre>
  *              key absent, or left by an               compare-and-swap
  *              earlier process of this member          succeeded
  *   FOLLOWER ----------------------------&gt; CAMPAIGNING -----------&gt; LEADING
  *      ^  ^                                     |                      |
- *      |  +---- lease or swap refused ----------+                      |
+ *      |  +---- lease or claim refused ---------+                      |
  *      +------- lease expired, higher term observed, stepped down -----+
  * </pre>
  *
@@ -25,41 +25,46 @@
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-  private static final long CAMPAIGN_CHECK_MICROS = 300_000;
+  private static final long CAMPAIGN_CHECK_INTERVAL_MICROS = 300_000;
 
-  /** Spreads the campaigns of controllers that see the key vanish together. */
-  private static final long CAMPAIGN_JITTER_MICROS = 30_000;
+  /**
+   * Upper bound of the random delay that spreads the campaigns of controllers that observe the
+   * deletion of the leader key at the same time.
+   */
+  private static final long MAX_CAMPAIGN_JITTER_MICROS = 30_000;
 
-  /** A leader that yields leaves the others so much time to be elected. */
-  private static final long YIELD_MICROS = 4_000_000;
+  /** How long a leader that yields does not campaign, so that another controller can be elected. */
+  private static final long CAMPAIGN_PAUSE_AFTER_YIELD_MICROS = 4_000_000;
 
   /**
-   * Half of the terms that tokens have room for; a term a millisecond would take eight years to get
-   * there.
+   * Half of the range that fencing tokens reserve for the term. At one term per millisecond it
+   * lasts for eight years.
    */
   private static final long MAX_PLAUSIBLE_TERM = 1L << 38;
 
-  /** Is told when this controller begins and ceases to lead. */
+  /** Receives the beginning and the end of this controller's terms as leader. */
   public interface Listener {
     /**
-     * This controller leads from now on.
+     * Called when this controller has become the leader.
      *
      * @param term the new term
-     * @param termVersion the version of the term's key in the store, on which the leader's own
-     *     compare-and-swaps build
+     * @param termVersion the version of the term key in the store, which the leader's first
+     *     compare-and-swap expects
      */
     void elected(long term, long termVersion);
 
-    /** This controller no longer leads. */
+    /** Called when this controller has ceased to lead. */
     void deposed();
   }
 
   private enum State {
-    /** Another controller leads, or nobody is known to. */
+    /** Another controller leads, or no leader is known. */
     FOLLOWER,
-    /** A lease was asked for, and with it the leader's key is claimed. */
+    /** A campaign for the leader key is in progress. */
     CAMPAIGNING,
-    /** The leader's key names this process, as far as it knows. */
+    /**
+     * This process has claimed the leader key and has observed neither its loss nor a higher term.
+     */
     LEADING
   }
 
@@ -69,11 +74,11 @@
   private final String member;
   private final long leaseMicros;
   private final Listener listener;
-  private final LeaderKeyWatch watch;
+  private final LeaderKeyWatch leaderKeyWatch;
 
   private State state = State.FOLLOWER;
 
-  /** The term in which this controller leads, or led last. */
+  /** The term in which this controller leads or last led. */
   private long term;
 
   /** The lease of that term; null before this controller has led. */
@@ -84,23 +89,23 @@
   /** The leader of the highest term known, or null. */
   private String leader;
 
-  /** The store has said that the leader's key does not exist. */
+  /** Whether the store last reported that the leader key does not exist. */
   private boolean keyAbsent;
 
-  /** The version of the leader's key if an earlier process of this member wrote it, else 0. */
+  /** The version of the leader key if an earlier process of this member wrote it, else 0. */
   private long predecessorVersion;
 
   private long campaignNotBeforeMicros = Long.MIN_VALUE;
 
   /**
-   * Creates a follower that does nothing before {@link #start}.
+   * Creates a follower that is inactive until {@link #start}.
    *
    * @param scheduler clock and timers of the event loop
-   * @param store where the leader's key, the term and the lease are
-   * @param random spreads campaigns in time
-   * @param member this controller's name; one process at a time has it
+   * @param store client of the store, which holds the leader key, the term key and the lease
+   * @param random source of the delay before a campaign
+   * @param member this controller's name; at most one running process has it
    * @param leaseMicros the length of the leader's lease in microseconds
-   * @param listener is told of the beginning and the end of this controller's terms
+   * @param listener receives the beginning and the end of this controller's terms
    */
   public LeaderElection(
       Scheduler scheduler,
@@ -115,70 +120,75 @@
     this.member = member;
     this.leaseMicros = leaseMicros;
     this.listener = listener;
-    watch = new LeaderKeyWatch(scheduler, store, this::onLeaderNamed, this::onLeaderAbsent);
+    leaderKeyWatch =
+        new LeaderKeyWatch(scheduler, store, this::onLeaderNamed, this::onLeaderAbsent);
   }
 
-  /** Begins to follow the leader's key, and to campaign whenever it is absent. */
+  /** Starts to watch the leader key, and to campaign whenever it is absent. */
   public void start() {
-    watch.start();
-    scheduler.every(CAMPAIGN_CHECK_MICROS, this::campaignIfPossible);
+    leaderKeyWatch.start();
+    scheduler.every(CAMPAIGN_CHECK_INTERVAL_MICROS, this::campaignIfPossible);
   }
 
-  /** The member believed to lead; empty if none is known. */
+  /** Returns the name of the known leader; empty if none is known. */
   public Optional<String> leader() {
     return state == State.LEADING ? Optional.of(member) : Optional.ofNullable(leader);
   }
 
-  /** The highest term this controller knows of; 0 before it has heard of any. */
+  /** Returns the highest term that this controller has observed; 0 before the first. */
   public long highestTerm() {
     return highestTerm;
   }
 
-  /** Whether this controller leads and its lease has not expired by its own clock. */
+  /** Returns whether this controller leads and its lease has not expired by its own clock. */
   public boolean holdsLease() {
     return state == State.LEADING && scheduler.nowMicros() < lease.endMicros();
   }
 
   /**
-   * The moment up to which the lease certainly lasts, drift of the clocks allowed for; of the last
-   * lease if this controller does not lead, and 0 if it never did.
+   * Returns the time until which the leader's lease is certain to last, with clock drift
+   * subtracted. This is the end of the last lease if this controller no longer leads, and 0 if it
+   * never led.
    */
   public long leaseEndMicros() {
     return lease == null ? 0 : lease.endMicros();
   }
 
-  /** A term that a peer knows of. A higher one than its own ends a leader's term. */
-  public void observeTerm(long otherTerm) {
-    if (otherTerm <= highestTerm) {
+  /**
+   * Records a term that a peer or a worker has observed. A leader steps down if it is higher than
+   * its own.
+   */
+  public void observeTerm(long observedTerm) {
+    if (observedTerm <= highestTerm) {
       return;
     }
-    highestTerm = otherTerm;
-    if (state == State.LEADING && otherTerm > term) {
-      stepDown("term " + otherTerm + " observed");
+    highestTerm = observedTerm;
+    if (state == State.LEADING && observedTerm > term) {
+      stepDown("observed higher term " + observedTerm);
     }
   }
 
   /**
-   * A term that a peer knows of, and who leads in it. A process that starts while the store is away
-   * mostly learns of the term from a worker first, and of its leader later, so that the same term
-   * may still bring a name.
+   * Records a peer's highest term and its leader. A process that starts while the store is
+   * unavailable usually observes the term in a worker's token first, and the leader of that term
+   * later, so the leader is also accepted for a term that is already known.
    *
-   * @param otherTerm the peer's highest term
-   * @param otherLeader the leader's name, or empty if the peer knows none
+   * @param peerTerm the peer's highest term
+   * @param peerLeader the leader's name; empty if the peer knows none
    */
-  public void observeLeader(long otherTerm, String otherLeader) {
-    boolean firstName = otherTerm == highestTerm && leader == null && !keyAbsent;
-    if (!otherLeader.isEmpty() && (otherTerm > highestTerm || firstName)) {
-      leader = otherLeader;
+  public void observeLeader(long peerTerm, String peerLeader) {
+    boolean firstLeaderOfTerm = peerTerm == highestTerm && leader == null && !keyAbsent;
+    if (!peerLeader.isEmpty() && (peerTerm > highestTerm || firstLeaderOfTerm)) {
+      leader = peerLeader;
     }
-    observeTerm(otherTerm);
+    observeTerm(peerTerm);
   }
 
   /**
-   * A fencing token that a worker has seen.
+   * Records the term of a fencing token that a worker has reported.
    *
-   * @return false if no leader can have issued it; its term is then ignored, since believing it
-   *     would leave no higher term to lead in
+   * @return false if the term is too high for any leader to have issued the token; the term is then
+   *     ignored, since accepting it could leave no higher term for an election
    */
   public boolean observeToken(long token) {
     long tokenTerm = FencingToken.term(token);
@@ -190,25 +200,25 @@
   }
 
   /**
-   * Steps down in favour of another controller: this one does not campaign for a while.
+   * Steps down, and does not campaign for a while so that another controller can be elected.
    *
-   * @param why the reason, for the log
+   * @param reason the cause, for the log
    */
-  public void yieldLeadership(String why) {
-    campaignNotBeforeMicros = scheduler.nowMicros() + YIELD_MICROS;
-    stepDown(why);
+  public void yieldLeadership(String reason) {
+    campaignNotBeforeMicros = scheduler.nowMicros() + CAMPAIGN_PAUSE_AFTER_YIELD_MICROS;
+    stepDown(reason);
   }
 
   /**
-   * Ends this controller's term and gives its lease back; does nothing if it does not lead.
+   * Ends this controller's term and revokes its lease; does nothing if it does not lead.
    *
-   * @param why the reason, for the log
+   * @param reason the cause, for the log
    */
-  public void stepDown(String why) {
+  public void stepDown(String reason) {
     if (state != State.LEADING) {
       return;
     }
-    LOG.info("stepping down from term {}: {}", term, why);
+    LOG.info("stepping down from term {}: {}", term, reason);
     state = State.FOLLOWER;
     lease.release();
     listener.deposed();
@@ -227,9 +237,10 @@
   }
 
   /**
-   * One process at a time has this member's name, so the one that the key names has ended, and its
-   * lease need not be waited for. After an outage of the store, which ends with all leases at their
-   * full time, waiting for it once cost workers their own leases.
+   * Schedules a campaign that replaces the leader key of an earlier process of this member. At most
+   * one running process has this member's name, so the earlier one has ended and its lease need not
+   * run out first. After an outage the store restores all leases to their full length; waiting for
+   * the earlier lease then let workers' leases expire.
    */
   private void replacePredecessor(long version) {
     predecessorVersion = version;
@@ -241,7 +252,7 @@
     predecessorVersion = 0;
     if (state != State.LEADING) {
       leader = null;
-      scheduler.after(random.nextLong(CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
+      scheduler.after(random.nextLong(MAX_CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
     }
   }
 
@@ -256,11 +267,11 @@
       return;
     }
     state = State.CAMPAIGNING;
-    new LeadershipCampaign(scheduler, store, member, new OwnCandidate()).start(leaseMicros);
+    new LeadershipCampaign(scheduler, store, member, new ElectionCandidate()).start(leaseMicros);
   }
 
-  /** This controller as the candidate of its campaigns. */
-  private final class OwnCandidate implements LeadershipCampaign.Candidate {
+  /** Connects a campaign to the state of this election. */
+  private final class ElectionCandidate implements LeadershipCampaign.Candidate {
     @Override
     public long highestTerm() {
       return highestTerm;
@@ -273,7 +284,7 @@
 
     @Override
     public void won(long newTerm, LeaderLease.Grant grant, long termVersion) {
-      lead(newTerm, grant, termVersion);
+      startLeading(newTerm, grant, termVersion);
     }
 
     @Override
@@ -282,17 +293,15 @@
     }
   }
 
-  private void lead(long newTerm, LeaderLease.Grant grant, long termVersion) {
+  private void startLeading(long newTerm, LeaderLease.Grant grant, long termVersion) {
     state = State.LEADING;
     keyAbsent = false;
     predecessorVersion = 0;
     term = newTerm;
     highestTerm = newTerm;
-    lease =
-        new LeaderLease(
-            scheduler, store, grant, leaseMicros, () -> stepDown("the lease has expired"));
-    LOG.info("leading in term {}", term);
+    lease = new LeaderLease(scheduler, store, grant, leaseMicros, () -> stepDown("lease expired"));
+    LOG.info("elected leader in term {}", term);
     listener.elected(term, termVersion);
-    lease.keepRenewed();
+    lease.scheduleNextRenewal();
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
@@ -10,42 +10,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the leader's key in the store for as long as the process lives. Confined to the event
- * loop thread.
+ * Watches the leader key in the store until the process ends. Confined to the event loop thread.
  */
 final class LeaderKeyWatch {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderKeyWatch.class);
   private static final long RETRY_MICROS = 200_000;
 
-  /** How long the store may hold a watch request open. */
-  private static final long WATCH_MICROS = 2_000_000;
+  /** How long the store may hold a watch request open before it answers without a change. */
+  private static final long MAX_WATCH_MICROS = 2_000_000;
 
   private final Scheduler scheduler;
   private final StoreClient store;
-  private final LeaderNamed onLeaderNamed;
+  private final LeaderObserver observer;
   private final Runnable onLeaderAbsent;
 
-  /** Is told who leads. */
-  interface LeaderNamed {
-    /** The key names a leader; {@code version} is the key's version in the store. */
-    void accept(LeaderRecord leader, long version);
+  /** Receives each value of the leader key. */
+  interface LeaderObserver {
+    /**
+     * Called when the key names a leader; {@code version} is the version of the key in the store.
+     */
+    void leaderNamed(LeaderRecord leader, long version);
   }
 
   /**
-   * Creates a watch that does nothing before {@link #start}.
+   * Creates a watch that is inactive until {@link #start}.
    *
-   * @param onLeaderNamed is told of each value of the key
-   * @param onLeaderAbsent is run when the key does not exist: its lease expired or was revoked
+   * @param observer receives each readable value of the key
+   * @param onLeaderAbsent runs when the key does not exist because its lease expired or was revoked
    */
   LeaderKeyWatch(
-      Scheduler scheduler, StoreClient store, LeaderNamed onLeaderNamed, Runnable onLeaderAbsent) {
+      Scheduler scheduler, StoreClient store, LeaderObserver observer, Runnable onLeaderAbsent) {
     this.scheduler = scheduler;
     this.store = store;
-    this.onLeaderNamed = onLeaderNamed;
+    this.observer = observer;
     this.onLeaderAbsent = onLeaderAbsent;
   }
 
-  /** Reads the key, and then follows its changes. */
+  /** Reads the key, and then watches it for changes. */
   void start() {
     store.range(
         Keys.LEAD_PREFIX,
@@ -70,7 +71,7 @@
     store.watch(
         Keys.LEAD_PREFIX,
         revision,
-        WATCH_MICROS,
+        MAX_WATCH_MICROS,
         reply -> {
           if (reply.is(Outcome.OK)) {
             reply.value().items().forEach(this::reportChange);
@@ -89,7 +90,10 @@
     }
   }
 
-  /** Whether the item is the leader's key and exists; an unreadable one does exist. */
+  /**
+   * Reports the leader that the item names. Returns whether the item is an existing leader key; an
+   * unreadable value counts as existing, but is not reported.
+   */
   private boolean reportIfLeader(KeyValue item) {
     if (item.value() == null || !item.key().equals(Keys.LEAD)) {
       return false;
@@ -98,10 +102,10 @@
     try {
       leader = LeaderRecord.read(item);
     } catch (MalformedMessageException e) {
-      LOG.info("the leader's key is unreadable: {}", e.getMessage());
+      LOG.info("leader key is unreadable, ignoring its value: {}", e.getMessage());
       return true;
     }
-    onLeaderNamed.accept(leader, item.version());
+    observer.leaderNamed(leader, item.version());
     return true;
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/LeaderLease.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderLease.java
@@ -6,11 +6,12 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * The lease that one term's leader has on its key in the store: renewed until it is released or
- * expires. Confined to the event loop thread; times are microseconds of the steady clock.
+ * The lease in the store that the leader key of one term is attached to. It is renewed until it is
+ * released or expires. Confined to the event loop thread; times are microseconds of the steady
+ * clock.
  */
 final class LeaderLease {
-  private static final long RETRY_MICROS = 200_000;
+  private static final long RENEWAL_RETRY_MICROS = 200_000;
   private static final int RENEWALS_PER_LEASE = 4;
 
   private final Scheduler scheduler;
@@ -22,18 +23,18 @@
   private boolean released;
 
   /**
-   * A lease as the store granted it.
+   * A lease that the store has granted.
    *
    * @param id the lease's id in the store
-   * @param requestedMicros when it was asked for; it began no earlier
+   * @param requestedMicros when the request was sent; the lease began no earlier
    */
   record Grant(long id, long requestedMicros) {}
 
   /**
-   * A lease that was just granted.
+   * Creates the lease from a grant; renewals begin with {@link #scheduleNextRenewal}.
    *
-   * @param lengthMicros how long it lasts after each renewal
-   * @param onExpired is run if the store says that the lease has expired
+   * @param lengthMicros how long the lease lasts after each renewal
+   * @param onExpired runs when the store reports that the lease has expired
    */
   LeaderLease(
       Scheduler scheduler, StoreClient store, Grant grant, long lengthMicros, Runnable onExpired) {
@@ -45,17 +46,20 @@
     endMicros = SafetyBounds.leaseEndMicros(grant.requestedMicros(), lengthMicros);
   }
 
-  /** The moment up to which the lease certainly lasts, drift of the clocks allowed for. */
+  /** Returns the time until which the lease is certain to last, with clock drift subtracted. */
   long endMicros() {
     return endMicros;
   }
 
-  /** Renews the lease several times within its length, until it is released or has expired. */
-  void keepRenewed() {
+  /**
+   * Schedules the next renewal, and after each success another, several within the length of the
+   * lease. Renewals stop when the lease is released or has expired.
+   */
+  void scheduleNextRenewal() {
     renewAfter(lengthMicros / RENEWALS_PER_LEASE);
   }
 
-  /** Gives the lease back, which deletes the leader's key. */
+  /** Revokes the lease, which deletes the leader key. */
   void release() {
     released = true;
     store.revokeLease(id);
@@ -82,11 +86,11 @@
           if (reply.is(Outcome.OK)) {
             long renewedMicros = SafetyBounds.leaseEndMicros(requestedMicros, lengthMicros);
             endMicros = Math.max(endMicros, renewedMicros);
-            keepRenewed();
+            scheduleNextRenewal();
           } else if (reply.is(Outcome.GONE)) {
             onExpired.run();
           } else {
-            renewAfter(RETRY_MICROS);
+            renewAfter(RENEWAL_RETRY_MICROS);
           }
         });
   }
--- a/src/main/java/madderrudder/coordination/membership/LeaderRecord.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderRecord.java
@@ -5,22 +5,22 @@
 import madderrudder.protocol.StoreCodec.KeyValue;
 
 /**
- * The value of the leader's key in the store.
+ * The value of the leader key in the store.
  *
  * @param term the term in which the member leads
- * @param member the leader's name
+ * @param member the name of the controller that leads
  */
 record LeaderRecord(long term, String member) {
   /**
-   * Reads the leader's key.
+   * Parses the value of the leader key.
    *
-   * @throws MalformedMessageException if a field is missing or of another kind
+   * @throws MalformedMessageException if a field is missing or has the wrong type
    */
   static LeaderRecord read(KeyValue item) throws MalformedMessageException {
     return new LeaderRecord(item.value().count("term"), item.value().text("member"));
   }
 
-  /** The value as it is stored. */
+  /** Returns the record as the JSON value that is stored. */
   byte[] encode() {
     return Json.object(
         out -> {
--- a/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
+++ b/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One attempt to become the leader: asks the store for a lease, reads the current term, and claims
- * the leader's key with a compare-and-swap. Confined to the event loop thread.
+ * One attempt to become the leader: requests a lease from the store, reads the current term, and
+ * claims the leader key with a compare-and-swap. Confined to the event loop thread.
  */
 final class LeadershipCampaign {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipCampaign.class);
@@ -27,24 +27,32 @@
   private final Candidate candidate;
   private LeaderLease.Grant lease;
 
-  /** Whose campaign it is. What it knows may change while the campaign is under way. */
+  /**
+   * The candidate that a campaign runs for. Its term and version may change during the campaign.
+   */
   interface Candidate {
-    /** The highest term known; the claim is for a higher one. */
+    /** Returns the highest known term; the claim is for a higher one. */
     long highestTerm();
 
-    /** The version of the leader's key that the claim may replace; 0 if it must be absent. */
+    /**
+     * Returns the version of the leader key that the claim may replace; 0 if the key must be
+     * absent.
+     */
     long replaceableVersion();
 
     /**
-     * The claim was written.
+     * Called when the claim has been committed.
      *
      * @param term the term won
-     * @param lease the lease that the leader's key is attached to
-     * @param termVersion the version of the term's key
+     * @param lease the lease that the leader key is attached to
+     * @param termVersion the version of the term key
      */
     void won(long term, LeaderLease.Grant lease, long termVersion);
 
-    /** Somebody else won, or the store did not answer. */
+    /**
+     * Called when the campaign has failed: the store refused the lease or the claim, did not
+     * answer, or holds an unreadable term, or a higher term was observed.
+     */
     void lost();
   }
 
@@ -55,7 +63,7 @@
     this.candidate = candidate;
   }
 
-  /** Asks for a lease of this length, and claims the leader's key with it. */
+  /** Requests a lease of this length, and claims the leader key with it. */
   void start(long leaseMicros) {
     long requestedMicros = scheduler.nowMicros();
     store.grantLease(
@@ -75,31 +83,31 @@
         Keys.TERM,
         reply -> {
           switch (reply.outcome()) {
-            case OK -> claimAfter(reply.value());
+            case OK -> claimAboveStoredTerm(reply.value());
             case GONE -> claim(0, 0);
-            default -> giveUp();
+            default -> abandon();
           }
         });
   }
 
-  private void claimAfter(KeyValue termKey) {
-    long oldTerm;
+  private void claimAboveStoredTerm(KeyValue termKey) {
+    long storedTerm;
     try {
-      oldTerm = TermKey.readTerm(termKey.value());
+      storedTerm = TermKey.readTerm(termKey.value());
     } catch (MalformedMessageException e) {
-      LOG.error("the term key is unreadable: {}", e.getMessage());
-      giveUp();
+      LOG.error("term key is unreadable, abandoning the campaign: {}", e.getMessage());
+      abandon();
       return;
     }
-    claim(oldTerm, termKey.version());
+    claim(storedTerm, termKey.version());
   }
 
   /**
-   * Compare-and-swap: writes the leader's key and the raised term, on the condition that the
-   * leader's key has the replaceable version and the term has not moved.
+   * Compare-and-swap: writes the leader key and the raised term, on the condition that the leader
+   * key has the replaceable version and the term key has not changed since it was read.
    */
-  private void claim(long oldTerm, long termVersion) {
-    long newTerm = Math.max(oldTerm, candidate.highestTerm()) + 1;
+  private void claim(long storedTerm, long termVersion) {
+    long newTerm = Math.max(storedTerm, candidate.highestTerm()) + 1;
     List<Condition> conditions =
         List.of(
             new Condition(Keys.LEAD, candidate.replaceableVersion()),
@@ -111,20 +119,21 @@
     store.commitUrgent(
         StoreCodec.commit(conditions, writes),
         reply -> {
-          // The watch may bring this very claim before its answer comes: only a higher term counts.
+          // The watch may deliver this claim before the reply arrives, so only a term above the
+          // claimed one is a loss.
           if (reply.is(Outcome.OK) && candidate.highestTerm() <= newTerm) {
             candidate.won(newTerm, lease, reply.value());
           } else {
-            giveUp();
+            abandon();
           }
         });
   }
 
   /**
-   * A claim that was not answered may still be executed later; since its lease is given back, it
-   * ends at once.
+   * Ends the campaign without success. The store may still execute a claim that it has not
+   * answered; revoking the lease makes such a claim expire at once.
    */
-  private void giveUp() {
+  private void abandon() {
     candidate.lost();
     store.revokeLease(lease.id());
   }
--- a/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
+++ b/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
@@ -6,56 +6,60 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
- * Whether any process of another controller may still answer workers under an earlier term. Each
- * controller has to acknowledge the new term twice. Once a process of each has done so, nobody
- * leads in an earlier term, and nobody grants anything under it. But a process that acknowledged
- * may have ended since, and the next process of its name may not know the term, and hold a grant
- * that was given before. So each controller has to acknowledge once more, in answer to what was
- * sent after the first round was complete: a process that does so heeds no older grant, and those
- * after it get none.
+ * Tracks whether any process of another controller may still answer workers under an earlier term.
+ * Each controller acknowledges the new term twice.
+ *
+ * <p>When each controller has acknowledged once, no controller leads in an earlier term, and none
+ * issues a grant under it. A process that acknowledged may have restarted since, however, and its
+ * successor may not know the new term and may hold a grant that was issued before. Each controller
+ * therefore acknowledges again, in reply to a status that was sent after the first round was
+ * complete. A process that does so ignores older grants, and its successors receive none.
  *
  * <p>Confined to the event loop thread.
  */
 public final class TermAcknowledgements {
   private final long term;
-  private final Set<String> others;
+  private final Set<String> otherMembers;
   private final Set<String> firstRound = new HashSet<>();
   private final Set<String> secondRound = new HashSet<>();
-  private long firstRoundEndMicros;
+  private long firstRoundCompletedMicros;
 
   /**
-   * Begins with no acknowledgement.
+   * Creates a tracker without any acknowledgement.
    *
    * @param term the term to be acknowledged
-   * @param others the names of the other controllers
+   * @param otherMembers the names of the other controllers
    */
-  public TermAcknowledgements(long term, Set<String> others) {
+  public TermAcknowledgements(long term, Set<String> otherMembers) {
     this.term = term;
-    this.others = Set.copyOf(others);
+    this.otherMembers = Set.copyOf(otherMembers);
   }
 
   /**
-   * Counts a controller's status as an acknowledgement if it is one.
+   * Records a controller's status, which is an acknowledgement if it names this term or a higher
+   * one.
    *
-   * @param echo what that controller has heard of this very process, or null if nothing
-   * @param nowMicros the steady clock in microseconds
-   * @return true if this status completes the second round, which happens once
+   * @param echo the last stamp of this process that the controller has received, or null if none
+   * @param nowMicros the current time of the steady clock in microseconds
+   * @return true if this status completes the second round; later calls return false
    */
   public boolean record(MembershipStatus status, StampEcho echo, long nowMicros) {
-    if (complete() || status.term() < term || !others.contains(status.member())) {
+    if (complete() || status.term() < term || !otherMembers.contains(status.member())) {
       return false;
     }
-    if (!firstRound.containsAll(others)) {
+    if (!firstRound.containsAll(otherMembers)) {
       firstRound.add(status.member());
-      firstRoundEndMicros = nowMicros;
-    } else if (echo != null && echo.stampMicros() > firstRoundEndMicros) {
+      firstRoundCompletedMicros = nowMicros;
+    } else if (echo != null && echo.stampMicros() > firstRoundCompletedMicros) {
       secondRound.add(status.member());
     }
     return complete();
   }
 
-  /** Whether all others have acknowledged twice; true at once where there are no others. */
+  /**
+   * Returns whether all other controllers have acknowledged twice; always true if there are none.
+   */
   public boolean complete() {
-    return secondRound.containsAll(others);
+    return secondRound.containsAll(otherMembers);
   }
 }
--- a/src/test/java/madderrudder/coordination/membership/DelegationTrackerTest.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationTrackerTest.java
@@ -11,7 +11,10 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 import org.junit.jupiter.api.Test;
 
-/** When a leader that delegates may take a silent worker's lease for expired. */
+/**
+ * Guards against a leader that considers a silent worker's lease expired, and places its tasks
+ * again, while a delegate may have renewed the lease.
+ */
 class DelegationTrackerTest {
   private static final long SECOND = 1_000_000;
   private static final long LEASE = 10 * SECOND;
@@ -21,8 +24,8 @@
 
   private final DelegationTracker tracker = new DelegationTracker(SAFETY, 0);
 
-  private static MembershipStatus status(long incarnation, int renewalsMessages) {
-    return new MembershipStatus("n-1", incarnation, 5, 0, 3, 0, renewalsMessages, List.of());
+  private static MembershipStatus status(long incarnation, int renewalsMessageCount) {
+    return new MembershipStatus("n-1", incarnation, 5, 0, 3, 0, renewalsMessageCount, List.of());
   }
 
   private static MembershipStatus statusOfOther(long stampMicros) {
@@ -33,7 +36,7 @@
     return new MembershipStatus("n-1", SECOND_PROCESS, stampMicros, SECOND, 3, 0, 0, List.of());
   }
 
-  /** What a delegate says it has heard of the leader. */
+  /** The last stamp of the leader that a delegate has received. */
   private static StampEcho echo(long micros) {
     return new StampEcho("n-0", 1, micros);
   }
@@ -42,20 +45,20 @@
     return tracker.grant(new StampEcho("n-1", incarnation, 0), untilMicros);
   }
 
-  private void oneOfTwoRenewalsMessagesComes() {
+  private void receiveOneOfTwoRenewalsMessages() {
     tracker.recordRenewals(
         new DelegatedRenewals("n-1", FIRST_PROCESS, 5, List.of(new LeaseRenewal("m-1", 0))));
   }
 
   @Test
-  void withoutGrantsOnlyTheLeaseIsWaitedFor() {
+  void leaseExpiresAfterItsLengthWithoutGrants() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), 0);
     assertFalse(tracker.leaseExpired(0, LEASE));
     assertTrue(tracker.leaseExpired(0, LEASE + 1));
   }
 
   @Test
-  void aDelegateThatIsNotHeardCostsItsGrant() {
+  void leaseMayLastUntilTheGrantOfASilentDelegateEnds() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), 0);
     assertTrue(grant(FIRST_PROCESS, 15 * SECOND));
     assertFalse(tracker.leaseExpired(0, LEASE + 1));
@@ -64,11 +67,11 @@
   }
 
   /**
-   * Having heard the leader lately, a delegate does not answer for a while: its status covers that
-   * while too.
+   * A delegate does not answer for a while after it has received the leader's status, so its own
+   * status covers that time too.
    */
   @Test
-  void aDelegateThatIsHeardCostsNoTime() {
+  void statusOfADelegateEndsTheWaitForItsGrant() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), 0);
     assertTrue(grant(FIRST_PROCESS, 15 * SECOND));
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(LEASE - 2 * SECOND), LEASE - SECOND);
@@ -78,8 +81,9 @@
   }
 
   /**
-   * What one delegate may have answered unheard keeps a worker for longer, and another may have
-   * answered it then: found by the model, after each delegate had been judged alone.
+   * An unreported answer of one delegate may extend a lease, and another delegate may then answer
+   * the worker within the extension. Judging each delegate separately misses this; the exploration
+   * in {@link DelegationModelTest} revealed it.
    */
   @Test
   void answersOfAllDelegatesMustBeKnownUpToTheLatestPossibleEnd() {
@@ -88,38 +92,38 @@
     tracker.recordStatus(statusOfOther(5), echo(8 * SECOND), 8 * SECOND);
     assertTrue(tracker.grant(new StampEcho("n-2", 9, 0), 15 * SECOND));
     assertFalse(
-        tracker.leaseExpired(0, 18 * SECOND + 1), "the answers of n-2 are known up to 10.5 s only");
+        tracker.leaseExpired(0, 18 * SECOND + 1), "the answers of n-2 are known only up to 10.5 s");
     assertTrue(tracker.leaseExpired(0, 25 * SECOND + 1));
     tracker.recordStatus(statusOfOther(6), echo(18 * SECOND), 18 * SECOND);
     assertTrue(tracker.leaseExpired(0, 18 * SECOND + 1));
   }
 
   @Test
-  void aStatusOfWhichARenewalsMessageWasLostProvesNothing() {
+  void statusProvesNothingIfARenewalsMessageWasLost() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), 0);
     assertTrue(grant(FIRST_PROCESS, 15 * SECOND));
-    oneOfTwoRenewalsMessagesComes();
+    receiveOneOfTwoRenewalsMessages();
     tracker.recordStatus(status(FIRST_PROCESS, 2), echo(LEASE), LEASE);
     assertFalse(tracker.leaseExpired(0, LEASE + 1));
-    oneOfTwoRenewalsMessagesComes();
+    receiveOneOfTwoRenewalsMessages();
     tracker.recordStatus(status(FIRST_PROCESS, 2), echo(LEASE), LEASE);
     assertTrue(tracker.leaseExpired(0, LEASE + 1));
   }
 
   @Test
-  void aProcessThatIsNotKnownToLiveGetsNoGrant() {
-    assertFalse(grant(FIRST_PROCESS, 30 * SECOND), "no process was heard");
+  void refusesGrantToAnUnknownProcess() {
+    assertFalse(grant(FIRST_PROCESS, 30 * SECOND), "no status of the controller was received");
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), SECOND);
     assertTrue(grant(FIRST_PROCESS, 30 * SECOND));
-    assertFalse(grant(SECOND_PROCESS, 31 * SECOND), "another process was heard");
+    assertFalse(grant(SECOND_PROCESS, 31 * SECOND), "the status came from another process");
   }
 
   /**
-   * A process that has heard later messages than its predecessor's first proves that one ended; one
-   * that has not may be the earlier of the two.
+   * A process that has received a message sent after its predecessor's first status proves that the
+   * predecessor has ended. Without that proof it may be the earlier of the two.
    */
   @Test
-  void aRestartEndsTheGrantOnceItIsProvedToBeLater() {
+  void restartEndsTheGrantWhenTheProcessIsProvedToBeLater() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), SECOND);
     assertTrue(grant(FIRST_PROCESS, 30 * SECOND));
     tracker.recordStatus(status(SECOND_PROCESS, 0), echo(SECOND - 1), 2 * SECOND);
@@ -129,9 +133,12 @@
     assertTrue(tracker.leaseExpired(0, 14 * SECOND + 1));
   }
 
-  /** It neither brings the earlier process's grant back nor counts as the later one's. */
+  /**
+   * Such a status neither restores the grant of the earlier process nor counts as one of the later
+   * process.
+   */
   @Test
-  void aLateStatusOfAnEarlierProcessIsIgnored() {
+  void ignoresLateStatusOfAnEarlierProcess() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), SECOND);
     assertTrue(grant(FIRST_PROCESS, 30 * SECOND));
     tracker.recordStatus(status(SECOND_PROCESS, 0), echo(3 * SECOND), 4 * SECOND);
@@ -140,9 +147,12 @@
     assertTrue(tracker.leaseExpired(0, 14 * SECOND + 1));
   }
 
-  /** Back before it could have answered anybody: its end costs nothing. */
+  /**
+   * The process restarted before it could have answered a worker, so the restart does not extend
+   * the wait.
+   */
   @Test
-  void aRestartSoonAfterTheLastStatusCostsNoTime() {
+  void restartSoonAfterTheLastStatusDoesNotExtendTheWait() {
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(8 * SECOND), 8 * SECOND);
     assertTrue(grant(FIRST_PROCESS, 30 * SECOND));
     tracker.recordStatus(statusOfYoungProcess(5), echo(11 * SECOND), 11 * SECOND);
--- a/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
+++ b/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
@@ -16,7 +16,10 @@
 import madderrudder.transport.ManualClock;
 import org.junit.jupiter.api.Test;
 
-/** When a delegate may answer heartbeats, and what it reports of its answers. */
+/**
+ * Guards against a delegate that answers heartbeats after its grant has ended or while the leader
+ * is reachable, and against answers that it does not report.
+ */
 class HeartbeatDelegateTest {
   private static final long SECOND = 1_000_000;
   private static final long LEASE = 10 * SECOND;
@@ -28,14 +31,14 @@
   private final HeartbeatDelegate delegate =
       new HeartbeatDelegate(clock, SAFETY, "n-1", INCARNATION);
 
-  /** A leader's status with a grant to the process that sent the stamp. */
+  /** Returns a leader's status with a grant to the process that sent the stamp. */
   private static MembershipStatus grant(
-      long term, long forMicros, long incarnation, long stampMicros) {
+      long term, long grantMicros, long incarnation, long stampMicros) {
     List<StampEcho> echoes = List.of(new StampEcho("n-1", incarnation, stampMicros));
-    return new MembershipStatus("n-0", 1, 55, 0, term, forMicros, 0, echoes);
+    return new MembershipStatus("n-0", 1, 55, 0, term, grantMicros, 0, echoes);
   }
 
-  private void leaderFallsSilent() {
+  private void passLeaderSilence() {
     clock.advance(SAFETY.leaderSilenceMicros() + 1);
   }
 
@@ -53,71 +56,76 @@
     List<String> reported = new ArrayList<>();
     for (PeerMessage message : delegate.statusMessages(3, 0, List.of())) {
       if (message instanceof DelegatedRenewals renewals) {
-        renewals.answers().forEach(one -> reported.add(one.machine() + " " + one.agoMillis()));
+        renewals
+            .answers()
+            .forEach(renewal -> reported.add(renewal.machine() + " " + renewal.agoMillis()));
       }
     }
     return reported;
   }
 
   @Test
-  void answersOnlyOnceTheLeaderIsSilent() {
+  void answersOnlyAfterTheLeaderIsSilent() {
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
-    assertFalse(delegate.mayAnswer(3), "the leader was heard this moment");
-    leaderFallsSilent();
+    assertFalse(delegate.mayAnswer(3), "the leader has just sent a status");
+    passLeaderSilence();
     assertTrue(delegate.mayAnswer(3));
   }
 
   @Test
-  void answersNobodyOnceAHigherTermIsKnown() {
+  void doesNotAnswerWhenAHigherTermIsKnown() {
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
-    leaderFallsSilent();
+    passLeaderSilence();
     assertTrue(delegate.mayAnswer(3));
     assertFalse(delegate.mayAnswer(4));
   }
 
   @Test
-  void aGrantEndsEarlierByTheDriftOfTheClocks() {
+  void grantIsShortenedByTheClockDrift() {
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     clock.set(100 * SECOND + 4_990_000);
-    assertFalse(delegate.mayAnswer(3), "the clocks may differ");
+    assertFalse(delegate.mayAnswer(3), "the grant is not shortened by the clock drift");
   }
 
-  /** Counted from the sending of the stamp it answers: delayed for minutes, it is worth nothing. */
+  /**
+   * A grant counts from when the echoed stamp was sent, so a grant that is delayed for minutes has
+   * already ended.
+   */
   @Test
-  void aGrantCountsFromBeforeItWasGiven() {
+  void grantCountsFromTheEchoedStamp() {
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     clock.set(200 * SECOND);
     delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 104 * SECOND), 3);
-    leaderFallsSilent();
+    passLeaderSilence();
     assertFalse(delegate.mayAnswer(3));
   }
 
   @Test
-  void grantsToOtherProcessesAndOfEarlierTermsAreIgnored() {
+  void ignoresGrantsToOtherProcessesAndOfEarlierTerms() {
     delegate.recordStatus(grant(3, 5 * SECOND, OTHER_INCARNATION, 100 * SECOND), 3);
     delegate.recordStatus(grant(2, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     delegate.recordStatus(grant(3, 0, INCARNATION, 100 * SECOND), 3);
-    leaderFallsSilent();
+    passLeaderSilence();
     assertFalse(delegate.mayAnswer(2) || delegate.mayAnswer(3));
   }
 
   @Test
-  void aLaterTermsGrantMayEndSoonerThanTheEarlierOnes() {
-    leaderFallsSilent();
+  void grantOfALaterTermMayEndBeforeThatOfAnEarlierTerm() {
+    passLeaderSilence();
     delegate.recordStatus(grant(3, 50 * SECOND, INCARNATION, 100 * SECOND), 3);
     delegate.recordStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
-    leaderFallsSilent();
+    passLeaderSilence();
     assertFalse(delegate.mayAnswer(4));
   }
 
   @Test
-  void withoutAGrantNoRenewalIsKnownToBeSafe() {
+  void noRenewalIsSafeWithoutAGrant() {
     assertTrue(delegate.renewalSafeUntilMicros() < 0);
   }
 
   /**
-   * What a leader that has not read the store goes by: the latest end of any grant, also of an
-   * earlier term, or one of its own.
+   * A leader that has not read the store yet uses the latest end of any grant, including a grant of
+   * an earlier term or one that it has issued.
    */
   @Test
   void renewalsAreSafeUntilTheLatestGrantEnds() {
@@ -134,22 +142,23 @@
   }
 
   @Test
-  void lateCopiesOfHeartbeatsAreNotAnswered() {
+  void doesNotAnswerDuplicateOrEarlierHeartbeats() {
     answerHeartbeatsOf(3);
     clock.advance(SECOND);
-    assertFalse(delegate.recordAnswer(heartbeat("m-000001", 4)), "a copy was answered");
-    assertFalse(delegate.recordAnswer(heartbeat("m-000002", 3)), "an earlier one was answered");
+    assertFalse(delegate.recordAnswer(heartbeat("m-000001", 4)), "a duplicate was answered");
+    assertFalse(
+        delegate.recordAnswer(heartbeat("m-000002", 3)), "an earlier heartbeat was answered");
     assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
   }
 
   @Test
-  void everyMachineAnsweredWithinALeaseIsReported() {
+  void reportsEveryMachineAnsweredWithinALease() {
     answerHeartbeatsOf(9_000);
     clock.advance(SECOND);
     assertFalse(
         delegate.recordAnswer(heartbeat("m-000001", 4))
             || delegate.recordAnswer(heartbeat("m-000002", 3)),
-        "a copy was answered");
+        "a duplicate was answered");
     assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
     List<String> reported = reportedRenewals();
     assertEquals(9_000, reported.size());
@@ -159,7 +168,7 @@
   }
 
   @Test
-  void thousandsOfRenewalsAreSplitIntoMessagesWithinTheirBound() {
+  void splitsRenewalsIntoMessagesWithinTheSizeLimit() {
     answerHeartbeatsOf(9_000);
     List<PeerMessage> messages = delegate.statusMessages(3, 0, List.of());
     for (PeerMessage message : messages) {
--- a/src/test/java/madderrudder/coordination/membership/TermAcknowledgementsTest.java
+++ b/src/test/java/madderrudder/coordination/membership/TermAcknowledgementsTest.java
@@ -9,6 +9,10 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a leader that considers earlier terms ended while another process may still answer
+ * workers under them, because a controller restarted after it had acknowledged the new term.
+ */
 class TermAcknowledgementsTest {
   private static final long SECOND = 1_000_000;
   private static final long TERM = 3;
@@ -20,42 +24,43 @@
     return new MembershipStatus(member, incarnation, 5, 0, term, 0, 0, List.of());
   }
 
-  /** What a controller says it has heard of the leader. */
+  /** The last stamp of the leader that a controller has received. */
   private static StampEcho echo(long micros) {
     return new StampEcho("n-0", 1, micros);
   }
 
   /**
-   * Each has to acknowledge again in answer to what was sent after all had acknowledged: the next
-   * process of its name may not know the term.
+   * Each controller acknowledges a second time, in reply to a status sent after the first round,
+   * because a restarted process of the same name may not know the term.
    */
   @Test
-  void othersAcknowledgeInTwoRounds() {
-    MembershipStatus one = status("n-1", 7, TERM);
-    MembershipStatus two = status("n-2", 1, TERM);
-    MembershipStatus unknowing = status("n-1", 8, TERM - 1);
-    assertFalse(acknowledgements.record(one, echo(9 * SECOND), 10 * SECOND));
+  void completesAfterTwoRoundsOfAcknowledgements() {
+    MembershipStatus statusOfFirst = status("n-1", 7, TERM);
+    MembershipStatus statusOfSecond = status("n-2", 1, TERM);
+    MembershipStatus statusWithOldTerm = status("n-1", 8, TERM - 1);
+    assertFalse(acknowledgements.record(statusOfFirst, echo(9 * SECOND), 10 * SECOND));
     assertFalse(
-        acknowledgements.record(one, echo(11 * SECOND), 11 * SECOND),
-        "the other has not acknowledged");
-    assertFalse(acknowledgements.record(two, echo(11 * SECOND), 12 * SECOND));
+        acknowledgements.record(statusOfFirst, echo(11 * SECOND), 11 * SECOND),
+        "n-2 has not acknowledged");
+    assertFalse(acknowledgements.record(statusOfSecond, echo(11 * SECOND), 12 * SECOND));
     assertFalse(
-        acknowledgements.record(one, echo(12 * SECOND), 13 * SECOND),
-        "sent before all had acknowledged");
-    assertFalse(acknowledgements.record(one, null, 13 * SECOND));
-    assertFalse(acknowledgements.record(two, echo(13 * SECOND), 14 * SECOND));
+        acknowledgements.record(statusOfFirst, echo(12 * SECOND), 13 * SECOND),
+        "the status replies to one sent before the first round was complete");
+    assertFalse(acknowledgements.record(statusOfFirst, null, 13 * SECOND));
+    assertFalse(acknowledgements.record(statusOfSecond, echo(13 * SECOND), 14 * SECOND));
     assertFalse(
-        acknowledgements.record(unknowing, echo(13 * SECOND), 14 * SECOND),
-        "the next process does not know the term");
+        acknowledgements.record(statusWithOldTerm, echo(13 * SECOND), 14 * SECOND),
+        "the restarted process does not know the term");
     assertFalse(acknowledgements.complete());
-    assertTrue(acknowledgements.record(one, echo(14 * SECOND), 15 * SECOND));
+    assertTrue(acknowledgements.record(statusOfFirst, echo(14 * SECOND), 15 * SECOND));
     assertTrue(acknowledgements.complete());
     assertFalse(
-        acknowledgements.record(one, echo(15 * SECOND), 16 * SECOND), "completed once only");
+        acknowledgements.record(statusOfFirst, echo(15 * SECOND), 16 * SECOND),
+        "completion is reported only once");
   }
 
   @Test
-  void withoutOthersNothingIsToBeAcknowledged() {
+  void isCompleteWithoutOtherControllers() {
     assertTrue(new TermAcknowledgements(TERM, Set.of()).complete());
   }
 }
