--- a/src/main/java/madderrudder/coordination/scaleout/MachineListPoller.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListPoller.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the cloud's machine list over and over, page by page, and hands it to {@link
- * ListedMachines}. A list of which one page could not be read is begun anew.
+ * Polls the cloud's machine list page by page, and passes it to {@link MachineListTracker}. If a
+ * page cannot be read, the poller starts again from the first page.
  */
 final class MachineListPoller {
   private static final Logger LOG = LoggerFactory.getLogger(MachineListPoller.class);
@@ -20,58 +20,61 @@
 
   private final LeaderTerm term;
   private final CloudClient cloud;
-  private final ListedMachines listed;
-  private boolean readOnce;
+  private final MachineListTracker tracker;
+  private boolean completeListRead;
 
-  MachineListPoller(LeaderTerm term, CloudClient cloud, ListedMachines listed) {
+  MachineListPoller(LeaderTerm term, CloudClient cloud, MachineListTracker tracker) {
     this.term = term;
     this.cloud = cloud;
-    this.listed = listed;
+    this.tracker = tracker;
   }
 
-  /** Whether a whole list has been read in this term. */
-  boolean readOnce() {
-    return readOnce;
+  /** Returns whether a complete list has been read in this term. */
+  boolean hasReadCompleteList() {
+    return completeListRead;
   }
 
-  /** Reads a list from its first page, and then one after another until the term ends. */
+  /**
+   * Starts to read the list from its first page. After each complete list the next one follows,
+   * until the term ends.
+   */
   void start() {
     readPage("", new HashSet<>());
   }
 
-  private void readPage(String afterId, Set<String> idsSoFar) {
+  private void readPage(String afterId, Set<String> listedIds) {
     cloud.list(
         afterId,
         result -> {
           if (!term.closed()) {
-            handle(result, idsSoFar);
+            handle(result, listedIds);
           }
         });
   }
 
-  private void handle(CloudResult<CloudCodec.Page> result, Set<String> idsSoFar) {
+  private void handle(CloudResult<CloudCodec.Page> result, Set<String> listedIds) {
     if (result instanceof CloudResult.Received<CloudCodec.Page> received) {
-      handlePage(received.value(), idsSoFar);
+      handlePage(received.value(), listedIds);
       return;
     }
     if (result instanceof CloudResult.Malformed<CloudCodec.Page> malformed) {
-      LOG.info("the machine list is malformed: {}", malformed.reason());
+      LOG.info("machine list is malformed, reading it again: {}", malformed.reason());
     }
     term.after(RETRY_MICROS, this::start);
   }
 
-  private void handlePage(CloudCodec.Page page, Set<String> idsSoFar) {
+  private void handlePage(CloudCodec.Page page, Set<String> listedIds) {
     List<CloudCodec.ListedMachine> entries = page.machines();
     for (CloudCodec.ListedMachine entry : entries) {
-      idsSoFar.add(entry.id());
-      listed.observe(entry);
+      listedIds.add(entry.id());
+      tracker.observe(entry);
     }
     if (page.more() && !entries.isEmpty()) {
-      readPage(entries.get(entries.size() - 1).id(), idsSoFar);
+      readPage(entries.get(entries.size() - 1).id(), listedIds);
       return;
     }
-    readOnce = true;
-    listed.observeWholeList(idsSoFar);
+    completeListRead = true;
+    tracker.observeCompleteList(listedIds);
     term.after(term.deployment.cloud().listLagMicros(), this::start);
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/ListedMachines.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
@@ -15,15 +15,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the cloud's machine list says: keeps the address and failure of known machines up to date,
- * adopts machines that the leader's log lacks, and remembers which known machines are missing.
+ * Applies the cloud's machine list to the cluster state: updates the address and failure of known
+ * machines, adopts machines that the leader's log lacks, and records which known machines are
+ * missing from the list.
  */
-final class ListedMachines {
-  private static final Logger LOG = LoggerFactory.getLogger(ListedMachines.class);
+final class MachineListTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineListTracker.class);
 
   /**
-   * In units of the usual lag. A list lags by up to twice the usual lag, and a request may take as
-   * long again until it shows.
+   * Bound of the delay until a request shows in a list, as a multiple of the usual list lag. A list
+   * may lag by twice the usual lag, and a request may take as long again to show.
    */
   private static final int MAX_LAG_FACTOR = 4;
 
@@ -32,32 +33,39 @@
   private final RentalRequests requests;
 
   /**
-   * When a list first named a machine that the leader's log lacks, by machine id, on the
-   * scheduler's clock.
+   * When a list first named each machine that the leader's log lacks, by machine id, on the steady
+   * clock.
    */
-  private final Map<String, Long> unexpectedSinceMicros = new HashMap<>();
+  private final Map<String, Long> unknownSinceMicros = new HashMap<>();
 
-  /** The known machines that the last whole list lacks, though it would name them if they ran. */
-  private final Set<String> missing = new HashSet<>();
+  /**
+   * The ids of known machines that the last complete list lacks, although it would contain them if
+   * they existed.
+   */
+  private final Set<String> missingIds = new HashSet<>();
 
-  ListedMachines(LeaderTerm term, MachineRegistry machines, RentalRequests requests) {
+  MachineListTracker(LeaderTerm term, MachineRegistry machines, RentalRequests requests) {
     this.term = term;
     this.machines = machines;
     this.requests = requests;
   }
 
-  /** Whether the last whole list proves that the machine is gone from the cloud. */
+  /**
+   * Returns whether the last complete list proves that the machine no longer exists in the cloud.
+   */
   boolean isMissing(Machine machine) {
-    return missing.contains(machine.id);
+    return missingIds.contains(machine.id);
   }
 
-  /** Takes over one entry of a list. */
+  /**
+   * Updates the machine that one entry of a list names, or adopts it if the leader's log lacks it.
+   */
   void observe(CloudCodec.ListedMachine entry) {
     Machine machine = term.cluster.machines.get(entry.id());
     if (machine != null) {
       update(machine, entry);
     } else if (!term.cluster.types.isEmpty()) {
-      observeUnexpected(entry);
+      observeUnknown(entry);
     }
   }
 
@@ -69,15 +77,16 @@
   }
 
   /**
-   * A machine that this leader just rented may be listed before the response names it, and one that
-   * an earlier leader deleted is listed for a while. A machine that stays listed is unexpected: it
-   * is used or returned.
+   * Handles a listed machine that the leader's log lacks. A machine that this leader has just
+   * rented may be listed before the rental response names it, and a machine that an earlier leader
+   * deleted stays listed for a while. A machine that is listed for longer is adopted, and is then
+   * used or returned like any other.
    */
-  private void observeUnexpected(CloudCodec.ListedMachine entry) {
-    boolean nothingRented = requests.ownedStillOpen() && requests.openCount() == 0;
-    boolean lasting = !nothingRented && listedLongerThanAnyLag(entry.id());
+  private void observeUnknown(CloudCodec.ListedMachine entry) {
+    boolean nothingRentedOrPending = requests.noMachineRentedYet() && requests.pendingCount() == 0;
+    boolean listedBeyondLag = !nothingRentedOrPending && isListedBeyondMaxLag(entry.id());
     MachineDecision decision =
-        MachineReconciler.of(factsOfUnexpected(entry.id(), lasting), nothingRented);
+        MachineReconciler.of(factsOfUnknown(entry.id(), listedBeyondLag), nothingRentedOrPending);
     switch (decision.verdict()) {
       case ADOPT_OWNED -> machines.save(adopt(entry, true));
       case ADOPT -> machines.save(adopt(entry, false));
@@ -85,18 +94,18 @@
     }
   }
 
-  private boolean listedLongerThanAnyLag(String machineId) {
+  private boolean isListedBeyondMaxLag(String machineId) {
     long nowMicros = term.scheduler.nowMicros();
-    long sinceMicros = unexpectedSinceMicros.computeIfAbsent(machineId, id -> nowMicros);
-    return nowMicros - sinceMicros > maxLagMicros();
+    long listedSinceMicros = unknownSinceMicros.computeIfAbsent(machineId, id -> nowMicros);
+    return nowMicros - listedSinceMicros > maxLagMicros();
   }
 
-  private MachineFacts factsOfUnexpected(String machineId, boolean lasting) {
+  private MachineFacts factsOfUnknown(String machineId, boolean listedBeyondLag) {
     return new MachineFacts(
         machines.wasRemoved(machineId) ? MachineFacts.Recorded.GONE : MachineFacts.Recorded.NO,
         false,
         false,
-        lasting ? MachineFacts.Listed.LASTING : MachineFacts.Listed.THERE,
+        listedBeyondLag ? MachineFacts.Listed.LASTING : MachineFacts.Listed.THERE,
         MachineFacts.Worker.EXPECTED,
         true,
         false);
@@ -122,21 +131,21 @@
   }
 
   /**
-   * Takes over which machines a whole list names. A machine once listed stays listed until it is
-   * gone, so one that is older than any lag and not in the list is gone with everything on it: its
-   * tasks need not wait for a lease to expire.
+   * Records which known machines a complete list lacks. The cloud lists a machine until it is gone,
+   * so a machine that is older than the longest lag and not in the list is gone together with its
+   * tasks. These tasks need not wait for a lease to expire.
    *
-   * @param listedIds the ids on all pages of the list
+   * @param listedIds the machine ids on all pages of the list
    */
-  void observeWholeList(Set<String> listedIds) {
-    unexpectedSinceMicros.keySet().retainAll(listedIds);
-    missing.clear();
+  void observeCompleteList(Set<String> listedIds) {
+    unknownSinceMicros.keySet().retainAll(listedIds);
+    missingIds.clear();
     long minAgeMicros = maxLagMicros() + 2 * term.deployment.clockOffMicros();
     long wallMicros = term.scheduler.wallMicros();
     for (Machine machine : term.cluster.machines.values()) {
       long ageMicros = wallMicros - machine.rentedWallMicros;
       if (!listedIds.contains(machine.id) && ageMicros > minAgeMicros) {
-        missing.add(machine.id);
+        missingIds.add(machine.id);
       }
     }
   }
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -16,47 +16,51 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles each machine of the leader's log with the cloud's list and the machine's heartbeats:
- * collects the facts, lets {@link MachineReconciler} decide, and acts on the decision.
+ * Reconciles each machine of the leader's log with the cloud's list and the machine's heartbeats.
+ * It collects the facts, {@link MachineReconciler} decides, and this class carries out the
+ * decision.
  */
 final class MachineReconciliation {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReconciliation.class);
 
-  /** A machine that has not come up is overdue after this many times the boot time of its type. */
+  /** A machine without a first heartbeat is overdue after this multiple of its type's boot time. */
   private static final int OVERDUE_BOOT_FACTOR = 4;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
   private final RentalRequests requests;
-  private final ListedMachines listed;
+  private final MachineListTracker machineList;
   private final CapacityPoolLimits poolLimits;
 
-  /** When work could last not be placed in this term, since the lease on the store had expired. */
-  private long noLeaseUntilMicros = Long.MIN_VALUE / 2;
+  /**
+   * When the leader's lease was last found expired in this term, so that no work could be placed.
+   */
+  private long lastWithoutLeaseMicros = Long.MIN_VALUE / 2;
 
   MachineReconciliation(
       LeaderTerm term,
       MachineRegistry machines,
       RentalRequests requests,
-      ListedMachines listed,
+      MachineListTracker machineList,
       CapacityPoolLimits poolLimits) {
     this.term = term;
     this.machines = machines;
     this.requests = requests;
-    this.listed = listed;
+    this.machineList = machineList;
     this.poolLimits = poolLimits;
   }
 
-  /** Decides on each machine and acts on it. */
+  /** Decides on each machine and carries out the decision. */
   void run(long nowMicros, ClusterCoverage coverage) {
-    boolean mayRetire = placingLongEnough(nowMicros);
-    boolean mostSilent = mostAreSilent();
+    boolean mayRetire = canPlaceLongEnough(nowMicros);
+    boolean mostSilent = mostMachinesAreSilent();
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
       MachineDecision decision =
-          MachineReconciler.of(facts(machine, nowMicros, mostSilent), requests.ownedStillOpen());
+          MachineReconciler.of(
+              facts(machine, nowMicros, mostSilent), requests.noMachineRentedYet());
       switch (decision.verdict()) {
         case RETURN -> {
-          if (mayRetire && (!idle(machine) || coverage.suffices())) {
+          if (mayRetire && (!isHealthy(machine) || coverage.suffices())) {
             retire(machine, decision.reason(), nowMicros);
           }
         }
@@ -67,20 +71,24 @@
   }
 
   /**
-   * Whether work could be placed for as long as an idle machine is kept. An outage of the store
-   * that outlasts the workers' leases empties all machines, and leaves them without heartbeats,
-   * since these are not answered. If machines were returned because of that, the jobs that waited
-   * through the outage would also wait for boots and images.
+   * Returns whether the leader has held its lease, and could place work, for as long as an idle
+   * machine is kept. An outage of the store that outlasts the workers' leases leaves all machines
+   * empty, and without acknowledged heartbeats since none are answered. If machines were returned
+   * for that reason, the jobs that waited through the outage would then also wait for machines to
+   * boot and fetch images.
    */
-  private boolean placingLongEnough(long nowMicros) {
+  private boolean canPlaceLongEnough(long nowMicros) {
     if (!term.election.holdsLease()) {
-      noLeaseUntilMicros = nowMicros;
+      lastWithoutLeaseMicros = nowMicros;
     }
-    return nowMicros - noLeaseUntilMicros > term.policy.idleMicros();
+    return nowMicros - lastWithoutLeaseMicros > term.policy.idleMicros();
   }
 
-  /** Whether more machines are silent than up: rather the leader is cut off than all of them. */
-  private boolean mostAreSilent() {
+  /**
+   * Returns whether at least as many machines are silent as up, in which case it is more likely
+   * that the leader is partitioned than that all of them failed.
+   */
+  private boolean mostMachinesAreSilent() {
     int up = 0;
     int silent = 0;
     for (Machine machine : term.cluster.machines.values()) {
@@ -94,15 +102,15 @@
   }
 
   /**
-   * Whether a machine that is to be returned works, so that the reason is that nobody needs it.
-   * That is known only once enough of the cluster has been heard.
+   * Returns whether a machine works. If such a machine is to be returned, the reason is that no job
+   * needs it, which is known only when enough of the cluster has sent heartbeats.
    */
-  private static boolean idle(Machine machine) {
+  private static boolean isHealthy(Machine machine) {
     return machine.reported && !machine.leaseExpired && !machine.failed;
   }
 
   private void retire(Machine machine, String reason, long nowMicros) {
-    // A machine that an earlier leader rented may have come up and failed since.
+    // A machine that an earlier leader rented may have booted and failed later.
     if (machine.booting() && !machine.inherited) {
       poolLimits.recordBootFailure(machine.capacityPool(), nowMicros);
     }
@@ -110,7 +118,7 @@
   }
 
   private void remove(Machine machine, String reason) {
-    LOG.info("{} is gone: {}", machine.id, reason);
+    LOG.info("machine {} is gone, removing it: {}", machine.id, reason);
     machines.remove(machine);
   }
 
@@ -129,7 +137,7 @@
     if (machine.failed) {
       return Listed.FAILED;
     }
-    return listed.isMissing(machine) ? Listed.MISSING : Listed.UNKNOWN;
+    return machineList.isMissing(machine) ? Listed.MISSING : Listed.UNKNOWN;
   }
 
   private Worker workerState(Machine machine, long nowMicros) {
@@ -142,7 +150,7 @@
       return Worker.UNACKNOWLEDGED;
     }
     if (!machine.reported) {
-      return overdue(machine, nowMicros) ? Worker.OVERDUE : Worker.EXPECTED;
+      return isBootOverdue(machine, nowMicros) ? Worker.OVERDUE : Worker.EXPECTED;
     }
     if (machine.empty() && nowMicros - machine.idleSinceMicros > term.policy.idleMicros()) {
       return Worker.IDLE;
@@ -151,11 +159,11 @@
   }
 
   /**
-   * Whether a machine without any heartbeat in this term should have come up. The time since this
-   * leader knows of it counts too: a worker that has been up for long may not have found its way to
-   * a new leader yet.
+   * Returns whether a machine without a heartbeat in this term should have booted by now. The time
+   * since this leader discovered the machine also counts, because a worker that has long been up
+   * may not have reached a new leader yet.
    */
-  private boolean overdue(Machine machine, long nowMicros) {
+  private boolean isBootOverdue(Machine machine, long nowMicros) {
     long knownForMicros = nowMicros - machine.discoveredMicros;
     long ageMicros = term.scheduler.wallMicros() - machine.rentedWallMicros;
     long bootLimitMicros =
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the store keeps of rentals: the intents of open requests, the budget they are reserved on,
- * and the machines that were there before the first of them.
+ * The rental records in the store: the intents of pending requests, the budget on which they are
+ * reserved, and the owned machines, which existed before the first rental.
  */
 final class RentalIntents {
   private static final Logger LOG = LoggerFactory.getLogger(RentalIntents.class);
@@ -27,8 +27,8 @@
   private final LeaderTerm term;
   private final RentalBudget budget;
 
-  /** Whether the owned machines are in the store, where the first intent of all puts them. */
-  private boolean ownedRecorded;
+  /** Whether the owned machines are in the store; the first rental intent writes them. */
+  private boolean ownedMachinesRecorded;
 
   RentalIntents(LeaderTerm term) {
     this.term = term;
@@ -39,42 +39,47 @@
             term.deployment.clockOffMicros());
   }
 
-  /** Takes over the budget of earlier leaders, and whether any of them rented a machine. */
+  /** Loads the budget that earlier leaders stored, and whether any of them rented a machine. */
   void load(StoredState found) throws MalformedMessageException {
     if (found.rentalBudget().isPresent()) {
       budget.load(found.rentalBudget().get().value());
     }
-    ownedRecorded = found.ownedMachinesRecorded();
+    ownedMachinesRecorded = found.ownedMachinesRecorded();
   }
 
-  /** Whether no machine was ever rented, so that each machine that is found is an owned one. */
-  boolean ownedStillOpen() {
-    return !ownedRecorded;
+  /**
+   * Returns whether no machine was ever rented, so that each discovered machine is an owned one.
+   */
+  boolean noMachineRentedYet() {
+    return !ownedMachinesRecorded;
   }
 
-  /** How many machines may still be rented against the budget now. */
+  /** Returns how many machines may still be rented against the budget at present. */
   int budgetLeft() {
     return budget.left(term.scheduler.wallMicros());
   }
 
-  /** Reserves machines on the budget; false, and nothing reserved, if that many are not left. */
+  /**
+   * Reserves machines on the budget; returns false, and reserves none, if the budget has fewer
+   * left.
+   */
   boolean reserve(int count) {
     return budget.reserve(count, term.scheduler.wallMicros());
   }
 
   /**
-   * Queues the intent to be written, with its reservation.
+   * Queues the write of an intent with its reservation.
    *
    * @param rental the intent
-   * @param onDurable receives the intent once it is durable
+   * @param onDurable receives the intent when it is durable
    */
   void put(RentalRecord rental, Consumer<RentalRecord> onDurable) {
     term.commits.add(new PutRentalIntent(rental, onDurable), Urgency.FIRST);
   }
 
   /**
-   * Queues the intent to be deleted. It has to be durable already, since the queue takes changes of
-   * the same name for one.
+   * Queues the deletion of an intent. The intent has to be durable already, since the queue merges
+   * changes of the same name.
    */
   void delete(RentalRecord rental) {
     term.commits.add(new DeleteRentalIntent(rental.request()), Urgency.SOON);
@@ -94,13 +99,13 @@
   }
 
   /**
-   * Writes the intent with its reservation on the budget, and with the owned machines if this is
-   * the first rental of all. The request may be sent once that is durable.
+   * Writes the intent with its reservation on the budget, and the owned machines if this is the
+   * first rental of the cluster. The request may be sent when the write is durable.
    */
   private final class PutRentalIntent implements PendingChange {
     private final RentalRecord rental;
     private final Consumer<RentalRecord> onDurable;
-    private boolean recordsOwned;
+    private boolean writesOwnedMachines;
 
     PutRentalIntent(RentalRecord rental, Consumer<RentalRecord> onDurable) {
       this.rental = rental;
@@ -119,8 +124,8 @@
       if (rental.counted()) {
         writes.add(Write.put(Keys.BUDGET, budget.render()));
       }
-      recordsOwned = !ownedRecorded;
-      if (recordsOwned) {
+      writesOwnedMachines = !ownedMachinesRecorded;
+      if (writesOwnedMachines) {
         writes.add(Write.put(Keys.OWNED, renderOwnedMachines()));
       }
       return writes;
@@ -128,14 +133,14 @@
 
     @Override
     public void committed() {
-      ownedRecorded |= recordsOwned;
+      ownedMachinesRecorded |= writesOwnedMachines;
       onDurable.accept(rental);
     }
   }
 
   /**
-   * Deletes the intent of a request whose outcome is known. The rented machines are in their own
-   * records, written before this or with it.
+   * Deletes the intent of a request whose outcome is known. The rented machines have their own
+   * records, which are written before the deletion or with it.
    */
   private record DeleteRentalIntent(String requestId) implements PendingChange {
     @Override
@@ -150,7 +155,7 @@
 
     @Override
     public void committed() {
-      LOG.debug("outcome of request {} is recorded", requestId);
+      LOG.debug("deleted the intent of completed request {}", requestId);
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -21,10 +21,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The rental requests from their intent to their outcome. The intent and its reservation on the
- * budget are durable before the cloud is called, and the call is repeated under the same request
- * id, by later leaders too, until its outcome is known: so that no machine is rented without being
- * counted, and none is rented twice.
+ * Carries rental requests from their intent to their outcome. The intent and its reservation on the
+ * budget are durable before the request is sent to the cloud. The request is retried under the same
+ * id, which is its idempotency key, also by later leaders, until its outcome is known. So no
+ * machine is rented without being counted, and none is rented twice.
  */
 final class RentalRequests {
   private static final Logger LOG = LoggerFactory.getLogger(RentalRequests.class);
@@ -36,8 +36,8 @@
   private final CapacityPoolLimits poolLimits;
   private final RentalIntents intents;
 
-  /** By request id, oldest first; those whose outcome is not known yet. */
-  private final Map<String, RentalRecord> openRequests = new LinkedHashMap<>();
+  /** The requests whose outcome is not known yet, by request id, oldest first. */
+  private final Map<String, RentalRecord> pendingRequests = new LinkedHashMap<>();
 
   RentalRequests(
       LeaderTerm term, MachineRegistry machines, CloudClient cloud, CapacityPoolLimits poolLimits) {
@@ -48,53 +48,58 @@
     intents = new RentalIntents(term);
   }
 
-  /** Takes over the budget and the open requests of earlier leaders, and sends these again. */
+  /**
+   * Loads the budget and the pending requests that earlier leaders stored, and sends the requests
+   * again.
+   */
   void load(StoredState found) throws MalformedMessageException {
     intents.load(found);
     for (KeyValue item : found.rentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
-      openRequests.put(requestId, rental);
+      pendingRequests.put(requestId, rental);
       send(rental);
     }
   }
 
-  /** Whether no machine was ever rented, so that each machine that is found is an owned one. */
-  boolean ownedStillOpen() {
-    return intents.ownedStillOpen();
+  /**
+   * Returns whether no machine was ever rented, so that each discovered machine is an owned one.
+   */
+  boolean noMachineRentedYet() {
+    return intents.noMachineRentedYet();
   }
 
-  /** How many machines may still be rented against the budget now. */
+  /** Returns how many machines may still be rented against the budget at present. */
   int budgetLeft() {
     return intents.budgetLeft();
   }
 
-  /** The number of requests whose outcome is not known yet. */
-  int openCount() {
-    return openRequests.size();
+  /** Returns the number of requests whose outcome is not known yet. */
+  int pendingCount() {
+    return pendingRequests.size();
   }
 
-  /** The open requests for machine types that the catalog still has. */
-  List<ScaleOutRequest> openOfKnownTypes() {
+  /** Returns the pending requests for machine types that the catalog still contains. */
+  List<ScaleOutRequest> pendingOfKnownTypes() {
     List<ScaleOutRequest> known = new ArrayList<>();
-    for (RentalRecord rental : openRequests.values()) {
+    for (RentalRecord rental : pendingRequests.values()) {
       if (term.cluster.types.containsKey(rental.type())) {
-        known.add(request(rental));
+        known.add(scaleOutRequest(rental));
       }
     }
     return known;
   }
 
-  /** Whether a request of this type, zone and kind is open. */
-  boolean anyOpenFor(CapacityPool pool) {
-    return openRequests.values().stream().anyMatch(rental -> pool(rental).equals(pool));
+  /** Returns whether a request for this type, zone and kind of rental is pending. */
+  boolean hasPending(CapacityPool pool) {
+    return pendingRequests.values().stream().anyMatch(rental -> pool(rental).equals(pool));
   }
 
   private static CapacityPool pool(RentalRecord rental) {
     return new CapacityPool(rental.type(), rental.zone(), rental.spot());
   }
 
-  private ScaleOutRequest request(RentalRecord rental) {
+  private ScaleOutRequest scaleOutRequest(RentalRecord rental) {
     return new ScaleOutRequest(
         term.cluster.types.get(rental.type()),
         rental.zone(),
@@ -104,10 +109,10 @@
   }
 
   /**
-   * Reserves the machines on the budget, and sends the request once its intent is durable. Does
-   * nothing if a counted request does not fit into the budget.
+   * Reserves the machines on the budget, and sends the request when its intent is durable. Does
+   * nothing if a counted request exceeds the remaining budget.
    */
-  void begin(ScaleOutRequest request) {
+  void submit(ScaleOutRequest request) {
     if (request.counted() && !intents.reserve(request.count())) {
       return;
     }
@@ -120,7 +125,7 @@
             request.spot(),
             request.count(),
             request.counted());
-    openRequests.put(requestId, rental);
+    pendingRequests.put(requestId, rental);
     LOG.info(
         "renting {} {} in {}{}{}, request {}",
         request.count(),
@@ -139,7 +144,7 @@
     }
     cloud.rent(
         rental.request(),
-        request(rental),
+        scaleOutRequest(rental),
         result -> {
           if (!term.closed()) {
             handle(rental, result);
@@ -159,29 +164,35 @@
       LOG.info("no capacity for request {}", rental.request());
       complete(rental, List.of());
     } else if (result instanceof RentResult.Rejected) {
-      LOG.error("the cloud rejects request {} as malformed", rental.request());
+      LOG.error("cloud rejected request {} as malformed", rental.request());
       complete(rental, List.of());
     } else {
       if (result instanceof RentResult.Malformed malformed) {
         LOG.info(
-            "the response to request {} is malformed: {}", rental.request(), malformed.reason());
+            "response to request {} is malformed, retrying the request: {}",
+            rental.request(),
+            malformed.reason());
       }
       retryLater(rental);
     }
   }
 
-  /** The outcome is known: adds the rented machines, and drops the intent. */
+  /**
+   * Completes a request whose outcome is known: adds the rented machines, and deletes the intent.
+   */
   private void complete(RentalRecord rental, List<String> machineIds) {
     poolLimits.recordAnswer(
         pool(rental), rental.count(), machineIds.size(), term.scheduler.nowMicros());
-    openRequests.remove(rental.request());
+    pendingRequests.remove(rental.request());
     for (String machineId : machineIds) {
       addIfNew(rental, machineId);
     }
     intents.delete(rental);
   }
 
-  /** The machine may be known from the list, and may even have been deleted again. */
+  /**
+   * Adds a rented machine, unless it is known from the machine list or has already been removed.
+   */
   private void addIfNew(RentalRecord rental, String machineId) {
     if (term.cluster.machines.containsKey(machineId) || machines.wasRemoved(machineId)) {
       return;
--- a/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
@@ -8,16 +8,16 @@
 import madderrudder.coordination.state.Machine;
 
 /**
- * Deletes retired machines in batches, one batch at a time. A machine is deleted only once its
- * retirement is durable: a later leader must not place work on it. A batch without a confirmation
- * is sent again, since the cloud ignores machines that are gone.
+ * Deletes retired machines in batches, one batch at a time. A machine is deleted only when its
+ * retirement is durable, so that no later leader places work on it. A batch without a confirmation
+ * is sent again, which is safe because the cloud ignores machines that are gone.
  */
 final class RetiredMachineDeleter {
-  /** The most machines that the cloud takes in one request. */
-  private static final int MAX_BATCH = 100;
+  /** The most machines that the cloud accepts in one request. */
+  private static final int MAX_BATCH_SIZE = 100;
 
-  /** How often a batch may begin within the operators' poll interval. */
-  private static final int RUNS_PER_POLL = 5;
+  /** How many batches may begin within the poll interval that operators configure. */
+  private static final int BATCHES_PER_POLL_INTERVAL = 5;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
@@ -30,8 +30,9 @@
     this.cloud = cloud;
   }
 
+  /** Starts to delete retired machines periodically, until the term ends. */
   void start() {
-    term.every(term.policy.pollMicros() / RUNS_PER_POLL, this::deleteNextBatch);
+    term.every(term.policy.pollMicros() / BATCHES_PER_POLL_INTERVAL, this::deleteNextBatch);
   }
 
   private void deleteNextBatch() {
@@ -55,7 +56,7 @@
   private List<Machine> nextBatch() {
     return term.cluster.machines.values().stream()
         .filter(machine -> machine.retiring && machine.retiringDurable)
-        .limit(MAX_BATCH)
+        .limit(MAX_BATCH_SIZE)
         .toList();
   }
 
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -15,84 +15,84 @@
 import madderrudder.protocol.MalformedMessageException;
 
 /**
- * Scales the cluster out and in for one leader term: rents what the scheduler lacks room for, and
- * returns machines that nobody needs or that do not work. Confined to the event loop thread.
+ * Scales the cluster out and in for one leader term: rents machines for jobs that lack capacity,
+ * and returns machines that no job needs or that do not work. Confined to the event loop thread.
  */
 public final class ScaleOutController {
   private final LeaderTerm term;
   private final CapacityPoolLimits poolLimits = new CapacityPoolLimits();
   private final RentalRequests requests;
-  private final MachineListPoller machineList;
+  private final MachineListPoller listPoller;
   private final MachineReconciliation reconciliation;
   private final RetiredMachineDeleter deleter;
 
-  /** When counted machines may be requested next. */
-  private long nextBudgetedMicros;
+  /** The earliest time of the next request for machines that count against the budget. */
+  private long nextCountedRequestMicros;
 
   /**
-   * Creates a controller that does nothing before {@link #load}.
+   * Creates a controller that is inactive until {@link #load}.
    *
    * @param term the leader's term
-   * @param machines the machines that the leader keeps in its log
+   * @param machines the registry of the machines in the leader's log
    * @param cloud client of the cloud's rental API
    */
   public ScaleOutController(LeaderTerm term, MachineRegistry machines, CloudClient cloud) {
     this.term = term;
     requests = new RentalRequests(term, machines, cloud, poolLimits);
-    ListedMachines listed = new ListedMachines(term, machines, requests);
-    machineList = new MachineListPoller(term, cloud, listed);
-    reconciliation = new MachineReconciliation(term, machines, requests, listed, poolLimits);
+    MachineListTracker tracker = new MachineListTracker(term, machines, requests);
+    listPoller = new MachineListPoller(term, cloud, tracker);
+    reconciliation = new MachineReconciliation(term, machines, requests, tracker, poolLimits);
     deleter = new RetiredMachineDeleter(term, machines, cloud);
   }
 
   /**
-   * Takes over what earlier leaders stored: the budget, and the open rental requests, which are
-   * sent again. From then on the machine list is polled and retired machines are deleted.
+   * Loads the budget and the pending rental requests that earlier leaders stored, and sends these
+   * requests again. Then starts to poll the machine list and to delete retired machines.
    *
-   * @param found what the store holds
+   * @param found the records in the store
    * @throws MalformedMessageException if a stored record is unreadable
    */
   public void load(StoredState found) throws MalformedMessageException {
     requests.load(found);
-    machineList.start();
+    listPoller.start();
     deleter.start();
   }
 
   /**
-   * Whether no machine was ever rented. Until the first rental every machine that is found is an
-   * owned one.
+   * Returns whether no machine was ever rented. Until the first rental, each discovered machine is
+   * an owned one.
    */
   public boolean ownedStillOpen() {
-    return requests.ownedStillOpen();
+    return requests.noMachineRentedYet();
   }
 
-  /** The number of rental requests whose outcome is not known yet. */
+  /** Returns the number of rental requests whose outcome is not known yet. */
   public int underWay() {
-    return requests.openCount();
+    return requests.pendingCount();
   }
 
-  /** Tells that a machine has sent its first heartbeat. */
+  /** Records that a machine has booted and sent its first heartbeat. */
   public void machineUp(Machine machine) {
     poolLimits.recordBoot(machine.capacityPool());
   }
 
-  /** How many machines may still be rented against the budget now. */
+  /** Returns how many machines may still be rented against the budget at present. */
   public int budgetLeft() {
     return requests.budgetLeft();
   }
 
   /**
-   * Plans what to rent for the demand, and begins those requests. Does nothing before the machine
-   * list has been read once, since the machines in it may meet the demand.
+   * Plans rentals for the demand, and submits their requests. Does nothing until a complete machine
+   * list has been read, since the listed machines may meet the demand.
    *
-   * @param demand the jobs that wait for room
-   * @param nowMicros the time on the scheduler's clock
+   * @param demand the jobs that wait for capacity
+   * @param nowMicros the current time of the steady clock in microseconds
    */
   public void scaleOut(Demand demand, long nowMicros) {
-    if (!machineList.readOnce() || term.cluster.types.isEmpty()) {
+    if (!listPoller.hasReadCompleteList() || term.cluster.types.isEmpty()) {
       return;
     }
-    int budget = takeBudgetTurn(nowMicros) ? budgetLeft() : 0;
+    int budget = reserveBudgetRound(nowMicros) ? budgetLeft() : 0;
     List<ScaleOutRequest> planned =
         ScaleOutPlanner.plan(
             term.cluster,
@@ -100,31 +100,36 @@
             demand,
             nowMicros,
             budget,
-            pool -> mostPerRequest(pool, nowMicros),
-            requests.openOfKnownTypes());
-    planned.forEach(requests::begin);
+            pool -> maxMachinesPerRequest(pool, nowMicros),
+            requests.pendingOfKnownTypes());
+    planned.forEach(requests::submit);
   }
 
-  /** Whether the budget may be drawn on in this round, which it may once per poll interval. */
-  private boolean takeBudgetTurn(long nowMicros) {
-    if (nowMicros < nextBudgetedMicros) {
+  /**
+   * Returns whether this round may draw on the budget, and if so reserves the poll interval for it.
+   */
+  private boolean reserveBudgetRound(long nowMicros) {
+    if (nowMicros < nextCountedRequestMicros) {
       return false;
     }
-    nextBudgetedMicros = nowMicros + term.policy.pollMicros();
+    nextCountedRequestMicros = nowMicros + term.policy.pollMicros();
     return true;
   }
 
-  /** One request per pool at a time, so that its outcome is known before the next one. */
-  private int mostPerRequest(CapacityPool pool, long nowMicros) {
-    return requests.anyOpenFor(pool) ? 0 : poolLimits.requestLimit(pool, nowMicros);
+  /**
+   * Returns the most machines that a request for the pool may name. Only one request per pool is in
+   * flight, so that its outcome is known before the next request.
+   */
+  private int maxMachinesPerRequest(CapacityPool pool, long nowMicros) {
+    return requests.hasPending(pool) ? 0 : poolLimits.requestLimit(pool, nowMicros);
   }
 
   /**
-   * Compares the leader's log, the machine list and the heartbeats of each machine: retires what is
-   * idle or does not work, and removes what is gone.
+   * Compares the leader's log, the machine list and the heartbeats of each machine: retires
+   * machines that are idle or do not work, and removes machines that are gone.
    *
-   * @param nowMicros the time on the scheduler's clock
-   * @param coverage how much of the cluster has been heard in this term
+   * @param nowMicros the current time of the steady clock in microseconds
+   * @param coverage how much of the cluster has sent heartbeats in this term
    */
   public void reconcileMachines(long nowMicros, ClusterCoverage coverage) {
     reconciliation.run(nowMicros, coverage);
--- a/src/main/java/madderrudder/coordination/scaleout/package-info.java
+++ b/src/main/java/madderrudder/coordination/scaleout/package-info.java
@@ -1,8 +1,8 @@
 /**
  * Rents machines from the cloud and returns them. {@link
- * madderrudder.coordination.scaleout.ScaleOutController} is the only entry point; behind it are the
- * rental requests with their durable intents, the poller of the cloud's machine list, the
- * reconciliation of machines, and the deletion of retired machines. Everything is confined to the
- * event loop thread and lasts for one leader term.
+ * madderrudder.coordination.scaleout.ScaleOutController} is the entry point. The other classes send
+ * rental requests with durable intents, poll the cloud's machine list, reconcile machines, and
+ * delete retired machines. All are confined to the event loop thread, and their instances last for
+ * one leader term.
  */
 package madderrudder.coordination.scaleout;
