--- a/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
@@ -12,35 +12,36 @@
 import madderrudder.protocol.JobSpec;
 
 /**
- * How much of the cluster a leader has heard from since it took over: which of the machines that
- * were up it still has to hear, by zone, type and team. What is free on those is not known, and
- * what runs there may need no capacity elsewhere. So nothing is preempted for a job and no machine
- * is rented for it before enough of the machines that it may use have been heard. That is awaited
- * for as long as a worker that can reach this leader may take to find it, and no longer.
+ * The share of the cluster that has reported to a leader since it took over, by zone, type and
+ * team. Of a machine that was up and has not reported yet, it is not known what is free on it, and
+ * a task that runs there needs no capacity elsewhere. The leader therefore preempts nothing and
+ * rents no machine for a job until enough of the machines that the job may use have reported. It
+ * waits only for as long as a worker with a working connection may need to find the new leader.
  *
- * <p>Not changed once it is made. Confined to the event loop thread.
+ * <p>Immutable after construction. Confined to the event loop thread.
  */
 public final class ClusterCoverage {
-  /** The coverage of a leader that has heard all there is. */
+  /** The coverage of a leader to which all expected machines have reported. */
   public static final ClusterCoverage FULL = new ClusterCoverage(true);
 
   /**
-   * One machine in ten may be missing: among a thousand workers the last tenth takes as long to
-   * report as all others, and what can be free on it is little beside what nine tenths have.
+   * The tenths of the expected machines that have to report. One machine in ten may be missing:
+   * among a thousand workers the last tenth takes as long to report as all others, and its free
+   * capacity is small compared with that of the other nine tenths.
    */
-  private static final int TENTHS_NEEDED = 9;
+  private static final int REQUIRED_TENTHS = 9;
 
-  /** A worker that a controller sent away, or that found none, tries the next after a second. */
-  private static final long TRY_MICROS = 1_000_000;
+  /** A worker that a controller rejected, or that reached none, tries the next after a second. */
+  private static final long CONTROLLER_RETRY_MICROS = 1_000_000;
 
   private final boolean overdue;
   private final Map<ZonePool, Count> pools = new TreeMap<>();
   private final Map<String, Count> teams = new TreeMap<>();
-  private final Set<Machine> unheard = new HashSet<>();
+  private final Set<Machine> unreported = new HashSet<>();
   private final Set<String> cutOffZones = new HashSet<>();
-  private final Count all = new Count();
+  private final Count allMachines = new Count();
 
-  /** Machines of a type in a zone. */
+  /** The machines of one type in one zone. */
   private record ZonePool(String zone, String type) implements Comparable<ZonePool> {
     @Override
     public int compareTo(ZonePool other) {
@@ -49,34 +50,34 @@
     }
   }
 
-  /** How many of the machines, or tasks, that are expected have been heard. */
+  /** Counts the expected machines, or the tasks on them, and those whose machine has reported. */
   public static final class Count {
     private int expected;
-    private int heard;
+    private int reported;
 
     private Count() {}
 
-    private void add(boolean isHeard) {
+    private void add(boolean hasReported) {
       expected++;
-      heard += isHeard ? 1 : 0;
+      reported += hasReported ? 1 : 0;
     }
 
     private void add(Count other) {
       expected += other.expected;
-      heard += other.heard;
+      reported += other.reported;
     }
 
-    private boolean enough() {
-      return 10L * heard >= (long) TENTHS_NEEDED * expected;
+    private boolean isSufficient() {
+      return 10L * reported >= (long) REQUIRED_TENTHS * expected;
     }
 
-    private boolean hardlyAny() {
-      return 10L * heard < (long) (10 - TENTHS_NEEDED) * expected;
+    private boolean isNearlyNone() {
+      return 10L * reported < (long) (10 - REQUIRED_TENTHS) * expected;
     }
 
-    /** The share that has been heard, from 0 to 1; 1 where nothing is expected. */
+    /** The share that has reported, from 0 to 1; 1 if none is expected. */
     public double share() {
-      return expected == 0 ? 1 : (double) heard / expected;
+      return expected == 0 ? 1 : (double) reported / expected;
     }
   }
 
@@ -85,92 +86,97 @@
   }
 
   /**
-   * For how long workers are awaited, in microseconds: the interval between heartbeats with the
-   * quarter that it may be longer, and a try at each controller.
+   * How long the leader waits for workers to report, in microseconds: the heartbeat interval, plus
+   * the quarter by which it may be longer, plus one attempt at each controller.
+   *
+   * @param members how many controllers there are
    */
   public static long patienceMicros(WorkerTimes workers, int members) {
-    return workers.reportMicros() * 5 / 4 + members * TRY_MICROS;
+    return workers.reportMicros() * 5 / 4 + members * CONTROLLER_RETRY_MICROS;
   }
 
   /**
-   * The coverage of a leader.
+   * Returns the coverage of a leader.
    *
-   * @param answeringMicros for how long it has answered workers
-   * @param patienceMicros for how long workers are awaited
+   * @param cluster the leader's view of the cluster
+   * @param answeringMicros how long the leader has answered workers
+   * @param reportTimeoutMicros how long it waits for workers to report
+   * @param wallMicros the wall clock time
    */
   public static ClusterCoverage of(
-      Cluster cluster, long answeringMicros, long patienceMicros, long wallMicros) {
-    ClusterCoverage coverage = new ClusterCoverage(answeringMicros > patienceMicros);
+      Cluster cluster, long answeringMicros, long reportTimeoutMicros, long wallMicros) {
+    ClusterCoverage coverage = new ClusterCoverage(answeringMicros > reportTimeoutMicros);
     for (Machine machine : cluster.machines.values()) {
       if (machine.expectedUp(wallMicros)) {
-        coverage.expect(machine);
+        coverage.addExpected(machine);
       }
     }
     coverage.findCutOffZones();
-    return coverage.unheard.isEmpty() ? FULL : coverage;
+    return coverage.unreported.isEmpty() ? FULL : coverage;
   }
 
   /**
-   * A zone of which hardly any machine has reported, while another has been heard nearly whole, is
-   * cut off rather than late. Waiting for it once kept work waiting in the zone that was there.
+   * Finds the zones that are cut off rather than late: nearly no machine of the zone has reported,
+   * while nearly all machines of another zone have. Waiting for such a zone once delayed work that
+   * could have run in the reachable zone.
    */
   private void findCutOffZones() {
     Map<String, Count> zones = zones();
-    if (zones.values().stream().noneMatch(Count::enough)) {
+    if (zones.values().stream().noneMatch(Count::isSufficient)) {
       return;
     }
     zones.forEach(
         (zone, count) -> {
-          if (count.hardlyAny()) {
+          if (count.isNearlyNone()) {
             cutOffZones.add(zone);
           }
         });
   }
 
-  private void expect(Machine machine) {
-    // A heartbeat that was not made in this term may be a late copy, of a machine that has died
+  private void addExpected(Machine machine) {
+    // A heartbeat that was not made in this term may be a late copy from a machine that has died
     // since.
-    boolean heard = (machine.reported && machine.reportedInTerm) || machine.leaseExpired;
-    if (!heard) {
-      unheard.add(machine);
+    boolean hasReported = (machine.reported && machine.reportedInTerm) || machine.leaseExpired;
+    if (!hasReported) {
+      unreported.add(machine);
     }
-    all.add(heard);
+    allMachines.add(hasReported);
     pools
         .computeIfAbsent(new ZonePool(machine.zone, machine.type.name()), pool -> new Count())
-        .add(heard);
+        .add(hasReported);
     for (Assignment assignment : machine.assignments.values()) {
       if (assignment.inherited) {
-        teams.computeIfAbsent(assignment.team, team -> new Count()).add(heard);
+        teams.computeIfAbsent(assignment.team, team -> new Count()).add(hasReported);
       }
     }
   }
 
-  /** Whether every machine that is expected has been heard. */
+  /** Whether every expected machine has reported. */
   public boolean complete() {
-    return unheard.isEmpty();
+    return unreported.isEmpty();
   }
 
-  /** Whether a machine that has not been heard by now is silent rather than on the way. */
+  /** Whether the time in which workers are expected to report is over. */
   public boolean overdue() {
     return overdue;
   }
 
-  /** Whether the machine was up, has not been heard yet, and is likely to report soon. */
+  /** Whether the machine was up, has not reported yet, and is likely to report soon. */
   public boolean awaits(Machine machine) {
-    return !overdue && unheard.contains(machine) && !cutOffZones.contains(machine.zone);
+    return !overdue && unreported.contains(machine) && !cutOffZones.contains(machine.zone);
   }
 
-  /** Whether the machine was up and should have been heard by now. */
+  /** Whether the machine was up and has not reported, though it should have by now. */
   public boolean misses(Machine machine) {
-    return unheard.contains(machine) && !awaits(machine);
+    return unreported.contains(machine) && !awaits(machine);
   }
 
-  /** Whether enough of all machines have been heard. */
+  /** Whether enough of all machines have reported, or the time to report is over. */
   public boolean suffices() {
-    return overdue || all.enough();
+    return overdue || allMachines.isSufficient();
   }
 
-  /** Whether enough of the machines that the job may use have been heard. */
+  /** Whether enough of the machines that the job may use have reported, or time is over. */
   public boolean suffices(Job job) {
     if (overdue) {
       return true;
@@ -182,7 +188,7 @@
             usable.add(count);
           }
         });
-    return usable.enough();
+    return usable.isSufficient();
   }
 
   private boolean mayUse(JobSpec spec, ZonePool pool) {
@@ -191,12 +197,12 @@
         && (spec.types() == null || spec.types().contains(pool.type()));
   }
 
-  /** The share of all expected machines that has been heard, from 0 to 1. */
+  /** The share of all expected machines that has reported, from 0 to 1. */
   public double share() {
-    return all.share();
+    return allMachines.share();
   }
 
-  /** How many machines of each zone have been heard. */
+  /** The expected machines and those that have reported, by zone. */
   public Map<String, Count> zones() {
     Map<String, Count> zones = new TreeMap<>();
     pools.forEach(
@@ -204,7 +210,7 @@
     return zones;
   }
 
-  /** How many machines of each type have been heard. */
+  /** The expected machines and those that have reported, by type. */
   public Map<String, Count> types() {
     Map<String, Count> types = new TreeMap<>();
     pools.forEach(
@@ -212,7 +218,7 @@
     return types;
   }
 
-  /** How many of each team's inherited tasks are on machines that have been heard. */
+  /** The inherited tasks and those on machines that have reported, by team. */
   public Map<String, Count> teams() {
     return teams;
   }
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
@@ -1,25 +1,25 @@
 package madderrudder.coordination.reconciliation;
 
 /**
- * What follows for a machine, and why; {@code docs/cold-start.md} has the table.
+ * The leader's decision on one machine; {@code docs/cold-start.md} has the decision table.
  *
- * @param verdict what is to be done
- * @param reason why, for the log
+ * @param verdict the action to take
+ * @param reason the reason for the verdict, for the log
  */
 public record MachineDecision(Verdict verdict, String reason) {
-  /** What is to be done with a machine. */
+  /** The action to take on a machine. */
   public enum Verdict {
-    /** It stays as it is. */
+    /** Leave the machine as it is. */
     KEEP,
-    /** Nothing can be said before more is known. */
+    /** Take no action until more is known. */
     AWAIT,
-    /** It is taken up as one that was there before the first rental. */
+    /** Add the machine to the records as an owned one. */
     ADOPT_OWNED,
-    /** It is taken up as rented: used, or returned when idle. */
+    /** Add the machine to the records as a rented one: it is used, or returned when idle. */
     ADOPT,
-    /** It is returned to the cloud. */
+    /** Return the machine to the cloud. */
     RETURN,
-    /** It is gone, and all that was on it. */
+    /** The machine no longer exists: remove it and release its tasks. */
     GONE
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
@@ -1,16 +1,17 @@
 package madderrudder.coordination.reconciliation;
 
 /**
- * What is known of a machine: what the log, the cloud's list and its worker's heartbeats say.
+ * The facts about one machine that {@link MachineReconciler} decides on, from the leader's log, the
+ * cloud's list and the heartbeats of the machine's worker.
  *
- * @param recorded whether the leader's log names it
- * @param owned whether it is owned rather than rented
- * @param returning whether its return is decided already
- * @param listed what the cloud's list says
- * @param worker what its worker does
- * @param empty whether nothing is, or may be, on it
- * @param mostAlike most machines are as silent as this one, so that it is rather the leader that is
- *     cut off
+ * @param recorded whether the leader's log contains the machine
+ * @param owned whether the machine is owned rather than rented
+ * @param returning whether its return to the cloud is already decided
+ * @param listed its state in the cloud's list
+ * @param worker the state of its worker
+ * @param empty whether no task is, or may be, on it
+ * @param mostMachinesSilent whether most machines are silent, which means that the leader rather
+ *     than the machine is probably cut off
  */
 public record MachineFacts(
     Recorded recorded,
@@ -19,46 +20,46 @@
     Listed listed,
     Worker worker,
     boolean empty,
-    boolean mostAlike) {
-  /** Whether the log names a machine. */
+    boolean mostMachinesSilent) {
+  /** Whether the leader's log contains a machine. */
   public enum Recorded {
-    /** It does not. */
+    /** The log does not contain it. */
     NO,
-    /** It does. */
+    /** The log contains it. */
     YES,
-    /** Its deletion was confirmed, or it was found gone, in this term. */
+    /** It was removed in this term: its deletion was confirmed, or it was found gone. */
     GONE
   }
 
-  /** What the cloud's list says of a machine. */
+  /** The state of a machine in the cloud's list. */
   public enum Listed {
-    /** Nothing that proves anything: there was no list since, or it may be too new for one. */
+    /** Inconclusive: no list was received since, or the machine may be too new to be listed. */
     UNKNOWN,
-    /** It is there. */
+    /** The machine is listed. */
     THERE,
-    /** It has been listed for longer than a scale-out answer, or a deletion, can be under way. */
+    /** Listed for longer than a scale-out response or a deletion can be in flight. */
     LASTING,
-    /** It stopped by itself. */
+    /** Listed as failed: it stopped without being deleted. */
     FAILED,
-    /** It is not in a list that must have it if it is there. */
+    /** Absent from a list that would contain it if it existed. */
     MISSING
   }
 
-  /** What its worker does. */
+  /** The state of the worker on a machine. */
   public enum Worker {
-    /** Its heartbeats come. */
+    /** Its heartbeats arrive. */
     REPORTS,
-    /** Its heartbeats come, and for a lease nothing has shown that answers reach it. */
+    /** Its heartbeats arrive, but it has acknowledged no answer for a whole lease. */
     UNACKNOWLEDGED,
-    /** It has reported, and has had nothing to do for as long as an idle machine is kept. */
+    /** It has reported, and has had no task for longer than an idle machine is kept. */
     IDLE,
-    /** Not heard in this term, and it may still come up, or find its way to a new leader. */
+    /** No heartbeat in this term; the machine may still boot or connect to the new leader. */
     EXPECTED,
-    /** Not heard, and it would have come up by now. */
+    /** No heartbeat in this term, although the machine should have booted by now. */
     OVERDUE,
-    /** It was heard, and now a heartbeat is missing. */
+    /** It has reported, but its next heartbeat is late. */
     SILENT,
-    /** Silent for so long that its lease has expired and it has dropped all its tasks. */
+    /** Silent for so long that its lease has expired and it has stopped all its tasks. */
     LEASE_EXPIRED
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
@@ -5,82 +5,92 @@
 import madderrudder.coordination.reconciliation.MachineFacts.Worker;
 
 /**
- * Reconciles what the log says of machines with the cloud's list and with their workers'
- * heartbeats. A pure function, usable from any thread.
+ * Reconciles the machines in the leader's log with the cloud's list and with the workers'
+ * heartbeats. A pure function that any thread may call.
  */
 public final class MachineReconciler {
-  private static final MachineDecision DELETED =
-      new MachineDecision(Verdict.KEEP, "it was deleted; a list or report is late");
-  private static final MachineDecision UNKNOWN =
-      new MachineDecision(Verdict.AWAIT, "nothing is known of it");
+  private static final MachineDecision REMOVED =
+      new MachineDecision(
+          Verdict.KEEP, "removed in this term; the list or heartbeat that shows it is stale");
+  private static final MachineDecision NOT_SHOWN_RUNNING =
+      new MachineDecision(Verdict.AWAIT, "not recorded, and no list or heartbeat shows it running");
   private static final MachineDecision FOUND_OWNED =
-      new MachineDecision(Verdict.ADOPT_OWNED, "it was there before the first rental");
-  private static final MachineDecision REPORTS =
-      new MachineDecision(Verdict.ADOPT, "it reports, and the log does not know it");
-  private static final MachineDecision UNEXPECTED =
-      new MachineDecision(Verdict.ADOPT, "it stays in the list");
-  private static final MachineDecision MAY_BE_PENDING =
-      new MachineDecision(Verdict.AWAIT, "a scale-out answer may name it, or it may be going");
-  private static final MachineDecision VANISHED =
+      new MachineDecision(Verdict.ADOPT_OWNED, "found before the first rental, so it is owned");
+  private static final MachineDecision UNRECORDED_REPORTING =
+      new MachineDecision(Verdict.ADOPT, "it sends heartbeats but is not recorded");
+  private static final MachineDecision UNRECORDED_LISTED =
+      new MachineDecision(Verdict.ADOPT, "it stays in the cloud's list but is not recorded");
+  private static final MachineDecision RENTAL_OR_DELETION_IN_FLIGHT =
+      new MachineDecision(
+          Verdict.AWAIT,
+          "a scale-out response may still name it, or its deletion may be in progress");
+  private static final MachineDecision NOT_LISTED =
       new MachineDecision(Verdict.GONE, "the cloud no longer lists it");
   private static final MachineDecision RETURNING =
-      new MachineDecision(Verdict.KEEP, "it is being returned");
+      new MachineDecision(Verdict.KEEP, "it is already being returned");
   private static final MachineDecision OWNED =
-      new MachineDecision(Verdict.KEEP, "owned machines stay");
+      new MachineDecision(Verdict.KEEP, "owned machines are never returned");
   private static final MachineDecision FAILED =
-      new MachineDecision(Verdict.RETURN, "it has failed");
+      new MachineDecision(Verdict.RETURN, "the cloud lists it as failed");
   private static final MachineDecision LEASE_EXPIRED =
-      new MachineDecision(Verdict.RETURN, "silent for too long");
+      new MachineDecision(
+          Verdict.RETURN, "no heartbeat arrived for longer than its worker's lease lasts");
   private static final MachineDecision LEADER_CUT_OFF =
-      new MachineDecision(Verdict.AWAIT, "most are silent: the leader is cut off");
+      new MachineDecision(
+          Verdict.AWAIT, "most machines are silent, so the leader is probably cut off");
   private static final MachineDecision UNACKNOWLEDGED =
-      new MachineDecision(Verdict.RETURN, "no answer reaches it");
-  private static final MachineDecision MAY_STILL_RUN =
-      new MachineDecision(Verdict.AWAIT, "what it had may still run");
-  private static final MachineDecision NOT_UP =
-      new MachineDecision(Verdict.RETURN, "it has not come up");
+      new MachineDecision(
+          Verdict.RETURN, "its worker has acknowledged no answer for a whole lease");
+  private static final MachineDecision UNACKNOWLEDGED_IN_USE =
+      new MachineDecision(
+          Verdict.AWAIT, "its worker acknowledges no answer, but its tasks may still run");
+  private static final MachineDecision BOOT_OVERDUE =
+      new MachineDecision(
+          Verdict.RETURN, "it has sent no heartbeat in the time that it needs to boot");
   private static final MachineDecision IDLE = new MachineDecision(Verdict.RETURN, "idle");
   private static final MachineDecision IN_USE =
-      new MachineDecision(Verdict.KEEP, "it is in use, or was lately");
-  private static final MachineDecision MAY_COME_UP =
-      new MachineDecision(Verdict.AWAIT, "it may come up");
+      new MachineDecision(Verdict.KEEP, "it is in use or was used recently");
+  private static final MachineDecision MAY_STILL_REPORT =
+      new MachineDecision(Verdict.AWAIT, "its first heartbeat in this term may still arrive");
 
   private MachineReconciler() {}
 
   /**
-   * The decision that follows from the facts.
+   * Returns the decision on one machine.
    *
-   * @param ownedOpen nothing was rented yet, so that a machine that is found is an owned one
+   * @param facts what is known of the machine
+   * @param nothingRented whether no machine was ever rented, so that an unrecorded machine must be
+   *     an owned one
    */
-  public static MachineDecision of(MachineFacts facts, boolean ownedOpen) {
+  public static MachineDecision of(MachineFacts facts, boolean nothingRented) {
     return switch (facts.recorded()) {
-      case GONE -> DELETED;
-      case NO -> unrecorded(facts, ownedOpen);
-      case YES -> recorded(facts);
+      case GONE -> REMOVED;
+      case NO -> decideUnrecorded(facts, nothingRented);
+      case YES -> decideRecorded(facts);
     };
   }
 
-  private static MachineDecision unrecorded(MachineFacts facts, boolean ownedOpen) {
+  private static MachineDecision decideUnrecorded(MachineFacts facts, boolean nothingRented) {
     boolean reports = facts.worker() == Worker.REPORTS;
-    boolean there = facts.listed() == Listed.THERE || facts.listed() == Listed.LASTING;
-    if (ownedOpen && (reports || there)) {
+    boolean isListed = facts.listed() == Listed.THERE || facts.listed() == Listed.LASTING;
+    if (nothingRented && (reports || isListed)) {
       return FOUND_OWNED;
     }
     if (reports) {
-      return REPORTS;
+      return UNRECORDED_REPORTING;
     }
     return switch (facts.listed()) {
-      case LASTING -> UNEXPECTED;
-      case THERE -> MAY_BE_PENDING;
-      case UNKNOWN, FAILED, MISSING -> UNKNOWN;
+      case LASTING -> UNRECORDED_LISTED;
+      case THERE -> RENTAL_OR_DELETION_IN_FLIGHT;
+      case UNKNOWN, FAILED, MISSING -> NOT_SHOWN_RUNNING;
     };
   }
 
-  private static MachineDecision recorded(MachineFacts facts) {
+  private static MachineDecision decideRecorded(MachineFacts facts) {
     if (facts.listed() == Listed.MISSING
         && facts.worker() != Worker.REPORTS
         && facts.worker() != Worker.IDLE) {
-      return VANISHED;
+      return NOT_LISTED;
     }
     if (facts.returning()) {
       return RETURNING;
@@ -92,11 +102,11 @@
       return FAILED;
     }
     return switch (facts.worker()) {
-      case UNACKNOWLEDGED -> facts.empty() ? UNACKNOWLEDGED : MAY_STILL_RUN;
-      case LEASE_EXPIRED -> facts.mostAlike() ? LEADER_CUT_OFF : LEASE_EXPIRED;
-      case OVERDUE -> facts.empty() ? NOT_UP : MAY_COME_UP;
+      case UNACKNOWLEDGED -> facts.empty() ? UNACKNOWLEDGED : UNACKNOWLEDGED_IN_USE;
+      case LEASE_EXPIRED -> facts.mostMachinesSilent() ? LEADER_CUT_OFF : LEASE_EXPIRED;
+      case OVERDUE -> facts.empty() ? BOOT_OVERDUE : MAY_STILL_REPORT;
       case IDLE -> facts.empty() ? IDLE : IN_USE;
-      case EXPECTED -> MAY_COME_UP;
+      case EXPECTED -> MAY_STILL_REPORT;
       case REPORTS, SILENT -> IN_USE;
     };
   }
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
@@ -1,33 +1,33 @@
 package madderrudder.coordination.reconciliation;
 
 /**
- * What follows for one attempt of a task on one machine, and why; {@code docs/cold-start.md} has
- * the table.
+ * The leader's decision on one attempt of a task on one machine; {@code docs/cold-start.md} has the
+ * decision table.
  *
- * @param verdict what is to be done
- * @param reason why, for the log
+ * @param verdict the action to take
+ * @param reason the reason for the verdict, for the log
  */
 public record TaskDecision(Verdict verdict, String reason) {
-  /** What is to be done with an attempt on a machine. */
+  /** The action to take on an attempt on a machine. */
   public enum Verdict {
-    /** It stays as it is, and nothing is said. */
+    /** Leave the attempt as it is and send no command. */
     KEEP,
-    /** Nothing can be said before more is heard; it counts as being there. */
+    /** Take no action until more is known; the attempt counts as being on the machine. */
     AWAIT,
-    /** The worker is told to start it. */
+    /** Tell the worker to start the attempt. */
     START,
-    /** The worker is told to stop it. */
+    /** Tell the worker to stop the attempt. */
     STOP,
-    /** It has completed: that is recorded, and it is kept on the worker until then. */
+    /** Record the completion; the worker keeps the completed task until the record is durable. */
     RECORD_DONE,
-    /** It has exited and its record goes. */
+    /** Record the exit and remove the assignment. */
     RECORD_EXIT,
     /**
-     * It is certainly not there and cannot start any more: its record goes, and it may be placed
-     * anew.
+     * The attempt is certainly not on the machine and can no longer start there: remove its record,
+     * so that the task may be placed again.
      */
     GONE,
-    /** The worker is told to forget what has exited. */
+    /** Tell the worker to forget the exited attempt. */
     FORGET
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskFacts.java
@@ -1,76 +1,78 @@
 package madderrudder.coordination.reconciliation;
 
 /**
- * What is known of one attempt of a task on one machine, from the records and the newest heartbeat.
+ * The facts about one attempt of a task on one machine that {@link TaskReconciler} decides on, from
+ * the leader's records and the newest heartbeat of the machine.
  *
- * @param record whether a record names it there, and whose
- * @param desired what is wanted of it
- * @param reported what the newest heartbeat of this term says of it
- * @param mayCome a command to start it may still reach the worker, or may have reached it after the
- *     heartbeat was made
- * @param seen its worker has said in this term that it has it
- * @param durable the record is in the store
- * @param gangState what is known of the other members, for a task of a gang
+ * @param record whether a record places the attempt on the machine, and which leader placed it
+ * @param desired the state that the leader wants the attempt to be in
+ * @param reported the state of the attempt in the newest heartbeat of this term
+ * @param startMayArrive whether a start command for the attempt may still reach the worker, or may
+ *     have reached it after the heartbeat was made
+ * @param reportedBefore whether the worker has reported the attempt in this term
+ * @param durable whether the record is durable in the store
+ * @param gangState the state of the other members, for a task of a gang
  */
 public record TaskFacts(
     RecordOwner record,
     DesiredState desired,
     ReportedState reported,
-    boolean mayCome,
-    boolean seen,
+    boolean startMayArrive,
+    boolean reportedBefore,
     boolean durable,
     GangState gangState) {
-  /** Whether the leader's records name the attempt on the machine. */
+  /** Whether a record places the attempt on the machine, and which leader placed it. */
   public enum RecordOwner {
-    /** None does. */
+    /** No record places it there. */
     NONE,
     /** This leader placed it. */
     OWN,
     /**
-     * An earlier leader did, whose commands may still be on their way until the worker knows this
-     * term.
+     * An earlier leader placed it. Commands of that leader may still be in flight until the worker
+     * has seen the fencing token of this term.
      */
     EARLIER
   }
 
-  /** What is wanted of a task that is recorded. */
+  /** The state that the leader wants a recorded attempt to be in. */
   public enum DesiredState {
-    /** It should be there. */
+    /** It should run on the machine. */
     RUN,
     /**
-     * It may stay if it is there; if it is not, work that ranks before it may need its place, which
-     * is not decided yet.
+     * It may keep running if it is present. If it is absent, it is not started yet, because work
+     * that ranks higher may need its place.
      */
     MAY_RUN,
-    /** It must go: its job is over, it is done already, or its place is needed. */
+    /** It must stop: its job has ended, the task is already done, or its place is needed. */
     REMOVE,
-    /** It has completed here; its worker keeps it until that is durable. */
+    /** It has completed here; its worker keeps it until the completion is durable. */
     KEEP_COMPLETED
   }
 
-  /** What the newest heartbeat of the machine in this term says. */
+  /** The state of the attempt in the machine's newest heartbeat of this term. */
   public enum ReportedState {
-    /** There was none yet. */
+    /** No heartbeat has arrived in this term. */
     UNREPORTED,
-    /** The worker does not have it. */
+    /** The heartbeat does not contain the attempt. */
     ABSENT,
-    /** It fetches its image, waits for its gang, runs or saves. */
+    /** It fetches its image, waits for its gang, runs or saves a checkpoint. */
     PRESENT,
     /** It has completed. */
     COMPLETED,
-    /** It has exited otherwise, or its start was refused. */
+    /** It has exited without completing, or its start was refused. */
     EXITED
   }
 
-  /** What is known of the other members of a gang under the same attempt. */
+  /** The state of the other members of a gang under the same attempt. */
   public enum GangState {
-    /** There is no gang, or it is known to be gathering still: a start completes it. */
+    /** The task is in no gang, or its gang is still gathering and the member may join it. */
     GATHERING,
     /**
-     * One has run or is gone: a missing member cannot join any more, and the gang goes as a whole.
+     * Some member has run or is gone: a missing member can no longer join, and the gang is stopped
+     * as a whole.
      */
     STARTED,
-    /** Some machine that a member is recorded on has not been heard. */
+    /** Some machine that a member is recorded on has not reported yet. */
     UNKNOWN
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -6,103 +6,113 @@
 import madderrudder.coordination.reconciliation.TaskFacts.RecordOwner;
 
 /**
- * Reconciles what the records say with what workers report, attempt by attempt. The leader asks it
- * of each heartbeat, after a failover or a restart of all controllers as on an ordinary day.
+ * Reconciles the leader's records with the workers' heartbeats, attempt by attempt. The leader
+ * calls it for each heartbeat, in normal operation as well as after a failover or a restart of all
+ * controllers.
  *
- * <p>It rests on two facts. A worker executes no command of an earlier term once it has seen this
- * term's fencing token, so that a task it does not have by then can no longer start there by such a
- * command. And a worker kills its tasks when its lease expires, before it begins another epoch:
- * what is recorded there and absent may be started in place, with its image and without a write.
+ * <p>The decisions rely on two guarantees. A worker that has seen this term's fencing token
+ * executes no command of an earlier term, so a task that is absent by then can no longer be started
+ * there by such a command. And a worker kills its tasks when its lease expires, before it begins
+ * another epoch, so a task that is recorded there and absent may be started in place, with its
+ * cached image and without a write to the store.
  *
- * <p>A pure function, usable from any thread.
+ * <p>A pure function that any thread may call.
  */
 public final class TaskReconciler {
-  private static final TaskDecision NOT_HEARD =
-      new TaskDecision(Verdict.AWAIT, "its machine has not been heard in this term");
+  private static final TaskDecision MACHINE_NOT_REPORTED =
+      new TaskDecision(Verdict.AWAIT, "its machine has sent no heartbeat in this term");
   private static final TaskDecision UNRECORDED =
-      new TaskDecision(Verdict.STOP, "no record names it there");
-  private static final TaskDecision NEVER_THERE =
-      new TaskDecision(Verdict.KEEP, "no record names it there, and it is not there");
+      new TaskDecision(Verdict.STOP, "no record places it on this machine");
+  private static final TaskDecision UNRECORDED_AND_ABSENT =
+      new TaskDecision(
+          Verdict.KEEP, "no record places it on this machine, and no heartbeat reports it there");
   private static final TaskDecision EXIT_RECORDED =
-      new TaskDecision(Verdict.FORGET, "it has exited, and that is recorded");
+      new TaskDecision(Verdict.FORGET, "its exit is already recorded");
   private static final TaskDecision KEEP_UNTIL_DURABLE =
-      new TaskDecision(Verdict.AWAIT, "it is kept until its completion is durable");
+      new TaskDecision(Verdict.AWAIT, "its worker keeps it until its completion is durable");
   private static final TaskDecision COMPLETED =
       new TaskDecision(Verdict.RECORD_DONE, "it has completed");
   private static final TaskDecision EXITED = new TaskDecision(Verdict.RECORD_EXIT, "it has exited");
-  private static final TaskDecision RUNS =
-      new TaskDecision(Verdict.KEEP, "it is where it should be");
+  private static final TaskDecision PRESENT_AS_RECORDED =
+      new TaskDecision(Verdict.KEEP, "it is on the machine that its record names");
   private static final TaskDecision UNWANTED =
-      new TaskDecision(Verdict.STOP, "it must not be there any more");
-  private static final TaskDecision MAY_COME =
-      new TaskDecision(Verdict.AWAIT, "a start command may still arrive");
+      new TaskDecision(Verdict.STOP, "it must not run on this machine any more");
+  private static final TaskDecision START_MAY_ARRIVE =
+      new TaskDecision(Verdict.AWAIT, "a start command may still reach the worker");
   private static final TaskDecision NOT_DURABLE =
       new TaskDecision(Verdict.AWAIT, "its record is not durable yet");
-  private static final TaskDecision MISSING =
-      new TaskDecision(Verdict.START, "it is recorded there and missing");
-  private static final TaskDecision RANK_UNKNOWN =
+  private static final TaskDecision RECORDED_BUT_ABSENT =
+      new TaskDecision(
+          Verdict.START, "it is recorded on this machine but absent from the heartbeat");
+  private static final TaskDecision MAY_LOSE_PLACE =
+      new TaskDecision(
+          Verdict.AWAIT,
+          "whether higher-ranking work needs its place is not known until enough machines report");
+  private static final TaskDecision REPORTED_BEFORE_AND_ABSENT =
       new TaskDecision(
-          Verdict.AWAIT, "what ranks before it is not known until enough machines are heard");
-  private static final TaskDecision HAS_GONE =
-      new TaskDecision(Verdict.GONE, "it was there, has gone, and cannot come back");
-  private static final TaskDecision GIVEN_UP =
-      new TaskDecision(Verdict.GONE, "it is not wanted, and cannot start any more");
-  private static final TaskDecision GANG_RAN =
-      new TaskDecision(Verdict.GONE, "its gang ran without it, and cannot take it back");
-  private static final TaskDecision GANG_UNHEARD =
+          Verdict.GONE, "it was on this machine, is now absent, and can no longer start there");
+  private static final TaskDecision UNWANTED_AND_ABSENT =
+      new TaskDecision(Verdict.GONE, "it is no longer wanted and can no longer start there");
+  private static final TaskDecision GANG_STARTED =
+      new TaskDecision(Verdict.GONE, "its gang has started without it, and it can no longer join");
+  private static final TaskDecision GANG_STATE_UNKNOWN =
       new TaskDecision(
-          Verdict.AWAIT, "whether its gang has run is not known until all members are heard");
+          Verdict.AWAIT,
+          "whether its gang has started is not known until the machines of all members report");
 
   private TaskReconciler() {}
 
-  /** The decision that follows from the facts. */
+  /** Returns the decision on one attempt on one machine. */
   public static TaskDecision of(TaskFacts facts) {
     if (facts.record() == RecordOwner.NONE) {
-      return unrecorded(facts);
+      return decideUnrecorded(facts);
     }
     if (facts.desired() == DesiredState.KEEP_COMPLETED) {
       return KEEP_UNTIL_DURABLE;
     }
     return switch (facts.reported()) {
-      case UNREPORTED -> NOT_HEARD;
+      case UNREPORTED -> MACHINE_NOT_REPORTED;
       case COMPLETED -> COMPLETED;
-      // Its worker may have forgotten the exit since, and then have been told by an earlier leader
-      // to start it again.
-      case EXITED -> facts.record() == RecordOwner.EARLIER && facts.mayCome() ? MAY_COME : EXITED;
-      case PRESENT -> facts.desired() == DesiredState.REMOVE ? UNWANTED : RUNS;
-      case ABSENT -> absent(facts);
+      // The worker may have forgotten the exit since the heartbeat, and a start command of an
+      // earlier leader may then have started the attempt again.
+      case EXITED ->
+          facts.record() == RecordOwner.EARLIER && facts.startMayArrive()
+              ? START_MAY_ARRIVE
+              : EXITED;
+      case PRESENT -> facts.desired() == DesiredState.REMOVE ? UNWANTED : PRESENT_AS_RECORDED;
+      case ABSENT -> decideAbsent(facts);
     };
   }
 
-  private static TaskDecision unrecorded(TaskFacts facts) {
+  private static TaskDecision decideUnrecorded(TaskFacts facts) {
     return switch (facts.reported()) {
-      case UNREPORTED, ABSENT -> NEVER_THERE;
+      case UNREPORTED, ABSENT -> UNRECORDED_AND_ABSENT;
       case PRESENT -> UNRECORDED;
       case COMPLETED, EXITED -> EXIT_RECORDED;
     };
   }
 
-  private static TaskDecision absent(TaskFacts facts) {
+  private static TaskDecision decideAbsent(TaskFacts facts) {
     if (facts.desired() == DesiredState.REMOVE) {
-      return facts.mayCome() ? MAY_COME : GIVEN_UP;
+      return facts.startMayArrive() ? START_MAY_ARRIVE : UNWANTED_AND_ABSENT;
     }
-    if (facts.seen() && !facts.mayCome()) {
-      return HAS_GONE;
+    if (facts.reportedBefore() && !facts.startMayArrive()) {
+      return REPORTED_BEFORE_AND_ABSENT;
     }
     if (facts.desired() == DesiredState.MAY_RUN) {
-      return RANK_UNKNOWN;
+      return MAY_LOSE_PLACE;
     }
     if (facts.record() == RecordOwner.EARLIER && facts.gangState() != GangState.GATHERING) {
-      return absentFromGang(facts);
+      return decideAbsentGangMember(facts);
     }
-    return facts.durable() ? MISSING : NOT_DURABLE;
+    return facts.durable() ? RECORDED_BUT_ABSENT : NOT_DURABLE;
   }
 
-  /** A member of an earlier leader's gang may only join the others while they gather. */
-  private static TaskDecision absentFromGang(TaskFacts facts) {
+  /** Decides on an absent member of a gang placed by an earlier leader that may have started. */
+  private static TaskDecision decideAbsentGangMember(TaskFacts facts) {
     if (facts.gangState() == GangState.UNKNOWN) {
-      return GANG_UNHEARD;
+      return GANG_STATE_UNKNOWN;
     }
-    return facts.mayCome() ? MAY_COME : GANG_RAN;
+    return facts.startMayArrive() ? START_MAY_ARRIVE : GANG_STARTED;
   }
 }
--- a/src/test/java/madderrudder/coordination/reconciliation/ClusterCoverageTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ClusterCoverageTest.java
@@ -21,9 +21,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against a new leader that preempts tasks or rents machines for a job while the machines
+ * that the job may use have not reported yet, and against one that waits for machines too long.
+ */
 class ClusterCoverageTest {
   private static final long SECOND = 1_000_000;
-  private static final long PATIENCE = 8 * SECOND;
+  private static final long REPORT_TIMEOUT = 8 * SECOND;
   private static final MachineType TYPE =
       new MachineType(
           "small", Resources.of(4, 0, 16), 30, 1, 1, 0.5, 10 * SECOND, List.of("east", "west"));
@@ -41,14 +45,15 @@
               ServiceLevelObjectives.none()),
           new EstimatedRunTimes());
 
-  /** Twenty machines in a zone that were up long ago, of which some have reported. */
-  private void zone(String zone, int heard) {
+  /** Adds twenty machines that were up before the failover, of which some have reported since. */
+  private void addZone(String zone, int reported) {
     for (int i = 0; i < 20; i++) {
       Machine machine = new Machine(zone + i, TYPE, zone, false, false, 0, 0);
       machine.inherited = true;
-      // A report that may be a late copy, from before this leader's term, is not enough.
-      machine.reported = i < heard + 1;
-      machine.reportedInTerm = i < heard;
+      // One further machine has sent only a heartbeat that may be a late copy from before this
+      // leader's term, which does not count.
+      machine.reported = i < reported + 1;
+      machine.reportedInTerm = i < reported;
       cluster.add(machine);
     }
   }
@@ -80,9 +85,7 @@
         0);
   }
 
-  /**
-   * Decisions wait for what they depend on: the zones that a job may use, unless one is cut off.
-   */
+  /** A job waits for the machines in the zones that it may use, unless a zone is cut off. */
   @ParameterizedTest
   @CsvSource({
     "18,18,true,true",
@@ -93,37 +96,44 @@
     "1,17,false,false",
     "20,2,true,false"
   })
-  void aJobWaitsForTheMachinesThatItMayUse(int east, int west, boolean inEast, boolean anywhere) {
-    zone("east", east);
-    zone("west", west);
-    ClusterCoverage coverage = ClusterCoverage.of(cluster, SECOND, PATIENCE, 100 * SECOND);
-    assertEquals(inEast, coverage.suffices(job("east")));
-    assertEquals(anywhere, coverage.suffices(job(null)));
+  void coverageSufficesOnceMachinesUsableByJobReport(
+      int east, int west, boolean sufficesInEast, boolean sufficesAnywhere) {
+    addZone("east", east);
+    addZone("west", west);
+    ClusterCoverage coverage = ClusterCoverage.of(cluster, SECOND, REPORT_TIMEOUT, 100 * SECOND);
+    assertEquals(sufficesInEast, coverage.suffices(job("east")));
+    assertEquals(sufficesAnywhere, coverage.suffices(job(null)));
     assertEquals((east + west) / 40.0, coverage.share());
   }
 
   @Test
-  void nobodyIsWaitedForBeyondTheirTime() {
-    zone("east", 5);
-    zone("west", 5);
-    Machine unheard = cluster.machines.get("west19");
-    ClusterCoverage early = ClusterCoverage.of(cluster, PATIENCE, PATIENCE, 100 * SECOND);
-    assertTrue(early.awaits(unheard) && !early.misses(unheard) && !early.suffices());
-    ClusterCoverage late = ClusterCoverage.of(cluster, PATIENCE + 1, PATIENCE, 100 * SECOND);
+  void coverageSufficesAfterReportTimeout() {
+    addZone("east", 5);
+    addZone("west", 5);
+    Machine unreported = cluster.machines.get("west19");
+    ClusterCoverage beforeTimeout =
+        ClusterCoverage.of(cluster, REPORT_TIMEOUT, REPORT_TIMEOUT, 100 * SECOND);
+    assertTrue(
+        beforeTimeout.awaits(unreported)
+            && !beforeTimeout.misses(unreported)
+            && !beforeTimeout.suffices());
+    ClusterCoverage afterTimeout =
+        ClusterCoverage.of(cluster, REPORT_TIMEOUT + 1, REPORT_TIMEOUT, 100 * SECOND);
     assertTrue(
-        !late.awaits(unheard)
-            && late.misses(unheard)
-            && late.suffices()
-            && late.suffices(job(null)));
+        !afterTimeout.awaits(unreported)
+            && afterTimeout.misses(unreported)
+            && afterTimeout.suffices()
+            && afterTimeout.suffices(job(null)));
   }
 
   /**
-   * What may be booting still is not expected: 15 s after its rental, of a type that boots in 10.
+   * A machine that may still be booting is not expected to report: 15 s after its rental, of a type
+   * that boots in 10 s.
    */
   @Test
-  void onlyWhatWasUpIsExpected() {
-    zone("east", 0);
-    assertTrue(ClusterCoverage.of(cluster, 0, PATIENCE, 15 * SECOND).complete());
-    assertEquals(0, ClusterCoverage.of(cluster, 0, PATIENCE, 21 * SECOND).share());
+  void machinesThatMayBeBootingAreNotExpected() {
+    addZone("east", 0);
+    assertTrue(ClusterCoverage.of(cluster, 0, REPORT_TIMEOUT, 15 * SECOND).complete());
+    assertEquals(0, ClusterCoverage.of(cluster, 0, REPORT_TIMEOUT, 21 * SECOND).share());
   }
 }
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import madderrudder.coordination.reconciliation.ReconciliationModelState.Report;
+import madderrudder.coordination.reconciliation.ReconciliationModelState.Heartbeat;
 import madderrudder.coordination.reconciliation.ReconciliationModelState.Start;
 import madderrudder.coordination.reconciliation.ReconciliationModelState.TaskRecord;
 import madderrudder.coordination.reconciliation.TaskFacts.DesiredState;
@@ -16,11 +16,11 @@
 import madderrudder.coordination.reconciliation.TaskFacts.ReportedState;
 
 /**
- * A job of one or two tasks, two machines and leaders that follow one another, each ending at any
- * step: every course of events, with reports and direct starts that are held for as long as it
- * pleases, and come again as copies. What a leader concludes is asked of the very {@link
- * TaskReconciler} that the service uses. That a leader takes a lease for expired only once it has
- * is taken for granted here: {@code DelegationModel} explores that.
+ * Explores a model of a job with one or two tasks, two machines and a sequence of leaders, each of
+ * which may crash at any step. The network may delay heartbeats and direct starts for any time,
+ * reorder them and deliver them again as copies. The modelled leader takes its decisions with the
+ * production {@link TaskReconciler}. The model assumes that a leader treats a lease as expired only
+ * after it has expired; {@code DelegationModel} explores that.
  */
 final class ReconciliationModel {
   private static final int MACHINES = ReconciliationModelState.MACHINES;
@@ -29,7 +29,7 @@
   private static final int DONE = 2;
   private static final int EXITED = 3;
 
-  /** A rule that is left out, to see that the exploration would tell. */
+  /** A safety rule that the model leaves out, to check that the exploration detects its absence. */
   enum Fault {
     NONE,
     TOKEN_IGNORED,
@@ -38,22 +38,35 @@
     TOKEN_NOT_RAISED
   }
 
-  /** How much may happen in a course of events. */
+  /**
+   * Bounds on the model and on a sequence of events.
+   *
+   * @param tasks the number of tasks
+   * @param terms the most terms
+   * @param heartbeats the most heartbeats of a worker
+   * @param epochs the most epochs of a worker
+   * @param attempts the most placements in a term
+   * @param heartbeatsInFlight the most heartbeats in flight at once
+   * @param startsInFlight the most direct starts in flight at once
+   * @param copies the most deliveries of copies
+   * @param exits the most failed tasks
+   * @param states the number of known states at which the exhaustive exploration ends
+   */
   record Bounds(
       int tasks,
       int terms,
-      int reports,
+      int heartbeats,
       int epochs,
       int attempts,
-      int heldReports,
-      int heldStarts,
+      int heartbeatsInFlight,
+      int startsInFlight,
       int copies,
       int exits,
       int states) {}
 
   private final Bounds bounds;
   private final Fault fault;
-  private int explored;
+  private int visitedStates;
 
   ReconciliationModel(Bounds bounds, Fault fault) {
     this.bounds = bounds;
@@ -64,29 +77,31 @@
     return 100 * term;
   }
 
-  int explored() {
-    return explored;
+  int visitedStates() {
+    return visitedStates;
   }
 
   /**
-   * Explores until all states within the bounds are known, or as many as they allow; the first
-   * broken rule, or null.
+   * Explores all states within the bounds, breadth first, up to the number of states that they
+   * allow.
+   *
+   * @return the first invariant violation, or null if there is none
    */
   String explore() {
-    Set<String> known = new HashSet<>();
-    Deque<ReconciliationModelState> open = new ArrayDeque<>();
+    Set<String> knownKeys = new HashSet<>();
+    Deque<ReconciliationModelState> frontier = new ArrayDeque<>();
     ReconciliationModelState first = new ReconciliationModelState(bounds.tasks());
-    known.add(first.key());
-    open.add(first);
-    while (!open.isEmpty() && known.size() < bounds.states()) {
-      ReconciliationModelState state = open.poll();
-      explored++;
-      for (ReconciliationModelState next : after(state)) {
-        if (next.broken != null) {
-          return next.broken;
+    knownKeys.add(first.key());
+    frontier.add(first);
+    while (!frontier.isEmpty() && knownKeys.size() < bounds.states()) {
+      ReconciliationModelState state = frontier.poll();
+      visitedStates++;
+      for (ReconciliationModelState successor : successors(state)) {
+        if (successor.violation != null) {
+          return successor.violation;
         }
-        if (known.add(next.key())) {
-          open.add(next);
+        if (knownKeys.add(successor.key())) {
+          frontier.add(successor);
         }
       }
     }
@@ -94,358 +109,390 @@
   }
 
   /**
-   * Follows so many random courses of events to their ends, far deeper than all of them can be
-   * explored.
+   * Follows random sequences of events, which are much longer than those that can be explored
+   * exhaustively.
+   *
+   * @param sequences how many sequences to follow
+   * @param steps the most events in one sequence
+   * @return the first invariant violation, or null if there is none
    */
-  String walk(long seed, int courses, int steps) {
+  String exploreRandomly(long seed, int sequences, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
-    for (int course = 0; course < courses; course++) {
+    for (int sequence = 0; sequence < sequences; sequence++) {
       ReconciliationModelState state = new ReconciliationModelState(bounds.tasks());
       for (int step = 0; step < steps; step++) {
-        List<ReconciliationModelState> next = List.copyOf(after(state));
-        if (next.isEmpty()) {
+        List<ReconciliationModelState> successors = List.copyOf(successors(state));
+        if (successors.isEmpty()) {
           break;
         }
-        state = next.get(random.nextInt(next.size()));
-        explored++;
-        if (state.broken != null) {
-          return state.broken;
+        state = successors.get(random.nextInt(successors.size()));
+        visitedStates++;
+        if (state.violation != null) {
+          return state.violation;
         }
       }
     }
     return null;
   }
 
-  private Deque<ReconciliationModelState> after(ReconciliationModelState s) {
-    Deque<ReconciliationModelState> next = new ArrayDeque<>();
-    for (int m = 0; m < MACHINES; m++) {
-      reportSent(s, m, next);
-      leaseExpires(s, m, next);
-      leaseExpiryLearned(s, m, next);
-      for (int t = 0; t < bounds.tasks(); t++) {
-        taskPlaced(s, m, t, next);
-        taskEnds(s, m, t, DONE, next);
-        taskEnds(s, m, t, EXITED, next);
+  private Deque<ReconciliationModelState> successors(ReconciliationModelState state) {
+    Deque<ReconciliationModelState> successors = new ArrayDeque<>();
+    for (int machine = 0; machine < MACHINES; machine++) {
+      addHeartbeatSent(state, machine, successors);
+      addLeaseExpired(state, machine, successors);
+      addLeaseExpiryDetected(state, machine, successors);
+      for (int task = 0; task < bounds.tasks(); task++) {
+        addTaskPlaced(state, machine, task, successors);
+        addTaskEnded(state, machine, task, DONE, successors);
+        addTaskEnded(state, machine, task, EXITED, successors);
       }
     }
-    for (int t = 0; t < bounds.tasks(); t++) {
-      directStartSent(s, t, next);
-      durable(s, t, next);
-      doneDurable(s, t, next);
-      endFlushed(s, t, next);
-      preempted(s, t, next);
-    }
-    for (Report report : s.reports) {
-      reportTaken(s, report, true, false, next);
-      reportTaken(s, report, false, false, next);
-      if (s.copies < bounds.copies()) {
-        reportTaken(s, report, true, true, next);
+    for (int task = 0; task < bounds.tasks(); task++) {
+      addDirectStartSent(state, task, successors);
+      addRecordDurable(state, task, successors);
+      addCompletionDurable(state, task, successors);
+      addRecordRemovalDurable(state, task, successors);
+      addTaskPreempted(state, task, successors);
+    }
+    for (Heartbeat heartbeat : state.heartbeats) {
+      addHeartbeatProcessed(state, heartbeat, true, false, successors);
+      addHeartbeatProcessed(state, heartbeat, false, false, successors);
+      if (state.copies < bounds.copies()) {
+        addHeartbeatProcessed(state, heartbeat, true, true, successors);
       }
     }
-    for (Start start : s.starts) {
-      directStartArrives(s, start, false, next);
-      if (s.copies < bounds.copies()) {
-        directStartArrives(s, start, true, next);
+    for (Start start : state.starts) {
+      addDirectStartArrived(state, start, false, successors);
+      if (state.copies < bounds.copies()) {
+        addDirectStartArrived(state, start, true, successors);
       }
     }
-    crash(s, next);
-    return next;
+    addLeaderCrashed(state, successors);
+    return successors;
   }
 
-  private void reportSent(ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
-    if (s.workerSeq[m] < bounds.reports() && s.reports.size() < bounds.heldReports()) {
-      ReconciliationModelState c = s.copy();
-      c.workerSeq[m]++;
-      c.reports.add(
-          new Report(
-              m,
-              c.workerEpoch[m],
-              c.workerSeq[m],
-              c.workerToken[m],
-              c.workerState[m].clone(),
-              c.workerAttempt[m].clone()));
-      next.add(c);
+  private void addHeartbeatSent(
+      ReconciliationModelState state, int machine, Deque<ReconciliationModelState> successors) {
+    if (state.workerSequence[machine] < bounds.heartbeats()
+        && state.heartbeats.size() < bounds.heartbeatsInFlight()) {
+      ReconciliationModelState successor = state.copy();
+      successor.workerSequence[machine]++;
+      successor.heartbeats.add(
+          new Heartbeat(
+              machine,
+              successor.workerEpoch[machine],
+              successor.workerSequence[machine],
+              successor.workerToken[machine],
+              successor.workerState[machine].clone(),
+              successor.workerAttempt[machine].clone()));
+      successors.add(successor);
     }
   }
 
-  private void leaseExpires(
-      ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
-    if (s.workerEpoch[m] < bounds.epochs()) {
-      ReconciliationModelState c = s.copy();
-      c.workerEpoch[m]++;
-      Arrays.fill(c.workerState[m], NONE);
-      next.add(c);
+  private void addLeaseExpired(
+      ReconciliationModelState state, int machine, Deque<ReconciliationModelState> successors) {
+    if (state.workerEpoch[machine] < bounds.epochs()) {
+      ReconciliationModelState successor = state.copy();
+      successor.workerEpoch[machine]++;
+      Arrays.fill(successor.workerState[machine], NONE);
+      successors.add(successor);
     }
   }
 
-  /** The leader has waited for longer than any lease lasts. */
-  private void leaseExpiryLearned(
-      ReconciliationModelState s, int m, Deque<ReconciliationModelState> next) {
-    if (s.workerEpoch[m] > s.lastCountedEpoch[m]) {
-      ReconciliationModelState c = s.copy();
-      c.lastCountedEpoch[m] = c.workerEpoch[m];
-      for (int t = 0; t < bounds.tasks(); t++) {
-        if (c.placed[t].machine == m) {
-          c.placed[t] = new TaskRecord();
+  /**
+   * The leader has waited for longer than any lease lasts, and releases what was on the machine.
+   */
+  private void addLeaseExpiryDetected(
+      ReconciliationModelState state, int machine, Deque<ReconciliationModelState> successors) {
+    if (state.workerEpoch[machine] > state.leaseStartEpoch[machine]) {
+      ReconciliationModelState successor = state.copy();
+      successor.leaseStartEpoch[machine] = successor.workerEpoch[machine];
+      for (int task = 0; task < bounds.tasks(); task++) {
+        if (successor.records[task].machine == machine) {
+          successor.records[task] = new TaskRecord();
         }
-        c.orphaned[m][t] = false;
+        successor.orphaned[machine][task] = false;
       }
-      next.add(c);
+      successors.add(successor);
     }
   }
 
-  private void taskPlaced(
-      ReconciliationModelState s, int m, int t, Deque<ReconciliationModelState> next) {
-    boolean orphaned = s.orphaned[0][t] || s.orphaned[1][t];
-    if (s.placed[t].machine < 0
-        && !s.done[t]
-        && s.reported[m]
-        && s.attempts < bounds.attempts()
-        && !orphaned) {
-      ReconciliationModelState c = s.copy();
-      c.placed[t].machine = m;
-      c.placed[t].attempt = 10 * c.term + ++c.attempts;
-      next.add(c);
+  private void addTaskPlaced(
+      ReconciliationModelState state,
+      int machine,
+      int task,
+      Deque<ReconciliationModelState> successors) {
+    boolean isOrphan = state.orphaned[0][task] || state.orphaned[1][task];
+    if (state.records[task].machine < 0
+        && !state.done[task]
+        && state.reported[machine]
+        && state.attempts < bounds.attempts()
+        && !isOrphan) {
+      ReconciliationModelState successor = state.copy();
+      successor.records[task].machine = machine;
+      successor.records[task].attempt = 10 * successor.term + ++successor.attempts;
+      successors.add(successor);
     }
   }
 
-  /** Written together with the end of whatever was placed before. */
-  private void durable(ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
-    TaskRecord placed = s.placed[t];
-    if (placed.machine >= 0 && !placed.durable && !placed.inherited) {
-      ReconciliationModelState c = s.copy();
-      c.placed[t].durable = true;
-      c.logMachine[t] = placed.machine;
-      c.logAttempt[t] = placed.attempt;
-      next.add(c);
+  /** The record of a placement becomes durable, in one write with the end of the one before it. */
+  private void addRecordDurable(
+      ReconciliationModelState state, int task, Deque<ReconciliationModelState> successors) {
+    TaskRecord record = state.records[task];
+    if (record.machine >= 0 && !record.durable && !record.inherited) {
+      ReconciliationModelState successor = state.copy();
+      successor.records[task].durable = true;
+      successor.storedMachine[task] = record.machine;
+      successor.storedAttempt[task] = record.attempt;
+      successors.add(successor);
     }
   }
 
-  private void endFlushed(ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
-    if (s.placed[t].machine < 0 && s.logMachine[t] >= 0) {
-      ReconciliationModelState c = s.copy();
-      c.logMachine[t] = -1;
-      c.logAttempt[t] = 0;
-      next.add(c);
+  private void addRecordRemovalDurable(
+      ReconciliationModelState state, int task, Deque<ReconciliationModelState> successors) {
+    if (state.records[task].machine < 0 && state.storedMachine[task] >= 0) {
+      ReconciliationModelState successor = state.copy();
+      successor.storedMachine[task] = -1;
+      successor.storedAttempt[task] = 0;
+      successors.add(successor);
     }
   }
 
-  private void preempted(ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
-    if (!s.preempted && s.placed[t].machine >= 0 && !s.placed[t].evicting) {
-      ReconciliationModelState c = s.copy();
-      c.preempted = true;
-      c.placed[t].evicting = true;
-      next.add(c);
+  private void addTaskPreempted(
+      ReconciliationModelState state, int task, Deque<ReconciliationModelState> successors) {
+    if (!state.preempted && state.records[task].machine >= 0 && !state.records[task].evicting) {
+      ReconciliationModelState successor = state.copy();
+      successor.preempted = true;
+      successor.records[task].evicting = true;
+      successors.add(successor);
     }
   }
 
-  /** A task completes, or fails. */
-  private void taskEnds(
-      ReconciliationModelState s, int m, int t, int phase, Deque<ReconciliationModelState> next) {
-    if (s.workerState[m][t] == PRESENT && (phase == DONE || s.exits < bounds.exits())) {
-      ReconciliationModelState c = s.copy();
-      c.workerState[m][t] = phase;
-      c.exits += phase == EXITED ? 1 : 0;
-      next.add(c);
+  /** A task completes or fails on its worker. */
+  private void addTaskEnded(
+      ReconciliationModelState state,
+      int machine,
+      int task,
+      int phase,
+      Deque<ReconciliationModelState> successors) {
+    if (state.workerState[machine][task] == PRESENT
+        && (phase == DONE || state.exits < bounds.exits())) {
+      ReconciliationModelState successor = state.copy();
+      successor.workerState[machine][task] = phase;
+      successor.exits += phase == EXITED ? 1 : 0;
+      successors.add(successor);
     }
   }
 
-  private void doneDurable(
-      ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
-    if (s.placed[t].keepCompleted) {
-      ReconciliationModelState c = s.copy();
-      c.logDone[t] = true;
-      c.placed[t] = new TaskRecord();
-      next.add(c);
+  private void addCompletionDurable(
+      ReconciliationModelState state, int task, Deque<ReconciliationModelState> successors) {
+    if (state.records[task].keepCompleted) {
+      ReconciliationModelState successor = state.copy();
+      successor.storedDone[task] = true;
+      successor.records[task] = new TaskRecord();
+      successors.add(successor);
     }
   }
 
-  /** The leader ends, and the next reads what the store has. */
-  private void crash(ReconciliationModelState s, Deque<ReconciliationModelState> next) {
-    if (s.term < bounds.terms()) {
-      ReconciliationModelState c = s.copy();
-      c.term++;
-      c.attempts = 0;
-      c.sequence = new int[] {-1, -1};
-      c.reported = new boolean[MACHINES];
-      c.issuedToken = new int[MACHINES];
-      c.orphaned = new boolean[MACHINES][bounds.tasks()];
-      c.lastCountedEpoch = c.workerEpoch.clone();
-      for (int t = 0; t < bounds.tasks(); t++) {
-        c.done[t] = c.logDone[t];
-        c.placed[t] = new TaskRecord();
-        if (c.logMachine[t] >= 0) {
-          c.placed[t].machine = c.logMachine[t];
-          c.placed[t].attempt = c.logAttempt[t];
-          c.placed[t].inherited = true;
-          c.placed[t].durable = true;
-          c.placed[t].evicting = c.done[t];
+  /** The leader crashes, and the next one reads the store. */
+  private void addLeaderCrashed(
+      ReconciliationModelState state, Deque<ReconciliationModelState> successors) {
+    if (state.term < bounds.terms()) {
+      ReconciliationModelState successor = state.copy();
+      successor.term++;
+      successor.attempts = 0;
+      successor.sequence = new int[] {-1, -1};
+      successor.reported = new boolean[MACHINES];
+      successor.issuedToken = new int[MACHINES];
+      successor.orphaned = new boolean[MACHINES][bounds.tasks()];
+      successor.leaseStartEpoch = successor.workerEpoch.clone();
+      for (int task = 0; task < bounds.tasks(); task++) {
+        successor.done[task] = successor.storedDone[task];
+        successor.records[task] = new TaskRecord();
+        if (successor.storedMachine[task] >= 0) {
+          successor.records[task].machine = successor.storedMachine[task];
+          successor.records[task].attempt = successor.storedAttempt[task];
+          successor.records[task].inherited = true;
+          successor.records[task].durable = true;
+          successor.records[task].evicting = successor.done[task];
         }
       }
-      next.add(c);
+      successors.add(successor);
     }
   }
 
-  private static ReportedState reportedState(ReconciliationModelState s, TaskRecord placed) {
-    if (!s.reported[placed.machine]) {
+  private static ReportedState reportedState(ReconciliationModelState state, TaskRecord record) {
+    if (!state.reported[record.machine]) {
       return ReportedState.UNREPORTED;
     }
-    return placed.reportedSequence == s.sequence[placed.machine]
+    return record.reportedSequence == state.sequence[record.machine]
         ? ReportedState.PRESENT
         : ReportedState.ABSENT;
   }
 
-  private static DesiredState desiredState(TaskRecord placed) {
-    if (placed.keepCompleted) {
+  private static DesiredState desiredState(TaskRecord record) {
+    if (record.keepCompleted) {
       return DesiredState.KEEP_COMPLETED;
     }
-    return placed.evicting ? DesiredState.REMOVE : DesiredState.RUN;
+    return record.evicting ? DesiredState.REMOVE : DesiredState.RUN;
   }
 
-  private TaskDecision decision(ReconciliationModelState s, int t) {
-    TaskRecord placed = s.placed[t];
-    int m = placed.machine;
-    boolean mayCome =
-        (placed.directToken >= s.token[m] && fault != Fault.DIRECT_STARTS_IGNORED)
-            || placed.startSequence >= s.sequence[m]
-            || (placed.inherited
-                && s.token[m] < firstToken(s.term)
+  private TaskDecision decide(ReconciliationModelState state, int task) {
+    TaskRecord record = state.records[task];
+    int machine = record.machine;
+    boolean startMayArrive =
+        (record.directToken >= state.token[machine] && fault != Fault.DIRECT_STARTS_IGNORED)
+            || record.startSequence >= state.sequence[machine]
+            || (record.inherited
+                && state.token[machine] < firstToken(state.term)
                 && fault != Fault.TOKEN_IGNORED);
     return TaskReconciler.of(
         new TaskFacts(
-            placed.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
-            desiredState(placed),
-            reportedState(s, placed),
-            mayCome,
-            placed.seen,
-            placed.durable,
+            record.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
+            desiredState(record),
+            reportedState(state, record),
+            startMayArrive,
+            record.reportedBefore,
+            record.durable,
             GangState.GATHERING));
   }
 
   /**
-   * The leader takes a report, of which another copy may come later; its answer arrives, or does
-   * not.
+   * The leader processes a heartbeat, of which another copy may arrive later. Its answer reaches
+   * the worker or is lost.
    */
-  private void reportTaken(
-      ReconciliationModelState s,
-      Report report,
-      boolean answered,
+  private void addHeartbeatProcessed(
+      ReconciliationModelState state,
+      Heartbeat heartbeat,
+      boolean answerArrives,
       boolean asCopy,
-      Deque<ReconciliationModelState> next) {
-    int m = report.machine();
-    ReconciliationModelState c = s.copy();
+      Deque<ReconciliationModelState> successors) {
+    int machine = heartbeat.machine();
+    ReconciliationModelState successor = state.copy();
     if (asCopy) {
-      c.copies++;
+      successor.copies++;
     } else {
-      c.reports.remove(report);
+      successor.heartbeats.remove(heartbeat);
     }
-    next.add(c);
-    if (c.reported[m]
-        && (report.epoch() < c.epoch[m]
-            || (report.epoch() == c.epoch[m] && report.sequence() <= c.sequence[m]))) {
+    successors.add(successor);
+    if (successor.reported[machine]
+        && (heartbeat.epoch() < successor.epoch[machine]
+            || (heartbeat.epoch() == successor.epoch[machine]
+                && heartbeat.sequence() <= successor.sequence[machine]))) {
       return;
     }
-    if (c.reported[m] && report.epoch() > c.epoch[m]) {
-      newEpoch(c, m);
-    }
-    // Whether or not its answer arrives, the leader counts the worker's lease from now on.
-    c.lastCountedEpoch[m] = c.workerEpoch[m];
-    c.reported[m] = true;
-    c.epoch[m] = report.epoch();
-    c.sequence[m] = report.sequence();
-    c.token[m] = report.token();
-    for (int t = 0; t < bounds.tasks(); t++) {
-      TaskRecord placed = c.placed[t];
-      boolean named = placed.machine == m && placed.attempt == report.attempts()[t];
-      c.orphaned[m][t] = !named && report.states()[t] == PRESENT;
-      if (named && report.states()[t] != NONE) {
-        placed.reportedSequence = report.sequence();
-        if (report.states()[t] == EXITED) {
-          if (exit(c, t).verdict() == TaskDecision.Verdict.RECORD_EXIT) {
-            c.placed[t] = new TaskRecord();
+    if (successor.reported[machine] && heartbeat.epoch() > successor.epoch[machine]) {
+      beginEpoch(successor, machine);
+    }
+    // The leader counts the lease of the worker from now on, whether or not its answer arrives.
+    successor.leaseStartEpoch[machine] = successor.workerEpoch[machine];
+    successor.reported[machine] = true;
+    successor.epoch[machine] = heartbeat.epoch();
+    successor.sequence[machine] = heartbeat.sequence();
+    successor.token[machine] = heartbeat.token();
+    for (int task = 0; task < bounds.tasks(); task++) {
+      TaskRecord record = successor.records[task];
+      boolean recorded = record.machine == machine && record.attempt == heartbeat.attempts()[task];
+      successor.orphaned[machine][task] = !recorded && heartbeat.states()[task] == PRESENT;
+      if (recorded && heartbeat.states()[task] != NONE) {
+        record.reportedSequence = heartbeat.sequence();
+        if (heartbeat.states()[task] == EXITED) {
+          if (decideExit(successor, task).verdict() == TaskDecision.Verdict.RECORD_EXIT) {
+            successor.records[task] = new TaskRecord();
           }
           continue;
         }
-        placed.seen = true;
-        if (report.states()[t] == DONE && !placed.keepCompleted) {
-          placed.keepCompleted = true;
-          c.done[t] = true;
+        record.reportedBefore = true;
+        if (heartbeat.states()[task] == DONE && !record.keepCompleted) {
+          record.keepCompleted = true;
+          successor.done[task] = true;
         }
       }
     }
-    for (int t = 0; t < bounds.tasks(); t++) {
-      if (c.placed[t].machine == m && decision(c, t).verdict() == TaskDecision.Verdict.GONE) {
-        c.placed[t] = new TaskRecord();
+    for (int task = 0; task < bounds.tasks(); task++) {
+      if (successor.records[task].machine == machine
+          && decide(successor, task).verdict() == TaskDecision.Verdict.GONE) {
+        successor.records[task] = new TaskRecord();
       }
     }
-    if (answered) {
-      answer(c, report);
+    if (answerArrives) {
+      applyAnswer(successor, heartbeat);
     } else {
-      // What it would have carried counts as sent.
-      for (int t = 0; t < bounds.tasks(); t++) {
-        if (c.placed[t].machine == m && decision(c, t).verdict() == TaskDecision.Verdict.START) {
-          c.placed[t].startSequence = report.sequence();
+      // The start commands in the lost answer count as sent.
+      for (int task = 0; task < bounds.tasks(); task++) {
+        if (successor.records[task].machine == machine
+            && decide(successor, task).verdict() == TaskDecision.Verdict.START) {
+          successor.records[task].startSequence = heartbeat.sequence();
         }
       }
     }
   }
 
-  private TaskDecision exit(ReconciliationModelState s, int t) {
-    TaskRecord placed = s.placed[t];
-    boolean mayCome = placed.inherited && s.token[placed.machine] < firstToken(s.term);
+  private TaskDecision decideExit(ReconciliationModelState state, int task) {
+    TaskRecord record = state.records[task];
+    boolean startMayArrive =
+        record.inherited && state.token[record.machine] < firstToken(state.term);
     return TaskReconciler.of(
         new TaskFacts(
-            placed.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
-            placed.evicting ? DesiredState.REMOVE : DesiredState.RUN,
+            record.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
+            record.evicting ? DesiredState.REMOVE : DesiredState.RUN,
             ReportedState.EXITED,
-            mayCome,
+            startMayArrive,
             true,
-            placed.durable,
+            record.durable,
             GangState.GATHERING));
   }
 
-  private void newEpoch(ReconciliationModelState c, int m) {
-    for (int t = 0; t < bounds.tasks(); t++) {
-      TaskRecord placed = c.placed[t];
-      if (placed.machine != m) {
+  private void beginEpoch(ReconciliationModelState successor, int machine) {
+    for (int task = 0; task < bounds.tasks(); task++) {
+      TaskRecord record = successor.records[task];
+      if (record.machine != machine) {
         continue;
       }
-      if (!placed.inherited) {
-        c.placed[t] = new TaskRecord();
+      if (!record.inherited) {
+        successor.records[task] = new TaskRecord();
       } else {
-        placed.reportedSequence = -1;
-        placed.startSequence = -1;
-        placed.directToken = -1;
+        record.reportedSequence = -1;
+        record.startSequence = -1;
+        record.directToken = -1;
       }
     }
   }
 
   /**
-   * A direct start of this term that its worker may still obey makes way before anything is
-   * forgotten or waited for.
+   * Returns the fencing token of the answer to a heartbeat. It is raised above the token of any
+   * direct start that the worker may still execute before the worker is told to forget an exit, or
+   * while the leader waits for such a start.
    */
-  private int tokenFor(ReconciliationModelState c, Report report) {
-    int m = report.machine();
-    c.issuedToken[m] =
+  private int issueToken(ReconciliationModelState successor, Heartbeat heartbeat) {
+    int machine = heartbeat.machine();
+    successor.issuedToken[machine] =
         Math.max(
-            c.issuedToken[m],
-            Math.max(firstToken(c.term), c.token[m] / 100 == c.term ? c.token[m] : 0));
+            successor.issuedToken[machine],
+            Math.max(
+                firstToken(successor.term),
+                successor.token[machine] / 100 == successor.term ? successor.token[machine] : 0));
     boolean raise = false;
-    for (int t = 0; t < bounds.tasks(); t++) {
-      boolean named = c.placed[t].machine == m && c.placed[t].attempt == report.attempts()[t];
-      raise |= !named && (report.states()[t] == DONE || report.states()[t] == EXITED);
+    for (int task = 0; task < bounds.tasks(); task++) {
+      boolean recorded =
+          successor.records[task].machine == machine
+              && successor.records[task].attempt == heartbeat.attempts()[task];
+      raise |=
+          !recorded && (heartbeat.states()[task] == DONE || heartbeat.states()[task] == EXITED);
       raise |=
-          c.placed[t].machine == m
-              && c.placed[t].directToken >= c.token[m]
-              && decision(c, t).verdict() == TaskDecision.Verdict.AWAIT;
+          successor.records[task].machine == machine
+              && successor.records[task].directToken >= successor.token[machine]
+              && decide(successor, task).verdict() == TaskDecision.Verdict.AWAIT;
     }
-    if (raise && fault != Fault.TOKEN_NOT_RAISED && c.issuedToken[m] < firstToken(c.term) + 3) {
-      c.issuedToken[m]++;
+    if (raise
+        && fault != Fault.TOKEN_NOT_RAISED
+        && successor.issuedToken[machine] < firstToken(successor.term) + 3) {
+      successor.issuedToken[machine]++;
     }
-    return c.issuedToken[m];
+    return successor.issuedToken[machine];
   }
 
-  private static ReportedState reportedStateOfOrphan(int state) {
+  private static ReportedState reportedStateOfUnrecorded(int state) {
     return switch (state) {
       case DONE -> ReportedState.COMPLETED;
       case EXITED -> ReportedState.EXITED;
@@ -453,150 +500,164 @@
     };
   }
 
-  private void answer(ReconciliationModelState c, Report report) {
-    int m = report.machine();
-    int token = tokenFor(c, report);
-    boolean heeded =
-        c.workerSeq[m] == report.sequence()
-            && c.workerEpoch[m] == report.epoch()
-            && c.workerToken[m] <= token;
-    c.workerToken[m] = heeded ? token : c.workerToken[m];
-    for (int t = 0; t < bounds.tasks(); t++) {
-      TaskRecord placed = c.placed[t];
-      boolean named = placed.machine == m && placed.attempt == report.attempts()[t];
-      if (report.states()[t] != NONE && !named) {
+  private void applyAnswer(ReconciliationModelState successor, Heartbeat heartbeat) {
+    int machine = heartbeat.machine();
+    int token = issueToken(successor, heartbeat);
+    boolean executed =
+        successor.workerSequence[machine] == heartbeat.sequence()
+            && successor.workerEpoch[machine] == heartbeat.epoch()
+            && successor.workerToken[machine] <= token;
+    successor.workerToken[machine] = executed ? token : successor.workerToken[machine];
+    for (int task = 0; task < bounds.tasks(); task++) {
+      TaskRecord record = successor.records[task];
+      boolean recorded = record.machine == machine && record.attempt == heartbeat.attempts()[task];
+      if (heartbeat.states()[task] != NONE && !recorded) {
         TaskDecision.Verdict verdict =
             TaskReconciler.of(
                     new TaskFacts(
                         RecordOwner.NONE,
                         DesiredState.REMOVE,
-                        reportedStateOfOrphan(report.states()[t]),
+                        reportedStateOfUnrecorded(heartbeat.states()[task]),
                         false,
                         true,
                         true,
                         GangState.GATHERING))
                 .verdict();
         boolean forgets = verdict == TaskDecision.Verdict.FORGET;
-        if (heeded
-            && c.workerAttempt[m][t] == report.attempts()[t]
+        if (executed
+            && successor.workerAttempt[machine][task] == heartbeat.attempts()[task]
             && (forgets
-                || (verdict == TaskDecision.Verdict.STOP && c.workerState[m][t] == PRESENT))) {
-          c.workerState[m][t] = NONE;
+                || (verdict == TaskDecision.Verdict.STOP
+                    && successor.workerState[machine][task] == PRESENT))) {
+          successor.workerState[machine][task] = NONE;
         }
       }
-      if (placed.machine != m) {
+      if (record.machine != machine) {
         continue;
       }
-      TaskDecision.Verdict verdict = decision(c, t).verdict();
+      TaskDecision.Verdict verdict = decide(successor, task).verdict();
       if (verdict == TaskDecision.Verdict.START) {
-        placed.startSequence = report.sequence();
-        if (heeded) {
-          begin(c, m, t, placed.attempt);
+        record.startSequence = heartbeat.sequence();
+        if (executed) {
+          startTask(successor, machine, task, record.attempt);
         }
       } else if (verdict == TaskDecision.Verdict.STOP
-          && heeded
-          && c.workerAttempt[m][t] == placed.attempt
-          && c.workerState[m][t] == PRESENT) {
-        c.workerState[m][t] = NONE;
+          && executed
+          && successor.workerAttempt[machine][task] == record.attempt
+          && successor.workerState[machine][task] == PRESENT) {
+        successor.workerState[machine][task] = NONE;
       }
-      if (fault == Fault.DONE_FORGOTTEN && placed.keepCompleted && heeded) {
-        c.workerState[m][t] = NONE;
+      if (fault == Fault.DONE_FORGOTTEN && record.keepCompleted && executed) {
+        successor.workerState[machine][task] = NONE;
       }
     }
-    lostDone(c);
+    checkCompletedTasksKept(successor);
   }
 
   /**
-   * A completed task must be kept by its worker or by the store; here it is lost only by the end of
-   * a lease.
+   * Checks that each completed task is kept by its worker or recorded in the store. It may be lost
+   * only by the expiry of a lease.
    */
-  private void lostDone(ReconciliationModelState c) {
-    for (int t = 0; t < bounds.tasks(); t++) {
-      TaskRecord placed = c.placed[t];
-      if (placed.keepCompleted
-          && !c.logDone[t]
-          && c.workerEpoch[placed.machine] == c.epoch[placed.machine]
-          && c.workerState[placed.machine][t] != DONE
-          && placed.reportedSequence == c.sequence[placed.machine]) {
-        c.broken = "a completed task is kept nowhere";
+  private void checkCompletedTasksKept(ReconciliationModelState successor) {
+    for (int task = 0; task < bounds.tasks(); task++) {
+      TaskRecord record = successor.records[task];
+      if (record.keepCompleted
+          && !successor.storedDone[task]
+          && successor.workerEpoch[record.machine] == successor.epoch[record.machine]
+          && successor.workerState[record.machine][task] != DONE
+          && record.reportedSequence == successor.sequence[record.machine]) {
+        successor.violation = "a completed task is neither kept by its worker nor recorded";
       }
     }
   }
 
-  private void directStartSent(
-      ReconciliationModelState s, int t, Deque<ReconciliationModelState> next) {
-    TaskRecord placed = s.placed[t];
-    if (placed.machine >= 0
-        && placed.directToken < 0
-        && placed.startSequence < 0
-        && s.starts.size() < bounds.heldStarts()
-        && decision(s, t).verdict() == TaskDecision.Verdict.START) {
-      ReconciliationModelState c = s.copy();
-      int m = placed.machine;
-      c.issuedToken[m] =
+  private void addDirectStartSent(
+      ReconciliationModelState state, int task, Deque<ReconciliationModelState> successors) {
+    TaskRecord record = state.records[task];
+    if (record.machine >= 0
+        && record.directToken < 0
+        && record.startSequence < 0
+        && state.starts.size() < bounds.startsInFlight()
+        && decide(state, task).verdict() == TaskDecision.Verdict.START) {
+      ReconciliationModelState successor = state.copy();
+      int machine = record.machine;
+      successor.issuedToken[machine] =
           Math.max(
-              c.issuedToken[m],
-              Math.max(firstToken(c.term), c.token[m] / 100 == c.term ? c.token[m] : 0));
-      c.placed[t].directToken = c.issuedToken[m];
-      c.starts.add(new Start(m, c.issuedToken[m], c.epoch[m], t, placed.attempt));
-      next.add(c);
+              successor.issuedToken[machine],
+              Math.max(
+                  firstToken(successor.term),
+                  successor.token[machine] / 100 == successor.term ? successor.token[machine] : 0));
+      successor.records[task].directToken = successor.issuedToken[machine];
+      successor.starts.add(
+          new Start(
+              machine,
+              successor.issuedToken[machine],
+              successor.epoch[machine],
+              task,
+              record.attempt));
+      successors.add(successor);
     }
   }
 
   /**
-   * A direct start, or a copy, is executed or refused, and answered with the worker's state; its
-   * leader takes that, or never hears it.
+   * A direct start, or a copy of it, arrives: the worker executes or rejects it and answers with
+   * its state. The leader that sent it receives that answer, or the answer is lost.
    */
-  private void directStartArrives(
-      ReconciliationModelState s,
+  private void addDirectStartArrived(
+      ReconciliationModelState state,
       Start start,
       boolean asCopy,
-      Deque<ReconciliationModelState> next) {
-    int m = start.machine();
-    int t = start.task();
-    ReconciliationModelState c = s.copy();
+      Deque<ReconciliationModelState> successors) {
+    int machine = start.machine();
+    int task = start.task();
+    ReconciliationModelState successor = state.copy();
     if (asCopy) {
-      c.copies++;
+      successor.copies++;
     } else {
-      c.starts.remove(start);
+      successor.starts.remove(start);
     }
-    c.workerSeq[m]++;
-    boolean executed = c.workerToken[m] <= start.token() && c.workerEpoch[m] == start.epoch();
+    successor.workerSequence[machine]++;
+    boolean executed =
+        successor.workerToken[machine] <= start.token()
+            && successor.workerEpoch[machine] == start.epoch();
     if (executed) {
-      c.workerToken[m] = start.token();
-      begin(c, m, t, start.attempt());
-    }
-    next.add(c);
-    TaskRecord placed = c.placed[t];
-    if (c.term == start.token() / 100 && placed.machine == m && placed.attempt == start.attempt()) {
-      ReconciliationModelState answered = c.copy();
-      placed = answered.placed[t];
-      placed.directToken = executed ? placed.directToken : -1;
+      successor.workerToken[machine] = start.token();
+      startTask(successor, machine, task, start.attempt());
+    }
+    successors.add(successor);
+    TaskRecord record = successor.records[task];
+    if (successor.term == start.token() / 100
+        && record.machine == machine
+        && record.attempt == start.attempt()) {
+      ReconciliationModelState withAnswer = successor.copy();
+      record = withAnswer.records[task];
+      record.directToken = executed ? record.directToken : -1;
       if (executed
-          && answered.epoch[m] == start.epoch()
-          && answered.workerSeq[m] > answered.sequence[m]) {
-        answered.sequence[m] = answered.workerSeq[m];
-        placed.startSequence = Math.max(placed.startSequence, answered.sequence[m]);
-        answered.token[m] = Math.max(answered.token[m], answered.workerToken[m]);
-        if (answered.workerState[m][t] == PRESENT
-            && answered.workerAttempt[m][t] == placed.attempt) {
-          placed.reportedSequence = answered.sequence[m];
-          placed.seen = true;
+          && withAnswer.epoch[machine] == start.epoch()
+          && withAnswer.workerSequence[machine] > withAnswer.sequence[machine]) {
+        withAnswer.sequence[machine] = withAnswer.workerSequence[machine];
+        record.startSequence = Math.max(record.startSequence, withAnswer.sequence[machine]);
+        withAnswer.token[machine] =
+            Math.max(withAnswer.token[machine], withAnswer.workerToken[machine]);
+        if (withAnswer.workerState[machine][task] == PRESENT
+            && withAnswer.workerAttempt[machine][task] == record.attempt) {
+          record.reportedSequence = withAnswer.sequence[machine];
+          record.reportedBefore = true;
         }
       }
-      next.add(answered);
+      successors.add(withAnswer);
     }
   }
 
-  private void begin(ReconciliationModelState c, int m, int t, int attempt) {
-    if (c.workerState[m][t] != NONE) {
+  private void startTask(ReconciliationModelState successor, int machine, int task, int attempt) {
+    if (successor.workerState[machine][task] != NONE) {
       return;
     }
-    c.workerState[m][t] = PRESENT;
-    c.workerAttempt[m][t] = attempt;
+    successor.workerState[machine][task] = PRESENT;
+    successor.workerAttempt[machine][task] = attempt;
     for (int other = 0; other < MACHINES; other++) {
-      if (other != m && c.workerState[other][t] == PRESENT) {
-        c.broken = "ran_twice";
+      if (other != machine && successor.workerState[other][task] == PRESENT) {
+        successor.violation = "a task runs on two machines at once";
       }
     }
   }
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModelState.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModelState.java
@@ -5,19 +5,19 @@
 import java.util.Deque;
 
 /**
- * A state of {@link ReconciliationModel}: what the store, the leader and the workers know, and the
- * messages that are on their way.
+ * A state of {@link ReconciliationModel}: the contents of the store, the state of the leader and of
+ * the workers, and the messages in flight.
  */
 final class ReconciliationModelState {
   static final int MACHINES = 2;
 
-  /** A leader's record of a task. */
+  /** The leader's record of a task; {@code machine} is -1 while the task is not placed. */
   static final class TaskRecord implements Cloneable {
     int machine = -1;
     int attempt;
     boolean inherited;
     boolean durable;
-    boolean seen;
+    boolean reportedBefore;
     int directToken = -1;
     boolean evicting;
     boolean keepCompleted;
@@ -41,7 +41,7 @@
               + attempt
               + (inherited ? "i" : "")
               + (durable ? "d" : "")
-              + (seen ? "s" : "")
+              + (reportedBefore ? "s" : "")
               + directToken
               + (evicting ? "u" : "")
               + (keepCompleted ? "k" : "")
@@ -51,8 +51,8 @@
     }
   }
 
-  /** A report on its way: machine, epoch, seq, token, and state and attempt of each task. */
-  record Report(int machine, int epoch, int sequence, int token, int[] states, int[] attempts) {
+  /** A heartbeat in flight, with the state and attempt of each task on the machine. */
+  record Heartbeat(int machine, int epoch, int sequence, int token, int[] states, int[] attempts) {
     String key() {
       return machine
           + ","
@@ -66,7 +66,7 @@
     }
   }
 
-  /** A direct start on its way. */
+  /** A direct start command in flight. */
   record Start(int machine, int token, int epoch, int task, int attempt) {}
 
   final int tasks;
@@ -76,11 +76,11 @@
   int copies;
   int exits;
   // The store.
-  int[] logMachine;
-  int[] logAttempt;
-  boolean[] logDone;
-  // The leader.
-  TaskRecord[] placed;
+  int[] storedMachine;
+  int[] storedAttempt;
+  boolean[] storedDone;
+  // The leader; epoch, sequence and token are those of the newest heartbeat of each machine.
+  TaskRecord[] records;
   boolean[] done;
   boolean[] reported = new boolean[MACHINES];
   int[] epoch = new int[MACHINES];
@@ -88,26 +88,28 @@
   int[] token = new int[MACHINES];
   int[] issuedToken = new int[MACHINES];
   boolean[][] orphaned;
-  int[] lastCountedEpoch = new int[MACHINES];
+  int[] leaseStartEpoch = new int[MACHINES];
   // Workers.
   int[] workerEpoch = new int[MACHINES];
-  int[] workerSeq = new int[MACHINES];
+  int[] workerSequence = new int[MACHINES];
   int[] workerToken = new int[MACHINES];
   int[][] workerState;
   int[][] workerAttempt;
-  // On the way.
-  Deque<Report> reports = new ArrayDeque<>();
+  // Messages in flight.
+  Deque<Heartbeat> heartbeats = new ArrayDeque<>();
   Deque<Start> starts = new ArrayDeque<>();
-  String broken;
+
+  /** The invariant that the last event violated; null if none. */
+  String violation;
 
   ReconciliationModelState(int tasks) {
     this.tasks = tasks;
-    logMachine = new int[tasks];
-    Arrays.fill(logMachine, -1);
-    logAttempt = new int[tasks];
-    logDone = new boolean[tasks];
-    placed = new TaskRecord[tasks];
-    Arrays.setAll(placed, t -> new TaskRecord());
+    storedMachine = new int[tasks];
+    Arrays.fill(storedMachine, -1);
+    storedAttempt = new int[tasks];
+    storedDone = new boolean[tasks];
+    records = new TaskRecord[tasks];
+    Arrays.setAll(records, task -> new TaskRecord());
     done = new boolean[tasks];
     orphaned = new boolean[MACHINES][tasks];
     workerState = new int[MACHINES][tasks];
@@ -115,36 +117,36 @@
   }
 
   ReconciliationModelState copy() {
-    ReconciliationModelState c = new ReconciliationModelState(tasks);
-    c.term = term;
-    c.attempts = attempts;
-    c.preempted = preempted;
-    c.copies = copies;
-    c.exits = exits;
-    c.issuedToken = issuedToken.clone();
-    c.logMachine = logMachine.clone();
-    c.logAttempt = logAttempt.clone();
-    c.logDone = logDone.clone();
-    for (int t = 0; t < tasks; t++) {
-      c.placed[t] = placed[t].clone();
+    ReconciliationModelState copy = new ReconciliationModelState(tasks);
+    copy.term = term;
+    copy.attempts = attempts;
+    copy.preempted = preempted;
+    copy.copies = copies;
+    copy.exits = exits;
+    copy.issuedToken = issuedToken.clone();
+    copy.storedMachine = storedMachine.clone();
+    copy.storedAttempt = storedAttempt.clone();
+    copy.storedDone = storedDone.clone();
+    for (int task = 0; task < tasks; task++) {
+      copy.records[task] = records[task].clone();
     }
-    c.done = done.clone();
-    c.reported = reported.clone();
-    c.epoch = epoch.clone();
-    c.sequence = sequence.clone();
-    c.token = token.clone();
-    c.lastCountedEpoch = lastCountedEpoch.clone();
-    c.workerEpoch = workerEpoch.clone();
-    c.workerSeq = workerSeq.clone();
-    c.workerToken = workerToken.clone();
-    for (int m = 0; m < MACHINES; m++) {
-      c.orphaned[m] = orphaned[m].clone();
-      c.workerState[m] = workerState[m].clone();
-      c.workerAttempt[m] = workerAttempt[m].clone();
+    copy.done = done.clone();
+    copy.reported = reported.clone();
+    copy.epoch = epoch.clone();
+    copy.sequence = sequence.clone();
+    copy.token = token.clone();
+    copy.leaseStartEpoch = leaseStartEpoch.clone();
+    copy.workerEpoch = workerEpoch.clone();
+    copy.workerSequence = workerSequence.clone();
+    copy.workerToken = workerToken.clone();
+    for (int machine = 0; machine < MACHINES; machine++) {
+      copy.orphaned[machine] = orphaned[machine].clone();
+      copy.workerState[machine] = workerState[machine].clone();
+      copy.workerAttempt[machine] = workerAttempt[machine].clone();
     }
-    c.reports = new ArrayDeque<>(reports);
-    c.starts = new ArrayDeque<>(starts);
-    return c;
+    copy.heartbeats = new ArrayDeque<>(heartbeats);
+    copy.starts = new ArrayDeque<>(starts);
+    return copy;
   }
 
   String key() {
@@ -156,26 +158,26 @@
         .append(exits)
         .append(Arrays.toString(issuedToken))
         .append(preempted ? "p" : "")
-        .append(Arrays.toString(logMachine))
-        .append(Arrays.toString(logAttempt))
-        .append(Arrays.toString(logDone))
+        .append(Arrays.toString(storedMachine))
+        .append(Arrays.toString(storedAttempt))
+        .append(Arrays.toString(storedDone))
         .append(Arrays.toString(done));
-    for (TaskRecord one : placed) {
-      key.append(one.key()).append(';');
+    for (TaskRecord record : records) {
+      key.append(record.key()).append(';');
     }
     key.append(Arrays.toString(reported))
         .append(Arrays.toString(epoch))
         .append(Arrays.toString(sequence))
         .append(Arrays.toString(token))
         .append(Arrays.deepToString(orphaned))
-        .append(Arrays.toString(lastCountedEpoch))
+        .append(Arrays.toString(leaseStartEpoch))
         .append(Arrays.toString(workerEpoch))
-        .append(Arrays.toString(workerSeq))
+        .append(Arrays.toString(workerSequence))
         .append(Arrays.toString(workerToken))
         .append(Arrays.deepToString(workerState))
         .append(Arrays.deepToString(workerAttempt));
-    // In no order: what is on its way may arrive in any.
-    reports.stream().map(Report::key).sorted().forEach(key::append);
+    // Sorted, because messages in flight may arrive in any order.
+    heartbeats.stream().map(Heartbeat::key).sorted().forEach(key::append);
     starts.stream().map(Start::toString).sorted().forEach(key::append);
     return key.toString();
   }
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -26,21 +26,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against a task that runs on two machines at once, or a completion that is lost, after a
+ * failover with delayed or copied messages: a model explores sequences of events with the
+ * production {@link TaskReconciler}. Also guards against operators' decision tables that differ
+ * from the code.
+ */
 @Timeout(60)
 class TaskReconcilerTest {
-  /** A longer search: {@code mvn test -Dtest=TaskReconcilerTest -Dstates=20000000}. */
+  /**
+   * The number of known states at which an exploration ends. For a longer search: {@code mvn test
+   * -Dtest=TaskReconcilerTest -Dstates=20000000}.
+   */
   private static final int STATES = Integer.getInteger("states", 150_000);
 
   @ParameterizedTest
   @CsvSource({"1,3,4,2,2,2,1,0,0", "1,2,3,1,2,2,2,0,1", "2,3,2,1,2,1,1,0,0", "1,3,4,1,2,2,1,2,1"})
-  void noTaskRunsTwiceInAnyCourseOfEvents(
+  void taskNeverRunsTwiceInBreadthFirstExploration(
       int tasks,
       int terms,
-      int reports,
+      int heartbeats,
       int epochs,
       int attempts,
-      int heldReports,
-      int heldStarts,
+      int heartbeatsInFlight,
+      int startsInFlight,
       int copies,
       int exits) {
     ReconciliationModel model =
@@ -48,46 +57,57 @@
             new Bounds(
                 tasks,
                 terms,
-                reports,
+                heartbeats,
                 epochs,
                 attempts,
-                heldReports,
-                heldStarts,
+                heartbeatsInFlight,
+                startsInFlight,
                 copies,
                 exits,
                 STATES),
             Fault.NONE);
     assertNull(model.explore());
-    assertTrue(model.explored() > STATES / 8, "only " + model.explored() + " states");
+    assertTrue(model.visitedStates() > STATES / 8, "only " + model.visitedStates() + " states");
   }
 
-  private static final int COURSES = Integer.getInteger("courses", 8_000);
+  /** The number of random sequences of events. */
+  private static final int RANDOM_SEQUENCES = Integer.getInteger("courses", 8_000);
 
-  /** Courses of events that are longer than all can be explored. */
+  /** Random sequences of events that are too long for an exhaustive exploration. */
   @ParameterizedTest
   @CsvSource({"1,3,12,3,3,3,2,0,1", "2,4,12,3,3,3,2,0,1", "1,4,14,2,3,3,2,8,3"})
-  void noTaskRunsTwiceInLongCourses(
+  void taskNeverRunsTwiceInLongRandomSequences(
       int tasks,
       int terms,
-      int reports,
+      int heartbeats,
       int epochs,
       int attempts,
-      int heldReports,
-      int heldStarts,
+      int heartbeatsInFlight,
+      int startsInFlight,
       int copies,
       int exits) {
     ReconciliationModel model =
         new ReconciliationModel(
             new Bounds(
-                tasks, terms, reports, epochs, attempts, heldReports, heldStarts, copies, exits, 0),
+                tasks,
+                terms,
+                heartbeats,
+                epochs,
+                attempts,
+                heartbeatsInFlight,
+                startsInFlight,
+                copies,
+                exits,
+                0),
             Fault.NONE);
-    assertNull(model.walk(1, COURSES, 60));
-    assertTrue(model.explored() > 30 * COURSES, "only " + model.explored() + " steps");
+    assertNull(model.exploreRandomly(1, RANDOM_SEQUENCES, 60));
+    assertTrue(
+        model.visitedStates() > 30 * RANDOM_SEQUENCES, "only " + model.visitedStates() + " steps");
   }
 
   /**
-   * Each rule is there for a reason: without it the exploration finds a course of events that
-   * breaks one.
+   * Without any one of the safety rules, the exploration finds a sequence of events that violates
+   * an invariant. This guards against a model that is too weak to detect faults.
    */
   @ParameterizedTest
   @CsvSource({
@@ -96,16 +116,26 @@
     "DONE_FORGOTTEN,1,0,1,1,0,0",
     "TOKEN_NOT_RAISED,1,0,1,1,1,1"
   })
-  void eachRuleIsNeeded(
-      Fault fault, int terms, int epochs, int heldReports, int heldStarts, int copies, int exits) {
+  void explorationFindsViolationWithoutRule(
+      Fault fault,
+      int terms,
+      int epochs,
+      int heartbeatsInFlight,
+      int startsInFlight,
+      int copies,
+      int exits) {
     ReconciliationModel model =
         new ReconciliationModel(
-            new Bounds(1, terms, 8, epochs, 2, heldReports, heldStarts, copies, exits, 0), fault);
-    String found = model.walk(1, 200_000, 40);
-    assertNotNull(found);
+            new Bounds(
+                1, terms, 8, epochs, 2, heartbeatsInFlight, startsInFlight, copies, exits, 0),
+            fault);
+    String violation = model.exploreRandomly(1, 200_000, 40);
+    assertNotNull(violation);
   }
 
-  /** The rows of a table of the document, by its heading: cells as they are written. */
+  /**
+   * Returns the cells of the table under the heading in the document, by row, without its header.
+   */
   private static List<List<String>> table(String heading) throws IOException {
     String text = Files.readString(Path.of("docs", "cold-start.md"));
     String section = text.substring(text.indexOf("\n## " + heading + "\n") + 1);
@@ -120,39 +150,39 @@
     return rows.subList(2, rows.size());
   }
 
-  private static boolean holds(List<String> row, Object... facts) {
+  private static boolean matches(List<String> row, Object... facts) {
     for (int i = 0; i < facts.length; i++) {
-      String fact = facts[i] instanceof Boolean yes ? yes ? "yes" : "no" : facts[i].toString();
-      if (!row.get(i).equals("*") && !List.of(row.get(i).split("/")).contains(fact)) {
+      String expected = facts[i] instanceof Boolean yes ? yes ? "yes" : "no" : facts[i].toString();
+      if (!row.get(i).equals("*") && !List.of(row.get(i).split("/")).contains(expected)) {
         return false;
       }
     }
     return true;
   }
 
-  private static void agrees(
+  private static void assertDocumented(
       List<List<String>> rows,
-      Set<List<String>> used,
+      Set<List<String>> matchedRows,
       String verdict,
       String reason,
       Object... facts) {
-    List<List<String>> holding = rows.stream().filter(row -> holds(row, facts)).toList();
-    assertEquals(1, holding.size(), () -> List.of(facts) + " is in " + holding);
+    List<List<String>> matching = rows.stream().filter(row -> matches(row, facts)).toList();
+    assertEquals(1, matching.size(), () -> List.of(facts) + " matches rows " + matching);
     assertEquals(
         List.of(verdict, reason),
-        holding.get(0).subList(facts.length, facts.length + 2),
+        matching.get(0).subList(facts.length, facts.length + 2),
         () -> List.of(facts) + "");
-    used.add(holding.get(0));
+    matchedRows.add(matching.get(0));
   }
 
   /**
-   * What operators read of tasks is what the code does, in each of 1,080 combinations, and no row
-   * stands for none.
+   * For each of the 1,080 combinations of facts exactly one row of the operators' table matches,
+   * with the verdict and reason of the code, and each row matches some combination.
    */
   @Test
-  void theTableOfTasksIsTheCode() throws IOException {
+  void documentedTaskTableMatchesCode() throws IOException {
     List<List<String>> rows = table("Tasks");
-    Set<List<String>> used = new HashSet<>();
+    Set<List<String>> matchedRows = new HashSet<>();
     for (RecordOwner record : RecordOwner.values()) {
       for (DesiredState desired : DesiredState.values()) {
         for (ReportedState reported : ReportedState.values()) {
@@ -168,16 +198,16 @@
                       (bits & 4) > 0,
                       gangState);
               TaskDecision decision = TaskReconciler.of(facts);
-              agrees(
+              assertDocumented(
                   rows,
-                  used,
+                  matchedRows,
                   decision.verdict().name(),
                   decision.reason(),
                   record,
                   desired,
                   reported,
-                  facts.mayCome(),
-                  facts.seen(),
+                  facts.startMayArrive(),
+                  facts.reportedBefore(),
                   facts.durable(),
                   gangState);
             }
@@ -185,13 +215,14 @@
         }
       }
     }
-    assertEquals(Set.copyOf(rows), used);
+    assertEquals(Set.copyOf(rows), matchedRows);
   }
 
+  /** The same for the table of machines. */
   @Test
-  void theTableOfMachinesIsTheCode() throws IOException {
+  void documentedMachineTableMatchesCode() throws IOException {
     List<List<String>> rows = table("Machines");
-    Set<List<String>> used = new HashSet<>();
+    Set<List<String>> matchedRows = new HashSet<>();
     for (Recorded recorded : Recorded.values()) {
       for (Listed listed : Listed.values()) {
         for (Worker worker : Worker.values()) {
@@ -206,9 +237,9 @@
                     (bits & 4) > 0,
                     (bits & 8) > 0);
             MachineDecision decision = MachineReconciler.of(facts, (bits & 16) > 0);
-            agrees(
+            assertDocumented(
                 rows,
-                used,
+                matchedRows,
                 decision.verdict().name(),
                 decision.reason(),
                 recorded,
@@ -217,12 +248,12 @@
                 listed,
                 worker,
                 facts.empty(),
-                facts.mostAlike(),
+                facts.mostMachinesSilent(),
                 (bits & 16) > 0);
           }
         }
       }
     }
-    assertEquals(Set.copyOf(rows), used);
+    assertEquals(Set.copyOf(rows), matchedRows);
   }
 }
