--- a/src/main/java/madderrudder/coordination/state/Assignment.java
+++ b/src/main/java/madderrudder/coordination/state/Assignment.java
@@ -5,8 +5,8 @@
 import madderrudder.protocol.TaskStatus.Phase;
 
 /**
- * A task that is, or may be, on a machine under one attempt number. Times are in microseconds of
- * the leader's monotonic clock. Confined to the event loop thread.
+ * An attempt of a task that is, or may be, on a machine. Times are in microseconds of the leader's
+ * monotonic clock. Confined to the event loop thread.
  */
 public final class Assignment {
   private static final long NONE = -1;
@@ -17,63 +17,64 @@
   /** Its attempt number. */
   public final long attempt;
 
-  /** The machine that it is, or may be, on. */
+  /** The machine on which the attempt is or may be. */
   public final Machine machine;
 
   private final TaskAttempt key;
 
-  /** The team of its job. */
+  /** The team that owns its job. */
   public final String team;
 
-  /** What it uses. */
+  /** The resources that it uses. */
   public final Resources resources;
 
-  /** Its job; null when the job is over and its description gone. */
+  /** Its job; null if the job has ended and its description is no longer kept. */
   public final Job job;
 
-  /** Placed by an earlier leader, whose commands may still be on their way to the worker. */
+  /** Whether an earlier leader placed it, whose commands to the worker may still be in flight. */
   public final boolean inherited;
 
-  /** The segment of the log that names it; null before there is one. */
+  /** The log segment that contains it; null until it is written. */
   public LogReference logReference;
 
-  /** A log segment that names this task is durable, so that it may be started. */
+  /** Whether a log segment that contains it is durable, so that the task may be started. */
   public boolean durable;
 
-  /** The task must not run here, or no longer. */
+  /** Whether the task must be stopped, or never started, on this machine. */
   public boolean evicting;
 
-  /** It has completed, and is kept until that is durable. */
+  /** Whether the task has completed; the assignment is kept until the completion is durable. */
   public boolean completed;
 
   /**
-   * The highest fencing token of a start command sent to it directly; -1 for none. That command, or
-   * a copy of it, may arrive until the worker has seen a higher token.
+   * The highest fencing token of a start command that was sent for it directly rather than in a
+   * heartbeat answer; -1 for none. That command, or a copy of it, may arrive until the worker has
+   * seen a higher token.
    */
   public long directToken = NONE;
 
-  /** A command to start it was sent. */
+  /** Whether a start command was sent for it. */
   public boolean startSent;
 
-  /** The sequence number of the heartbeat whose answer carried the start; -1 for none. */
+  /** The sequence number of the heartbeat whose answer contained the start; -1 for none. */
   public long startSequence = NONE;
 
-  /** The last heartbeat of this epoch that named the task; -1 for none. */
+  /** The sequence number of the last heartbeat of this epoch with the task; -1 for none. */
   public long reportedSequence = NONE;
 
-  /** When a stop was last sent; -1 for never. */
+  /** When a stop was last sent; -1 if never. */
   public long stopSentMicros = NONE;
 
   /** The phase that the worker last reported; null before it has reported the task. */
   public Phase phase;
 
-  /** When this leader placed it, or learned of it. */
+  /** When this leader placed it, or read it from the log. */
   public long placedMicros;
 
-  /** How long the task had waited when it was placed. */
+  /** How long the task had been waiting when it was placed. */
   public long waitedMicros;
 
-  /** Whether the machine had its image when it was placed. */
+  /** Whether the image was expected to be in the cache of the machine when it was placed. */
   public boolean hadImage;
 
   /** When its record became durable. */
@@ -82,13 +83,13 @@
   /** When its start was last sent. */
   public long startSentMicros;
 
-  /** When it was first reported as running; -1 before. */
+  /** When it was first reported as running; -1 until then. */
   public long runningMicros = NONE;
 
   /**
-   * Makes an assignment that is not yet counted anywhere: see {@link Cluster#addAssignment}.
+   * Creates an assignment that is not yet counted anywhere: see {@link Cluster#addAssignment}.
    *
-   * @param job its job, or null if the job is over
+   * @param job its job, or null if the job has ended
    * @param inherited whether an earlier leader placed it
    */
   public Assignment(
@@ -116,15 +117,17 @@
     return key;
   }
 
-  /** Records that its worker refused the direct start for good, or that it was never sent. */
+  /**
+   * Records that the worker refused the direct start for good, or that the start was never sent.
+   */
   public void startRefused() {
     directToken = NONE;
     startSent = false;
   }
 
   /**
-   * Records that the worker's epoch has ended: its heartbeats no longer count, and no start given
-   * in it can arrive any more.
+   * Records that the worker's epoch has ended: its heartbeats no longer count, and no start sent in
+   * it can take effect any more.
    */
   public void endEpoch() {
     reportedSequence = NONE;
@@ -133,11 +136,14 @@
     startSent = false;
   }
 
-  /** Whether the worker has said that it has the task. */
+  /** Whether the worker has reported the task to this leader. */
   public boolean reportedByWorker() {
     return phase != null;
   }
 
+  /**
+   * Whether the worker reports the task as running, waiting for its gang or saving a checkpoint.
+   */
   boolean running() {
     return phase == Phase.RUNNING || phase == Phase.WAITING || phase == Phase.SAVING;
   }
--- a/src/main/java/madderrudder/coordination/state/CapacityPool.java
+++ b/src/main/java/madderrudder/coordination/state/CapacityPool.java
@@ -1,7 +1,7 @@
 package madderrudder.coordination.state;
 
 /**
- * A pool of machines that the cloud may run out of.
+ * A pool of machines in the cloud whose capacity may be exhausted independently of other pools.
  *
  * @param type the name of the machine type
  * @param zone the zone
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -13,20 +13,20 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * The leader's view of the cluster: live jobs, machines, and what may be on which machine. Totals
- * are kept up to date with every change. Confined to the event loop thread.
+ * The leader's view of the cluster: live jobs, machines, and which tasks may be on which machine.
+ * It updates its totals with every change. Confined to the event loop thread.
  */
 public class Cluster {
-  /** About how long it takes until a stop has been sent, done and reported. */
-  private static final long SOON_MICROS = 1_000_000;
+  /** About how long it takes to send a stop, to execute it and to report the result. */
+  private static final long STOP_LATENCY_MICROS = 1_000_000;
 
-  /** A time before all others that is safe to add to and subtract from. */
+  /** A time before any other, from which sums and differences of times do not overflow. */
   public static final long LONG_AGO = Long.MIN_VALUE / 4;
 
   /** The settings of the deployment. */
   public final Deployment deployment;
 
-  /** The run times that planning reckons with. */
+  /** Predicts the run times of tasks for planning. */
   public final RunTimes runTimes;
 
   /** The live jobs by id, in the order in which this leader learned of them. */
@@ -35,22 +35,22 @@
   /** The machines by id. Changed with {@link #add} and {@link #remove}. */
   public final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** The machine types by name, as the cloud describes them; empty until known. */
+  /** The cloud's machine types by name; empty until known. */
   public Map<String, MachineType> types = Map.of();
 
-  // Updated with every change: computed on demand they would cost more with each task and
-  // machine there is.
-  private final Set<Machine> owned = new LinkedHashSet<>();
-  private final Map<String, Resources> usage = new HashMap<>();
+  // These totals are updated with every change, because computing them on demand takes time in
+  // proportion to the number of machines and tasks.
+  private final Set<Machine> ownedMachines = new LinkedHashSet<>();
+  private final Map<String, Resources> usageOfTeams = new HashMap<>();
   private final Map<TaskId, Integer> orphanCounts = new HashMap<>();
 
   /**
-   * Tasks of cancelled jobs that may still be on a machine, each with a time before its user was
-   * told of the cancellation; oldest first.
+   * Tasks of cancelled jobs that may still be on a machine, oldest first. The value is a time
+   * before the user received the confirmation of the cancellation.
    */
   private final Map<Assignment, Long> cancelledAssignments = new LinkedHashMap<>();
 
-  /** Makes a cluster without jobs and machines. */
+  /** Creates a cluster without jobs and machines. */
   public Cluster(Deployment deployment, RunTimes runTimes) {
     this.deployment = deployment;
     this.runTimes = runTimes;
@@ -60,19 +60,19 @@
   public void add(Machine machine) {
     machines.put(machine.id, machine);
     if (machine.owned) {
-      owned.add(machine);
+      ownedMachines.add(machine);
     }
   }
 
   /** Removes an empty machine. */
   public void remove(Machine machine) {
     machines.remove(machine.id);
-    owned.remove(machine);
+    ownedMachines.remove(machine);
   }
 
   /**
-   * Records that a task may be on a machine from now on: it counts against the machine, the team,
-   * the job and the zone.
+   * Records that a task may be on a machine from now on, and counts it against the machine, the
+   * team, the job and the zone.
    */
   public void addAssignment(Assignment assignment) {
     assignment.machine.assignments.put(assignment.key(), assignment);
@@ -85,9 +85,9 @@
   }
 
   /**
-   * Records that the task is certainly not there any more.
+   * Records that the task is certainly no longer on its machine.
    *
-   * @return false if it was not counted in the first place
+   * @return false if the assignment was not in the cluster
    */
   public boolean release(Assignment assignment, long nowMicros) {
     if (assignment.machine.assignments.remove(assignment.key()) == null) {
@@ -98,34 +98,35 @@
       assignment.job.removeAssignment(assignment, nowMicros);
     }
     if (!assignment.completed) {
-      returnUsage(assignment.machine, assignment.team, assignment.resources);
+      subtractUsage(assignment.machine, assignment.team, assignment.resources);
     }
     return true;
   }
 
-  /** Records that the task has completed and uses nothing from now on. */
+  /** Records that the task has completed and uses no resources from now on. */
   public void complete(Assignment assignment) {
     if (!assignment.completed) {
       assignment.completed = true;
       cancelledAssignments.remove(assignment);
-      returnUsage(assignment.machine, assignment.team, assignment.resources);
+      subtractUsage(assignment.machine, assignment.team, assignment.resources);
     }
   }
 
   /**
-   * Records that the task's job was cancelled and that its user was told after the given time; the
-   * task may still be there.
+   * Records that the task's job was cancelled while the task may still be on its machine.
+   *
+   * @param beforeMicros a time before the user received the confirmation of the cancellation
    */
   public void markCancelled(Assignment assignment, long beforeMicros) {
     cancelledAssignments.putIfAbsent(assignment, beforeMicros);
   }
 
   /**
-   * The time before which all cancellations have taken effect: no job whose user was told of its
-   * cancellation before it has a task anywhere. A task that no record names may be of any job, so
-   * that nothing is settled while there is one.
+   * Returns the time before which all cancellations have taken effect: no job whose cancellation
+   * was confirmed before it has a task on any machine. An orphan task may belong to any job, so
+   * while there is one the result is {@link #LONG_AGO}.
    *
-   * @param knownMicros up to when cancellations are known at all
+   * @param knownMicros the time up to which all cancellations are known
    */
   public long cancellationsSettledMicros(long knownMicros) {
     if (!orphanCounts.isEmpty()) {
@@ -136,10 +137,10 @@
         : Math.min(knownMicros, cancelledAssignments.values().iterator().next());
   }
 
-  /** Replaces the tasks that the worker reports and that no record names on the machine. */
+  /** Replaces the machine's orphan tasks: those that its worker reports without a record. */
   public void replaceOrphanTasks(Machine machine, List<OrphanTask> reported) {
     for (OrphanTask orphan : machine.orphanTasks) {
-      returnUsage(machine, orphan.team(), orphan.resources());
+      subtractUsage(machine, orphan.team(), orphan.resources());
       orphanCounts.computeIfPresent(
           orphan.key().task(), (task, count) -> count == 1 ? null : count - 1);
     }
@@ -152,17 +153,18 @@
 
   private void addUsage(Machine machine, String team, Resources resources) {
     machine.used = machine.used.plus(resources);
-    usage.merge(team, resources, Resources::plus);
+    usageOfTeams.merge(team, resources, Resources::plus);
   }
 
-  private void returnUsage(Machine machine, String team, Resources resources) {
+  private void subtractUsage(Machine machine, String team, Resources resources) {
     machine.used = machine.used.minus(resources);
-    usage.merge(team, resources, Resources::minus);
+    usageOfTeams.merge(team, resources, Resources::minus);
   }
 
   /**
-   * What the machine has left once all that is being stopped has gone, and all that is nearly
-   * certain to end as soon by itself: stopping that would lose its work for nothing.
+   * The resources that are free on the machine once all tasks being stopped have gone, and all
+   * tasks that are nearly certain to end by themselves as soon. Stopping the latter would only lose
+   * their work.
    */
   public Resources freeSoon(Machine machine, long nowMicros) {
     Resources free = machine.freeOnceEvicted();
@@ -174,36 +176,36 @@
     return free;
   }
 
-  /** Whether the task is nearly certain to end by itself as soon as a stop would take effect. */
+  /** Whether the task is nearly certain to end by itself before a stop would take effect. */
   public boolean endsSoon(Assignment assignment, long nowMicros) {
     return !assignment.evicting
         && !assignment.completed
         && assignment.job != null
-        && runTimes.endsWithin(assignment, nowMicros, SOON_MICROS);
+        && runTimes.endsWithin(assignment, nowMicros, STOP_LATENCY_MICROS);
   }
 
-  /** What each team may be using, on unreachable machines too. A copy. */
+  /** Returns a copy of the resources that each team may use, including unreachable machines. */
   public Map<String, Resources> usage() {
-    return new HashMap<>(usage);
+    return new HashMap<>(usageOfTeams);
   }
 
-  /** Whether the worker of some machine reports the task though no record names it there. */
+  /** Whether the task is an orphan on some machine. */
   public boolean hasOrphan(String job, int task) {
     return !orphanCounts.isEmpty() && orphanCounts.containsKey(new TaskId(job, task));
   }
 
   /**
-   * Whether some class of jobs wants to start sooner than any machine boots, so that scaling out
-   * comes too late for it.
+   * Whether the objective of some class of jobs is a start sooner than any machine can boot, so
+   * that scaling out is too slow for it.
    */
   public boolean scaleOutTooSlow() {
     long fastestBoot = types.values().stream().mapToLong(MachineType::bootMicros).min().orElse(0);
     return deployment.objectives().shortestWaitMicros() < fastestBoot;
   }
 
-  /** Whether some owned machine could take a task of the job if it were empty. */
+  /** Whether a task of the job would fit on some usable owned machine if that were empty. */
   public boolean ownedCouldFit(Job job, long nowMicros) {
-    for (Machine machine : owned) {
+    for (Machine machine : ownedMachines) {
       if (!machine.leaseExpired
           && !machine.failed
           && !machine.cordoned(nowMicros)
@@ -215,7 +217,7 @@
     return false;
   }
 
-  /** Whether the machines could take all waiting tasks of the gang if they were empty. */
+  /** Whether all waiting tasks of the gang would fit on the machines if those were empty. */
   public boolean couldFitGang(Job gang, Iterable<Machine> machines) {
     long missing = gang.waitingCount();
     for (Machine machine : machines) {
@@ -229,7 +231,10 @@
     return missing <= 0;
   }
 
-  /** Whether the machine's type, zone and kind suit the job, given where its other tasks may be. */
+  /**
+   * Whether the job's constraints allow the machine: its type, its zone, given where other tasks of
+   * the job may be, and spot instances if it is one.
+   */
   public boolean allowed(Job job, Machine machine) {
     JobSpec spec = job.spec;
     return (!machine.spot || spec.spotAllowed())
@@ -238,7 +243,7 @@
   }
 
   /**
-   * Whether a task of the job may go to the zone.
+   * Whether a task of the job may be placed in the zone.
    *
    * @param planned how many further tasks of the job are already planned for the zone
    */
--- a/src/main/java/madderrudder/coordination/state/ClusterSummary.java
+++ b/src/main/java/madderrudder/coordination/state/ClusterSummary.java
@@ -4,7 +4,7 @@
 import java.util.StringJoiner;
 import java.util.TreeMap;
 
-/** Sums up the machines of one kind for the line of the log that operators read. */
+/** Summarizes the machines of one type and ownership for the log. */
 public final class ClusterSummary {
   private int machines;
   private int booting;
@@ -14,7 +14,10 @@
 
   private ClusterSummary() {}
 
-  /** One line that says of each kind of machine how many there are and how busy they are. */
+  /**
+   * Returns one line with the machines of each type and ownership: the total, how many are booting
+   * and how many empty, and the CPUs in use out of all CPUs of those that have booted.
+   */
   public static String of(Cluster cluster) {
     Map<String, ClusterSummary> summaries = new TreeMap<>();
     for (Machine machine : cluster.machines.values()) {
--- a/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/EstimatedRunTimes.java
@@ -4,13 +4,13 @@
 import madderrudder.estimates.TaskRun;
 
 /**
- * Run times taken from the estimates that owners give with their jobs. These are often wrong, on
- * some days mostly in one direction, so that each is corrected by what tasks of its class took.
+ * Run times based on the estimates that owners submit with their jobs. These are often wrong, on
+ * some days mostly in one direction, so each is corrected by the observed run times of its class.
  */
 public final class EstimatedRunTimes implements RunTimes {
   private final ClassRatios ratios = new ClassRatios();
 
-  /** Makes run times that rely on the owners' estimates until tasks have been observed. */
+  /** Creates run times that rely on the owners' estimates until tasks have been observed. */
   public EstimatedRunTimes() {}
 
   @Override
@@ -29,14 +29,14 @@
   }
 
   /**
-   * A task that has run for longer than expected is taken to run as long again: nothing better is
-   * known of it.
+   * Returns the rest of the expected run time. A task that has already run longer than expected is
+   * assumed to run for as long again, because there is no better estimate.
    */
   @Override
   public long remainingMicros(Assignment assignment, long nowMicros) {
     long expected = expectedMicros(assignment.job);
-    long ran = RunTimes.ranMicros(assignment, nowMicros);
-    return ran < expected ? expected - ran : ran;
+    long elapsed = RunTimes.ranMicros(assignment, nowMicros);
+    return elapsed < expected ? expected - elapsed : elapsed;
   }
 
   @Override
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -12,17 +12,17 @@
 
 /**
  * A job in the leader's view: which of its tasks are done, which are assigned to machines, and
- * which wait. Times are in microseconds, of the leader's monotonic clock unless the name says wall.
- * Confined to the event loop thread.
+ * which are waiting. Times are in microseconds of the leader's monotonic clock, or of the wall
+ * clock where the name contains "Wall". Confined to the event loop thread.
  */
 public final class Job {
-  /** What its owner submitted. */
+  /** The description of the job as submitted. */
   public final JobSpec spec;
 
   /** The quota of its team. */
   public final TeamQuota team;
 
-  /** The version of its key in the store; 0 until known. */
+  /** The version of its key in the store; 0 if not known. */
   public final long version;
 
   /** When its submission was accepted. */
@@ -33,40 +33,43 @@
   /** The tasks that have completed. */
   public final BitSet done = new BitSet();
 
-  /** Chunks of progress that the store lacks. */
+  /**
+   * The chunks of its stored progress that are not yet written: the done tasks, and in chunk 0 also
+   * the mark that the job is failing.
+   */
   public final BitSet unwrittenChunks = new BitSet();
 
-  /** Its tasks that are, or may be, on machines. Changed by the cluster alone. */
+  /** Its tasks that are, or may be, on machines. Only {@link Cluster} changes it. */
   public final Set<Assignment> assignments = new LinkedHashSet<>();
 
-  /** The job is over for its user; its tasks must go. */
+  /** Whether the job has ended for its user; the tasks that are left must stop. */
   public boolean ended;
 
-  /** The attempt number that the tasks of a gang share; 0 while none is assigned. */
+  /** The attempt number that the tasks of a gang share; 0 while no task is assigned. */
   public long gangAttempt;
 
-  /** Some task of the gang has run under the present attempt. */
+  /** Whether some task of the gang has run under the current attempt. */
   public boolean gangStarted;
 
   /**
-   * Accepted before this leader took over, so that it is not known what its tasks have checkpointed
-   * under earlier leaders.
+   * Whether the job was accepted before this leader took over, so that it is not known which of its
+   * tasks wrote checkpoints under earlier leaders.
    */
   public boolean inherited;
 
-  /** What its tasks have in common with those of other jobs. */
+  /** The properties by which its run times are compared with those of other jobs. */
   public final TaskProfile profile;
 
-  /** The run time expected of its tasks when that was last asked; null before. */
+  /** The last estimate of the run time of its tasks; null before the first. */
   public RunTimes.Expected expected;
 
-  /** Tasks that have run under an earlier attempt, and may have saved a checkpoint. */
+  /** Tasks that have run under an earlier attempt and may have written a checkpoint. */
   private final BitSet ranBefore = new BitSet();
 
   private final BitSet assigned = new BitSet();
 
-  /** How many assignments a task has: more than one while an old attempt lingers. */
-  private final Map<Integer, Integer> assignmentsOfTask = new HashMap<>();
+  /** The number of assignments by task; above 1 while an earlier attempt may still be present. */
+  private final Map<Integer, Integer> assignmentCounts = new HashMap<>();
 
   private final Map<String, Integer> assignmentsInZone = new HashMap<>();
   private final Map<Integer, Long> waitingSinceMicros = new HashMap<>();
@@ -74,10 +77,10 @@
   private int completions;
 
   /**
-   * Makes a job none of whose tasks is assigned or done.
+   * Creates a job without assigned or done tasks.
    *
-   * @param version the version of its key in the store; 0 if not known yet
-   * @param nowMicros since when its tasks wait, as far as this leader knows
+   * @param version the version of its key in the store; 0 if not known
+   * @param nowMicros since when its tasks have been waiting, as far as this leader knows
    */
   public Job(JobSpec spec, TeamQuota team, long version, long acceptedWallMicros, long nowMicros) {
     this.spec = spec;
@@ -89,16 +92,16 @@
         new TaskProfile(spec.id(), spec.jobClass(), spec.team(), spec.image(), spec.perTask());
   }
 
-  /** To be called by the cluster alone, which keeps its own totals beside these. */
+  /** Adds an assignment; called only by {@link Cluster}, which updates its own totals as well. */
   void addAssignment(Assignment assignment) {
     if (assignments.add(assignment)) {
-      assignmentsOfTask.merge(assignment.task.index(), 1, Integer::sum);
+      assignmentCounts.merge(assignment.task.index(), 1, Integer::sum);
       assigned.set(assignment.task.index());
       assignmentsInZone.merge(assignment.machine.zone, 1, Integer::sum);
     }
   }
 
-  /** To be called by the cluster alone. */
+  /** Removes an assignment; called only by {@link Cluster}. */
   void removeAssignment(Assignment assignment, long nowMicros) {
     if (!assignments.remove(assignment)) {
       return;
@@ -109,9 +112,9 @@
     if (assignment.runningMicros >= 0) {
       ranBefore.set(index);
     }
-    Integer left =
-        assignmentsOfTask.computeIfPresent(index, (task, count) -> count == 1 ? null : count - 1);
-    if (left == null) {
+    Integer remaining =
+        assignmentCounts.computeIfPresent(index, (task, count) -> count == 1 ? null : count - 1);
+    if (remaining == null) {
       assigned.clear(index);
       waitingSinceMicros.put(index, nowMicros);
     }
@@ -122,8 +125,8 @@
   }
 
   /**
-   * Whether the gang may be placed, or the tasks that it lacks while it gathers. A gang that has
-   * run, or is being stopped, first has to go as a whole.
+   * Whether the gang, or the members that are missing while it gathers, may be placed. A gang that
+   * has run or is being stopped must first be gone from all machines.
    */
   public boolean gangAcceptsPlacement() {
     return assignments.isEmpty()
@@ -134,15 +137,15 @@
   }
 
   /**
-   * Whether all machines of a gang's tasks have been heard. Only then is it known of a gang that an
-   * earlier leader placed whether it has run.
+   * Whether all machines with inherited tasks of the gang have reported or lost their lease. Until
+   * then it is not known whether a gang that an earlier leader placed has run.
    */
   public boolean gangMachinesHeard() {
     return assignments.stream()
         .allMatch(a -> !a.inherited || a.machine.reported || a.machine.leaseExpired);
   }
 
-  /** The first task from the index on that is neither done nor assigned, or -1. */
+  /** Returns the first task from the index on that is neither done nor assigned, or -1. */
   public int nextWaiting(int from) {
     int index = from;
     while (index < spec.tasks()) {
@@ -155,16 +158,16 @@
     return -1;
   }
 
-  /** Whether some task of it is or was on a machine, as far as this leader knows. */
+  /** Whether any of its tasks is or was on a machine, as far as this leader knows. */
   public boolean hasBegun() {
     return !assignments.isEmpty() || !done.isEmpty() || !ranBefore.isEmpty();
   }
 
   /** How many of its tasks are neither done nor assigned. */
   public int waitingCount() {
-    BitSet taken = (BitSet) done.clone();
-    taken.or(assigned);
-    return spec.tasks() - taken.cardinality();
+    BitSet doneOrAssigned = (BitSet) done.clone();
+    doneOrAssigned.or(assigned);
+    return spec.tasks() - doneOrAssigned.cardinality();
   }
 
   /** How many of its tasks are not done. */
@@ -172,7 +175,7 @@
     return spec.tasks() - done.cardinality();
   }
 
-  /** Whether all its tasks are done; never so for a service. */
+  /** Whether all its tasks are done; always false for a service. */
   public boolean complete() {
     return spec.kind() != JobKind.SERVICE && remainingTasks() == 0;
   }
@@ -183,12 +186,12 @@
   }
 
   /**
-   * Whether the task may be started now: not shortly after it was refused or failed, and of a
-   * failing job one task at a time.
+   * Whether the task may be started now. It may not during the backoff after a refused start or a
+   * failure. Of a failing job only one task at a time may be started.
    */
   public boolean ready(int task, long nowMicros) {
-    return backoff.taskReady(task, nowMicros)
-        && (!failing() || (assignments.isEmpty() && backoff.probeDue(nowMicros)));
+    return backoff.isTaskReady(task, nowMicros)
+        && (!failing() || (assignments.isEmpty() && backoff.isProbeDue(nowMicros)));
   }
 
   /** Records that a task has completed under this leader. */
@@ -196,72 +199,73 @@
     completions++;
   }
 
-  /** Records that a worker refused to start the task, which is tried again a little later. */
+  /** Records that a worker refused to start the task, which is retried after a short backoff. */
   public void refused(int task, long nowMicros) {
-    backoff.refused(task, nowMicros);
+    backoff.recordRefusal(task, nowMicros);
   }
 
   /**
-   * Records that the task has failed on the machine, so that it waits a little before the next try.
-   * Once the job is found to be failing it waits as a whole, twice as long after each further
-   * failure: with each of three hundred tasks waiting on its own account, a job with a mistake once
-   * took five starts a second for as long as its user let it.
+   * Records that the task has failed on the machine, and delays its next start. Once the job is
+   * found to be failing, the whole job is delayed, twice as long after each further failure. While
+   * each task had its own backoff, a broken job of three hundred tasks caused five starts a second
+   * until its user stopped it.
    */
   public void failed(int task, String machine, long nowMicros) {
-    backoff.failed(task, machine, nowMicros);
+    backoff.recordFailure(task, machine, nowMicros);
     if (failing()) {
       backoff.delayProbe(nowMicros);
     }
   }
 
   /**
-   * Whether a task of it has failed on the machine lately. Not for good: a job that had failed on
-   * each machine would have nowhere to go.
+   * Whether one of its tasks has failed on the machine recently. Failures are ignored after some
+   * time, because a job that has failed on every machine could otherwise not be placed again.
    */
   public boolean failedOn(String machine, long nowMicros) {
-    return backoff.failedLatelyOn(machine, nowMicros);
+    return backoff.failedRecentlyOn(machine, nowMicros);
   }
 
-  /** The machines on which tasks of it have failed under this leader. */
+  /** The machines on which its tasks have failed under this leader. */
   public Set<String> failedOn() {
     return backoff.machinesFailedOn();
   }
 
   /**
-   * Whether it has failed on several machines and never completed a task: such a job is not worth
-   * scaling out or preempting for.
+   * Whether the job has failed on several machines and has never completed a task. The leader does
+   * not scale out or preempt for such a job.
    */
   public boolean failing() {
-    return completions == 0 && done.isEmpty() && backoff.blamesJob();
+    return completions == 0 && done.isEmpty() && backoff.indicatesFailingJob();
   }
 
   /**
-   * Records that earlier leaders have found it to be failing. It is tried again soon, one task at
-   * first, as under the leader that found it.
+   * Records that an earlier leader marked the job as failing. It is retried after a backoff, one
+   * task at a time, as under that leader.
    */
   public void markFailing(long nowMicros) {
     backoff.markFailing(nowMicros);
   }
 
+  /** How many of its tasks are, or may be, in the zone. */
   int assignmentsInZone(String zone) {
     return assignmentsInZone.getOrDefault(zone, 0);
   }
 
-  /** No task of the job may be in any other zone. */
+  /** Whether no task of the job may be in any other zone. */
   boolean onlyIn(String zone) {
     return assignmentsInZone.isEmpty()
         || (assignmentsInZone.size() == 1 && assignmentsInZone.containsKey(zone));
   }
 
   /**
-   * Whether the task's attempt may have resumed from a checkpoint of an earlier one, so that its
-   * run time is not that of a whole run.
+   * Whether the current attempt of the task may have resumed from a checkpoint of an earlier one,
+   * so that its run time is not that of a complete run.
    */
   public boolean mayHaveResumed(int task) {
     return spec.checkpointIntervalMicros() > 0 && (inherited || ranBefore.get(task));
   }
 
-  /** How many of its tasks run, wait for their gang or save a checkpoint. */
+  /** How many of its tasks run, wait for their gang or write a checkpoint. */
   public int runningCount() {
     int count = 0;
     for (Assignment assignment : assignments) {
--- a/src/main/java/madderrudder/coordination/state/LogReference.java
+++ b/src/main/java/madderrudder/coordination/state/LogReference.java
@@ -1,4 +1,7 @@
 package madderrudder.coordination.state;
 
-/** The place in the store's log that names a machine or a task. */
+/**
+ * The position in the store's log of the entry for a machine or a task. The package that writes the
+ * log implements it; the cluster state only keeps it.
+ */
 public interface LogReference {}
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -8,16 +8,18 @@
 import madderrudder.protocol.Resources;
 
 /**
- * A machine in the leader's view: what it is, what its worker last reported, what this leader has
- * sent to it, and what may be on it. Times are in microseconds, of the leader's monotonic clock
- * unless the name says wall. Confined to the event loop thread.
+ * A machine in the leader's view: its properties, the last report of its worker, the commands and
+ * tokens that this leader has sent to it, and the tasks that may be on it. Times are in
+ * microseconds of the leader's monotonic clock, or of the wall clock where the name contains
+ * "wall". Confined to the event loop thread.
  */
 public final class Machine {
   private static final long NONE = -1;
 
   /**
-   * Most boots take up to one and a half times what the cloud says; some several times that, and a
-   * few never end.
+   * The multiple of the cloud's boot time after which a boot is late. Most boots take up to one and
+   * a half times the boot time that the cloud states, some take several times as long, and a few
+   * never finish.
    */
   private static final int LATE_BOOT_FACTOR = 2;
 
@@ -25,12 +27,12 @@
   private static final long HEARTBEAT_SLACK_MICROS = 1_000_000;
 
   /**
-   * A worker lists all its tasks in a heartbeat of at most 64 KiB, at some 110 bytes a task; what
-   * has exited counts until it is told to forget it.
+   * The most tasks on one machine. A worker lists all its tasks in a heartbeat of at most 64 KiB,
+   * at about 110 bytes a task; an exited task is listed until the worker is told to forget it.
    */
-  private static final int MOST_TASKS = 400;
+  private static final int MAX_TASKS = 400;
 
-  /** Its name. */
+  /** The id under which the cloud lists it and its worker reports. */
   public final String id;
 
   /** Its type. */
@@ -48,107 +50,114 @@
   /** When it was rented. */
   public final long rentedWallMicros;
 
-  /** Since when this leader knows of it. */
+  /** When this leader learned of it. */
   public final long discoveredMicros;
 
-  /** Used by earlier leaders: it is in the log that this one read when it took over. */
+  /** Whether it is in the log that this leader read when it took over. */
   public boolean inherited;
 
-  /** The address of its worker; "" until known. */
+  /** The network address of its worker; "" until known. */
   public String address = "";
 
-  /** It is being returned to the cloud. */
+  /** Whether it is being returned to the cloud. */
   public boolean retiring;
 
-  /** That it is retiring is durable, so that its deletion may be sent. */
+  /** Whether the decision to return it is durable, so that its deletion may be requested. */
   public boolean retiringDurable;
 
-  /** It stopped by itself, as the cloud says. */
+  /** Whether the cloud lists it as failed. */
   public boolean failed;
 
-  /** Its worker has reported to this leader. */
+  /** Whether its worker has reported to this leader. */
   public boolean reported;
 
-  /** The epoch of its newest heartbeat. */
+  /**
+   * The worker's epoch in its newest heartbeat; a worker begins a new one when its lease expires.
+   */
   public long epoch;
 
   /** The sequence number of its newest heartbeat. */
   public long sequence;
 
-  /** The highest fencing token that its worker has seen, as its newest heartbeat says. */
+  /** The highest fencing token that its worker has seen, according to its newest heartbeat. */
   public long seenToken;
 
-  /** The highest fencing token that it was given in this term, or is to be given first. */
+  /** The highest fencing token sent to its worker in this term, or the first one to be sent. */
   public long issuedToken;
 
-  /** Its worker was sent an answer in this term. */
+  /** Whether its worker was sent an answer in this term. */
   public boolean answeredInTerm;
 
   /** The highest token of a start command sent to it directly in this term; -1 for none. */
   public long directToken = NONE;
 
   /**
-   * The sequence number of the last heartbeat that its worker sent by itself rather than in answer
-   * to a command; -1 for none.
+   * The sequence number of the last heartbeat that its worker sent on schedule rather than in
+   * response to a direct command; -1 for none.
    */
   public long heartbeatSequence = NONE;
 
-  /** When the heartbeat of {@link #heartbeatSequence} came. */
+  /** When the heartbeat of {@link #heartbeatSequence} arrived. */
   public long heartbeatMicros;
 
   /**
-   * A heartbeat that was made in this term has come, rather than one that may be older than all
-   * that is known.
+   * Whether a heartbeat that was made in this term has arrived. A heartbeat of an earlier term may
+   * be a late copy that is older than anything else known of the machine.
    */
   public boolean reportedInTerm;
 
-  /** Since when its worker, though it reports, has not shown that answers reach it; else -1. */
+  /** Since when its worker reports without acknowledging answers; -1 if it acknowledges them. */
   public long unacknowledgedSinceMicros = NONE;
 
-  /** A worker that has seen this token has acted on an answer given since that was in doubt. */
+  /**
+   * A heartbeat with this token or a higher one acknowledges an answer that was sent since the
+   * machine became unacknowledged.
+   */
   private long acknowledgingToken;
 
   /**
-   * When its worker may last have been answered by any controller, as far as is known; at first,
-   * when this leader began.
+   * When a controller may last have answered its worker and so renewed the lease, as far as this
+   * leader knows; initially when this leader learned of the machine.
    */
   public long lastAnsweredMicros;
 
-  /** When this leader last answered it, itself or through another controller on its behalf. */
+  /**
+   * When this leader last answered its newest heartbeat, directly or through another controller.
+   */
   public long lastHeardMicros;
 
-  /** Silent for so long that its worker has dropped everything. */
+  /** Whether it was silent for so long that its worker has stopped all tasks. */
   public boolean leaseExpired;
 
-  /** When the cloud will reclaim it; -1 if no such notice came. */
+  /** When the cloud will reclaim it; -1 if no notice was received. */
   public long reclaimMicros = NONE;
 
-  /** Since when nothing has been on it. */
+  /** Since when no task has been on it. */
   public long idleSinceMicros;
 
-  /** A direct command to its worker is under way. */
+  /** Whether a direct command to its worker is in flight. */
   public boolean directInFlight;
 
-  /** No direct command is sent to its worker before this time. */
+  /** The time before which no direct command is sent to its worker. */
   public long directBlockedUntilMicros;
 
-  /** What is, or may be, on it. Changed by the cluster alone. */
+  /** The tasks that are, or may be, on it. Only {@link Cluster} changes it. */
   public final Map<TaskAttempt, Assignment> assignments = new LinkedHashMap<>();
 
-  /** Tasks that its worker reported and no record names. Replaced as a whole, by the cluster. */
+  /** The tasks that its worker reports without a record. Only {@link Cluster} replaces the list. */
   public List<OrphanTask> orphanTasks = List.of();
 
-  /** What all that may be on the machine uses; kept by the cluster. */
+  /** The resources of all tasks that may be on it. Only {@link Cluster} changes it. */
   Resources used = Resources.NONE;
 
-  /** The segment of the log that names it; null before there is one. */
+  /** The log segment that contains it; null until it is written. */
   public LogReference logReference;
 
   private final ImageCache images;
   private final FailureTracker failures = new FailureTracker();
 
   /**
-   * Makes an empty machine that has not reported yet.
+   * Creates an empty machine that has not reported yet.
    *
    * @param rentedWallMicros when it was rented
    * @param nowMicros when this leader learned of it
@@ -174,17 +183,17 @@
     idleSinceMicros = nowMicros;
   }
 
-  /** What is left beside all that may be on the machine. */
+  /** The resources that no task on it may be using. */
   public Resources free() {
     return type.capacity().minus(used);
   }
 
-  /** Whether something on it is being stopped. */
+  /** Whether a task on it is being stopped. */
   public boolean stopping() {
     return assignments.values().stream().anyMatch(a -> a.evicting && !a.completed);
   }
 
-  /** What is left once all that is being stopped has gone too. */
+  /** The resources that are free once all tasks being stopped have gone. */
   Resources freeOnceEvicted() {
     Resources free = free();
     for (Assignment assignment : assignments.values()) {
@@ -195,17 +204,17 @@
     return free;
   }
 
-  /** Whether nothing is, or may be, on it. */
+  /** Whether no task is, or may be, on it. */
   public boolean empty() {
     return assignments.isEmpty() && orphanTasks.isEmpty();
   }
 
-  /** Whether it is rented, not known to be up, and not given up. */
+  /** Whether it is rented and has not reported to this leader, and may still do so. */
   public boolean booting() {
     return !owned && !reported && !retiring && !failed && !leaseExpired;
   }
 
-  /** Whether it is booting and may come up soon: not for far longer than its type takes. */
+  /** Whether it is booting, and not for much longer than a machine of its type takes. */
   public boolean bootingOnTime(long nowMicros) {
     return booting()
         && nowMicros - discoveredMicros <= LATE_BOOT_FACTOR * type.bootMicros() + BOOT_SLACK_MICROS;
@@ -217,7 +226,7 @@
   }
 
   /**
-   * Whether it was up when this leader took over, as far as the log tells, so that its worker is
+   * Whether it was up when this leader took over, according to the log, so that its worker is
    * expected to report.
    */
   public boolean expectedUp(long wallMicros) {
@@ -230,7 +239,7 @@
             || wallMicros - rentedWallMicros > 2 * type.bootMicros());
   }
 
-  /** Whether tasks may be placed on it now, given the interval between heartbeats. */
+  /** Whether tasks may be placed on it now, given the heartbeat interval. */
   public boolean usable(long nowMicros, long reportMicros) {
     return reported
         && !unacknowledged()
@@ -241,19 +250,22 @@
         && !silent(nowMicros, reportMicros);
   }
 
-  /** Whether it reports, and nothing shows that answers reach its worker. */
+  /** Whether it reports, but its worker has not acknowledged an answer. */
   public boolean unacknowledged() {
     return unacknowledgedSinceMicros != NONE;
   }
 
-  /** Whether it reports, and nothing has shown for so long that answers reach its worker. */
+  /** Whether it has reported for longer than the given time without acknowledging an answer. */
   public boolean unacknowledgedFor(long nowMicros, long forMicros) {
     return unacknowledged() && nowMicros - unacknowledgedSinceMicros > forMicros;
   }
 
   /**
-   * Raises the token so that the next answer shows whether answers reach its worker: one was not
-   * heeded, or none is known to have been since its epoch began.
+   * Marks the machine as unacknowledged, unless it already is, because an answer was not
+   * acknowledged or none has been since the worker's epoch began. The token is raised, so that a
+   * heartbeat with the new token acknowledges an answer sent since.
+   *
+   * @param sinceMicros since when answers are unacknowledged
    */
   public void expectAcknowledgement(long sinceMicros) {
     if (!unacknowledged()) {
@@ -262,7 +274,7 @@
     }
   }
 
-  /** Whatever it is given from now on carries a higher token than anything before. */
+  /** Raises the token, so that later commands carry a higher one than all earlier commands. */
   public void raiseToken() {
     issuedToken = FencingToken.canRise(issuedToken) ? issuedToken + 1 : issuedToken;
     acknowledgingToken = issuedToken;
@@ -271,7 +283,7 @@
   /**
    * Records the highest token that its worker has seen.
    *
-   * @return whether that ends a doubt whether answers reach it
+   * @return whether that acknowledges an answer of a machine that was unacknowledged before
    */
   public boolean recordAcknowledgement(long seenToken) {
     if (!unacknowledged() || seenToken < acknowledgingToken) {
@@ -281,61 +293,61 @@
     return true;
   }
 
-  /** Whether its heartbeat would grow too long with so many more tasks. */
+  /** Whether its heartbeat would exceed the size limit with the given number of further tasks. */
   public boolean atTaskLimit(int more) {
-    return assignments.size() + orphanTasks.size() + more >= MOST_TASKS;
+    return assignments.size() + orphanTasks.size() + more >= MAX_TASKS;
   }
 
   /**
-   * Whether a heartbeat is missing: the interval between two, with the quarter that it may be
-   * longer, has passed for a while.
+   * Whether a heartbeat is late by more than the slack: the heartbeat interval may be exceeded by a
+   * quarter.
    */
   public boolean missedHeartbeat(long nowMicros, long reportMicros) {
     return nowMicros - lastHeardMicros > reportMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS;
   }
 
-  /** The time within which several heartbeats come, given the interval between them. */
+  /** The time without heartbeats after which a machine is silent, given their interval. */
   public static long missedHeartbeatsMicros(long reportMicros) {
     return 3 * reportMicros + HEARTBEAT_SLACK_MICROS;
   }
 
-  /** Whether several heartbeats are missing, though its worker may still have its tasks. */
+  /** Whether several heartbeats are missing; its worker may still run its tasks. */
   public boolean silent(long nowMicros, long reportMicros) {
     return reported && nowMicros - lastHeardMicros >= missedHeartbeatsMicros(reportMicros);
   }
 
   /**
-   * Whether the image was used on it lately, and is likely to be in its cache still. The end of a
-   * lease does not change that.
+   * Whether the image was used on it recently and is likely to still be in its cache. The expiry of
+   * a lease does not change that.
    */
   public boolean hasImage(String image) {
     return images.contains(image);
   }
 
-  /** Records that an image of so many gigabytes is being used on it. */
+  /** Records that an image of the given size in gigabytes is being used on it. */
   public void recordImageUse(String image, double gb) {
     images.recordUse(image, gb);
   }
 
-  /** How many images are taken to be in its cache. */
+  /** How many images are likely to be in its cache. */
   public int imageCount() {
     return images.size();
   }
 
   /**
-   * Records that a task of the job has failed on it. Failures of different jobs within the window
-   * point at the machine, which is then cordoned for some time.
+   * Records that a task of the job has failed on it. After failures of several jobs within the
+   * window the machine is cordoned, because they indicate a fault of the machine.
    */
   public void recordFailure(String job, long nowMicros, long windowMicros, long cordonMicros) {
     failures.recordFailure(job, nowMicros, windowMicros, cordonMicros);
   }
 
-  /** Records that the failures of the job say nothing about the machine. */
+  /** Records that the failures of the job were not caused by the machine. */
   public void clearFailure(String job) {
     failures.clearFailure(job);
   }
 
-  /** Whether tasks of several jobs have failed on it, so that nothing is placed on it for now. */
+  /** Whether it is cordoned: tasks of several jobs have failed on it, and it gets no new tasks. */
   public boolean cordoned(long nowMicros) {
     return failures.cordoned(nowMicros);
   }
--- a/src/main/java/madderrudder/coordination/state/OrphanTask.java
+++ b/src/main/java/madderrudder/coordination/state/OrphanTask.java
@@ -3,7 +3,7 @@
 import madderrudder.protocol.Resources;
 
 /**
- * A task that a worker reported and that no record names on its machine.
+ * A task that a worker reports although no record places it on the machine.
  *
  * @param key the task and its attempt
  * @param team the team of its job, or "" if the job is not known
--- a/src/main/java/madderrudder/coordination/state/RetryBackoff.java
+++ b/src/main/java/madderrudder/coordination/state/RetryBackoff.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 import java.util.Set;
 
-/** When the tasks of one job may be started again after refused starts and failures. */
+/** Delays new starts of the tasks of one job after refused starts and failures. */
 final class RetryBackoff {
   private static final long BACKOFF_MICROS = 1_000_000;
-  private static final long MOST_BACKOFF_MICROS = 60_000_000;
+  private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
-  /** A job that has failed on so many machines without completing a task is at fault itself. */
-  private static final int MACHINES_TO_BLAME_JOB = 4;
+  /** A job that has failed on this many machines without completing a task is itself at fault. */
+  private static final int FAILED_MACHINES_TO_BLAME_JOB = 4;
 
-  /** For how long a task of the job avoids a machine on which one has failed. */
+  /** How long the tasks of the job avoid a machine on which one of them has failed. */
   private static final long AVOID_MACHINE_MICROS = 60_000_000;
 
   /**
-   * The first wait of a job that earlier leaders found to be failing; long enough that such jobs
-   * cause no burst beside the other work of a failover.
+   * The first delay of a job that an earlier leader marked as failing. It is long enough that such
+   * jobs add no burst of starts to the work of a failover.
    */
   private static final long INHERITED_BACKOFF_MICROS = 10_000_000;
 
-  private final Map<Integer, Long> notBeforeMicros = new HashMap<>();
-  private final Map<Integer, Integer> failuresOfTask = new HashMap<>();
-  private final Map<String, Long> failedOnMicros = new HashMap<>();
+  private final Map<Integer, Long> earliestStartMicros = new HashMap<>();
+  private final Map<Integer, Integer> failureCounts = new HashMap<>();
+  private final Map<String, Long> lastFailureMicros = new HashMap<>();
 
   /** Failures since the job was found to be failing, under this leader and earlier ones. */
   private int failuresSinceFailing;
@@ -31,50 +31,56 @@
   private boolean markedFailing;
   private long nextProbeMicros = Long.MIN_VALUE;
 
-  boolean taskReady(int task, long nowMicros) {
-    return nowMicros >= notBeforeMicros.getOrDefault(task, Long.MIN_VALUE);
+  /** Whether the backoff of the task has ended. */
+  boolean isTaskReady(int task, long nowMicros) {
+    return nowMicros >= earliestStartMicros.getOrDefault(task, Long.MIN_VALUE);
   }
 
-  boolean probeDue(long nowMicros) {
+  /** Whether the delay of the whole job has ended, so that one task may be started to probe it. */
+  boolean isProbeDue(long nowMicros) {
     return nowMicros >= nextProbeMicros;
   }
 
-  void refused(int task, long nowMicros) {
-    notBeforeMicros.put(task, nowMicros + BACKOFF_MICROS);
+  /** Records that a worker refused to start the task. */
+  void recordRefusal(int task, long nowMicros) {
+    earliestStartMicros.put(task, nowMicros + BACKOFF_MICROS);
   }
 
-  /** A task waits a little longer after its second failure. */
-  void failed(int task, String machine, long nowMicros) {
-    int count = failuresOfTask.merge(task, 1, Integer::sum);
-    failedOnMicros.put(machine, nowMicros);
-    notBeforeMicros.put(task, nowMicros + Math.min(2, count) * BACKOFF_MICROS);
+  /** Records a failure of the task; the delay doubles with its second failure and then stays. */
+  void recordFailure(int task, String machine, long nowMicros) {
+    int count = failureCounts.merge(task, 1, Integer::sum);
+    lastFailureMicros.put(machine, nowMicros);
+    earliestStartMicros.put(task, nowMicros + Math.min(2, count) * BACKOFF_MICROS);
   }
 
-  /** The job waits as a whole, twice as long after each further failure. */
+  /** Delays the next start of any task of the job; the delay doubles with each further failure. */
   void delayProbe(long nowMicros) {
     failuresSinceFailing++;
     nextProbeMicros =
         nowMicros
-            + Math.min(MOST_BACKOFF_MICROS, BACKOFF_MICROS << Math.min(failuresSinceFailing, 10));
+            + Math.min(MAX_BACKOFF_MICROS, BACKOFF_MICROS << Math.min(failuresSinceFailing, 10));
   }
 
+  /** Records that an earlier leader marked the job as failing. */
   void markFailing(long nowMicros) {
     markedFailing = true;
-    failuresSinceFailing = Math.max(failuresSinceFailing, MACHINES_TO_BLAME_JOB);
+    failuresSinceFailing = Math.max(failuresSinceFailing, FAILED_MACHINES_TO_BLAME_JOB);
     nextProbeMicros = nowMicros + INHERITED_BACKOFF_MICROS;
   }
 
-  /** Whether the job would be failing, given that it never completed a task. */
-  boolean blamesJob() {
-    return markedFailing || failedOnMicros.size() >= MACHINES_TO_BLAME_JOB;
+  /** Whether the failures are the fault of the job, provided that it never completed a task. */
+  boolean indicatesFailingJob() {
+    return markedFailing || lastFailureMicros.size() >= FAILED_MACHINES_TO_BLAME_JOB;
   }
 
-  boolean failedLatelyOn(String machine, long nowMicros) {
-    Long failed = failedOnMicros.get(machine);
+  /** Whether the tasks of the job avoid the machine after a recent failure on it. */
+  boolean failedRecentlyOn(String machine, long nowMicros) {
+    Long failed = lastFailureMicros.get(machine);
     return failed != null && nowMicros - failed < AVOID_MACHINE_MICROS;
   }
 
+  /** The machines on which tasks of the job have failed, however long ago. */
   Set<String> machinesFailedOn() {
-    return failedOnMicros.keySet();
+    return lastFailureMicros.keySet();
   }
 }
--- a/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
+++ b/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
@@ -3,7 +3,7 @@
 import madderrudder.protocol.MachineType;
 
 /**
- * A request for machines of one type, zone and kind.
+ * A request to the cloud for machines of one type in one zone, either all spot or all regular.
  *
  * @param type the machine type
  * @param zone the zone
@@ -14,12 +14,12 @@
 public record ScaleOutRequest(
     MachineType type, String zone, boolean spot, int count, boolean counted) {
 
-  /** The pool that the machines come from. */
+  /** The capacity pool that the machines are requested from. */
   public CapacityPool capacityPool() {
     return new CapacityPool(type.name(), zone, spot);
   }
 
-  /** The same request for one machine more. */
+  /** Returns the same request with one more machine. */
   public ScaleOutRequest oneMore() {
     return new ScaleOutRequest(type, zone, spot, count + 1, counted);
   }
--- a/src/main/java/madderrudder/coordination/state/TaskAttempt.java
+++ b/src/main/java/madderrudder/coordination/state/TaskAttempt.java
@@ -3,9 +3,9 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * A task under one attempt number.
+ * One attempt to run a task.
  *
  * @param task the task
- * @param attempt the attempt number, which is of one start only
+ * @param attempt the attempt number; each placement of the task gets a new one
  */
 public record TaskAttempt(TaskId task, long attempt) {}
--- a/src/test/java/madderrudder/coordination/state/CapacityPoolLimitsTest.java
+++ b/src/test/java/madderrudder/coordination/state/CapacityPoolLimitsTest.java
@@ -4,29 +4,32 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many machines of a pool are requested after refusals and failed boots. */
+/**
+ * Guards against requests that use up the scale-out budget for machines that the cloud refuses or
+ * that never boot.
+ */
 class CapacityPoolLimitsTest {
   private static final long SECOND = 1_000_000;
 
   /**
-   * Each machine asked for takes from the budget: where none is to be had, or none comes up, one is
-   * asked for.
+   * Each requested machine counts against the budget, so after a refusal or failed boots the pool
+   * is paused and then limited to one machine. The limit recovers with filled requests.
    */
   @Test
-  void exhaustedPoolsAndFailingBootsLowerTheRequestLimit() {
+  void refusalsAndFailedBootsLowerRequestLimit() {
     CapacityPoolLimits limits = new CapacityPoolLimits();
     CapacityPool pool = new CapacityPool("box", "east", true);
     assertEquals(50, limits.requestLimit(pool, 0));
     limits.recordAnswer(pool, 50, 0, 0);
     assertEquals(0, limits.requestLimit(pool, 19 * SECOND));
     assertEquals(1, limits.requestLimit(pool, 20 * SECOND));
-    int asked = 0;
+    int requests = 0;
     long now = 20 * SECOND;
-    for (int most = 1; most < 50; most = limits.requestLimit(pool, now)) {
-      limits.recordAnswer(pool, most, most, now);
-      asked++;
+    for (int limit = 1; limit < 50; limit = limits.requestLimit(pool, now)) {
+      limits.recordAnswer(pool, limit, limit, now);
+      requests++;
     }
-    assertEquals(2, asked);
+    assertEquals(2, requests);
     for (int i = 0; i < 2; i++) {
       limits.recordBootFailure(pool, now);
     }
--- a/src/test/java/madderrudder/coordination/state/ClusterTest.java
+++ b/src/test/java/madderrudder/coordination/state/ClusterTest.java
@@ -10,15 +10,18 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Totals that the cluster keeps. */
+/**
+ * Guards against cancellations that count as settled while a task of a cancelled job may still be
+ * on a machine.
+ */
 class ClusterTest extends PlanningFixture {
   /**
-   * Grants to other controllers count from before the oldest cancellation that may not have taken
-   * effect everywhere: a controller that hears the leader while its worker cannot would otherwise
-   * keep a cancelled task alive for ever.
+   * The leader's grants to other controllers count from before the oldest cancellation that may not
+   * have taken effect everywhere. Otherwise a controller that can reach the leader could keep a
+   * cancelled task alive for ever on a worker that cannot reach it.
    */
   @Test
-  void cancellationsAreSettledOnceNoTaskOfTheirJobsMayBeLeft() {
+  void cancellationsAreSettledOnceNoTaskOfTheirJobsIsLeft() {
     Machine machine = machine("m-0", "east", true);
     Job job = job("req-1", "canto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
     Assignment first = put(job, 0, machine);
