--- a/src/main/java/madderrudder/metrics/Metrics.java
+++ b/src/main/java/madderrudder/metrics/Metrics.java
@@ -8,28 +8,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Histograms of how long things have taken since this process began, served in {@code GET
+ * Histograms of the durations measured since the start of this process, served in {@code GET
  * /metrics}. Confined to the event loop thread.
  */
 public final class Metrics {
-  /** Longer times are recorded as this. */
+  /** The upper bound of recorded durations, one hour; longer ones are recorded as this. */
   private static final long MAX_MICROS = 3_600_000_000L;
 
   private static final int SIGNIFICANT_DIGITS = 2;
 
-  /** What is measured. The constant's name in lower case is the field of {@code GET /metrics}. */
+  /**
+   * A measured duration. The name of the constant in lower case is its field in {@code GET
+   * /metrics}.
+   */
   public enum Timing {
-    /** From the arrival of a job submission to its response. */
+    /** From the arrival of a job submission until its response. */
     SUBMISSION,
-    /** From when a task began to wait to its placement. */
+    /** From when a task became pending until its placement. */
     PLACING,
     /** From a task's placement until the placement is durable in the store. */
     RECORDING,
-    /** From when a task began to wait to the first heartbeat that shows it running. */
+    /** From when a task became pending until the first heartbeat that reports it running. */
     STARTING,
     /** One round of planning by the leader. */
     PLANNING,
-    /** How late a timer of the event loop fired. */
+    /** The delay of a timer of the event loop past its due time. */
     LOOP_DELAY
   }
 
@@ -45,7 +48,7 @@
   /**
    * Records one duration.
    *
-   * @param timing what took so long
+   * @param timing the histogram to add to
    * @param micros the duration in microseconds; a negative one counts as 0, and one above an hour
    *     as an hour
    */
--- a/src/main/java/madderrudder/metrics/RunHistory.java
+++ b/src/main/java/madderrudder/metrics/RunHistory.java
@@ -7,15 +7,15 @@
 import madderrudder.estimates.TaskRun;
 
 /**
- * The latest task runs that this leader has seen end, numbered from 1, for operators to collect
- * through {@code GET /history/N}. It is kept in memory alone: a new leader begins at 1 again, which
- * collectors notice by the term. Confined to the event loop thread.
+ * The latest task runs that ended under this leader, numbered from 1, for operators to collect
+ * through {@code GET /history/N}. The history is kept in memory only: a new leader starts at 1
+ * again, which collectors detect by the changed term. Confined to the event loop thread.
  */
 public final class RunHistory {
-  /** Some minutes of a large cluster's work, at about 200 bytes a run. */
+  /** Covers some minutes of a large cluster's work, at about 200 bytes per run. */
   private static final int MAX_RUNS = 4_000;
 
-  /** Runs in one response, so that it stays within about 100 KB. */
+  /** Limits a response to about 100 KB. */
   private static final int MAX_RUNS_PER_RESPONSE = 400;
 
   private final long term;
@@ -25,9 +25,9 @@
   private long lastNumber;
 
   /**
-   * A run and when it ended.
+   * A run and the time when it ended.
    *
-   * @param atWallMicros the time of day of its end, in microseconds since the epoch
+   * @param atWallMicros the wall-clock time of its end, in microseconds since the epoch
    * @param run the run
    */
   public record EndedRun(long atWallMicros, TaskRun run) {}
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Adds a run; the oldest one is dropped if there are too many.
+   * Adds a run and drops the oldest one if the history is full.
    *
-   * @param atWallMicros the time of day of its end, in microseconds since the epoch
+   * @param atWallMicros the wall-clock time of its end, in microseconds since the epoch
    * @param run the run
    */
   public void add(long atWallMicros, TaskRun run) {
@@ -56,12 +56,12 @@
   }
 
   /**
-   * Writes the runs after a number, as many as go into one response: the fields {@code term},
-   * {@code missed} (how many of the runs asked for were dropped already), {@code next} (the number
-   * to ask after next) and {@code runs}.
+   * Writes the runs after a number, up to the maximum for one response, as the fields {@code term},
+   * {@code missed} (how many of the requested runs were already dropped), {@code next} (the value
+   * of {@code after} for the next request) and {@code runs}.
    *
    * @param out the generator, inside an object
-   * @param after the number of the last run that the collector has; 0 for all
+   * @param after the number of the last run that the collector has received; 0 for all runs
    * @throws IOException if the generator fails
    */
   public void write(JsonGenerator out, long after) throws IOException {
@@ -76,15 +76,15 @@
     out.writeEndArray();
   }
 
-  /** Writes the runs numbered above {@code from}, up to {@code last}. */
-  private void writeRuns(JsonGenerator out, long from, long last) throws IOException {
+  /** Writes the runs with numbers above {@code after}, up to and including {@code last}. */
+  private void writeRuns(JsonGenerator out, long after, long last) throws IOException {
     long number = lastNumber - runs.size();
     for (EndedRun ended : runs) {
       number++;
       if (number > last) {
         return;
       }
-      if (number > from) {
+      if (number > after) {
         out.writeStartObject();
         RunHistoryCodec.write(out, ended);
         out.writeEndObject();
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -11,8 +11,8 @@
 import madderrudder.protocol.Resources;
 
 /**
- * Reads and writes one run of a history, in {@code GET /history/N} as in files. Times are in
- * seconds, memory in GB. Pure functions.
+ * Reads and writes the fields of one run of a history, which are the same in {@code GET /history/N}
+ * and in files. Times are in seconds, memory is in GB. Stateless.
  */
 public final class RunHistoryCodec {
   /** The field names, in the order of the columns of a CSV file. */
@@ -34,10 +34,10 @@
           "took_s",
           "end");
 
-  /** The value of {@code end} for a run from the beginning of the task to its completion. */
+  /** The value of {@code end} for a run from the start of the task until its completion. */
   private static final String COMPLETE = "done";
 
-  /** The value of {@code end} for a run that was stopped, or began at a checkpoint. */
+  /** The value of {@code end} for a run that was stopped or that resumed from a checkpoint. */
   private static final String PARTIAL = "part";
 
   private RunHistoryCodec() {}
@@ -96,11 +96,11 @@
             in.secondsAsMicros("guess_s", 0),
             in.secondsAsMicros("took_s"),
             complete);
-    // A time of day is more seconds than any duration may be.
+    // Not secondsAsMicros: a time since the epoch exceeds the limit on durations.
     return new EndedRun(Math.round(1e6 * in.amount("at_s", 0)), run);
   }
 
-  /** Whether {@code end} tells of a complete run. */
+  /** Returns whether {@code end} marks a complete run. */
   private static boolean readComplete(JsonFields in) throws MalformedMessageException {
     return switch (in.text("end")) {
       case COMPLETE -> true;
@@ -111,7 +111,7 @@
     };
   }
 
-  /** Reads a decimal as whole thousandths, the unit of {@link Resources}; 0 when it is absent. */
+  /** Reads a decimal in whole thousandths, the unit of {@link Resources}; 0 if it is absent. */
   private static long thousandths(JsonFields in, String name) throws MalformedMessageException {
     return Math.round(1e3 * in.amount(name, 0));
   }
--- a/src/main/java/madderrudder/metrics/package-info.java
+++ b/src/main/java/madderrudder/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a controller measures for operators: histograms of how long things take, and the history of
- * task runs that have ended with its JSON form. Nothing here affects a scheduling decision.
+ * The measurements that a controller serves to operators: histograms of durations, and the history
+ * of ended task runs with its JSON form. Scheduling decisions do not depend on this package.
  */
 package madderrudder.metrics;
--- a/src/main/java/madderrudder/util/BoundedMap.java
+++ b/src/main/java/madderrudder/util/BoundedMap.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * A map of at most so many entries: adding one more evicts the eldest. Iteration begins with the
- * entry that would be evicted next. Not safe for use by several threads.
+ * A map with a maximum number of entries: adding an entry to a full map evicts the eldest one.
+ * Iteration starts with the entry that would be evicted next. Not thread-safe.
  *
  * @param <K> the type of keys
  * @param <V> the type of values
@@ -27,20 +27,20 @@
     this.onEviction = onEviction;
   }
 
-  /** An empty map that evicts the entry that was added first. */
+  /** Creates an empty map that evicts the entry that was added first. */
   public static <K, V> BoundedMap<K, V> evictingOldest(int maxEntries) {
     return new BoundedMap<>(maxEntries, false, evicted -> {});
   }
 
-  /** An empty map that evicts the entry that was neither read nor written for the longest time. */
+  /** Creates an empty map that evicts the least recently read or written entry. */
   public static <K, V> BoundedMap<K, V> evictingLeastRecentlyUsed(int maxEntries) {
     return evictingLeastRecentlyUsed(maxEntries, evicted -> {});
   }
 
   /**
-   * An empty map that evicts the entry that was neither read nor written for the longest time.
+   * Creates an empty map that evicts the least recently read or written entry.
    *
-   * @param maxEntries how many entries it holds at the most
+   * @param maxEntries the maximum number of entries
    * @param onEviction called with each evicted value, while it is still in the map
    */
   public static <K, V> BoundedMap<K, V> evictingLeastRecentlyUsed(
--- a/src/main/java/madderrudder/util/package-info.java
+++ b/src/main/java/madderrudder/util/package-info.java
@@ -1,2 +1,2 @@
-/** Small general-purpose classes that know nothing of the program's domain. */
+/** General-purpose classes that do not depend on any other package of the project. */
 package madderrudder.util;
--- a/src/test/java/madderrudder/util/BoundedMapTest.java
+++ b/src/test/java/madderrudder/util/BoundedMapTest.java
@@ -6,8 +6,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Checks which entry a full map evicts in either eviction order. */
 class BoundedMapTest {
-  private static void addThree(Map<String, Integer> map) {
+  /** Adds a, b and c, and reads a before c is added. */
+  private static void addThreeEntries(Map<String, Integer> map) {
     map.put("a", 1);
     map.put("b", 2);
     map.get("a");
@@ -15,16 +17,16 @@
   }
 
   @Test
-  void evictsTheEntryThatWasAddedFirst() {
+  void evictsEntryAddedFirst() {
     Map<String, Integer> map = BoundedMap.evictingOldest(2);
-    addThree(map);
+    addThreeEntries(map);
     assertEquals(Set.of("b", "c"), map.keySet());
   }
 
   @Test
-  void evictsTheEntryThatWasUsedLeastRecently() {
+  void evictsLeastRecentlyUsedEntry() {
     Map<String, Integer> map = BoundedMap.evictingLeastRecentlyUsed(2);
-    addThree(map);
+    addThreeEntries(map);
     assertEquals(Set.of("a", "c"), map.keySet());
   }
 }
