--- a/src/main/java/madderrudder/persistence/CommitQueue.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -8,63 +8,72 @@
 /**
  * Queues a leader's changes and commits them to the store, one compare-and-swap transaction at a
  * time, fenced by the term key (see {@link FencedCommitter}). When another leader has taken over,
- * the queue closes and calls {@code onLost}.
+ * the queue closes and calls {@code onLeadershipLost}.
  *
- * <p>Transactions keep a distance in time, so that rewriting the term key takes only a part of the
- * leader's write rate; changes queued meanwhile share the next transaction.
+ * <p>Transactions are spaced in time to limit the share of the leader's write rate that is spent on
+ * rewriting the term key. Changes queued between two transactions are batched into the next one.
  *
  * <p>Not thread-safe: every method must be called on the event-loop thread of the {@link
- * Scheduler}, where the store's answers arrive too.
+ * Scheduler}, where the callbacks of the store client run too.
  */
 public final class CommitQueue {
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
-  private static final long LATER_DELAY_MICROS = 4_000_000;
+
+  /** The delay after which a {@link Urgency#LATER} change triggers a transaction. */
+  private static final long LATER_FLUSH_DELAY_MICROS = 4_000_000;
 
   /**
-   * One write in this many may rewrite the term key, and fewer while the rate is nearly used up.
+   * Every transaction rewrites the term key. The spacing of transactions limits these rewrites to
+   * one in this many writes at the leader's write rate.
    */
-  private static final double TERM_KEY_WRITE_SHARE = 5;
+  private static final double WRITES_PER_TERM_KEY_WRITE = 5;
+
+  /** The factor on the spacing of transactions while under half a second's tokens are left. */
+  private static final int LOW_TOKENS_SPACING_FACTOR = 2;
 
-  private static final int SCARCE_SPACING_FACTOR = 2;
-  private static final int LATER_SHARE_DIVISOR = 8;
+  /**
+   * {@link Urgency#LATER} changes may always use the maximum number of writes divided by this, so
+   * that more urgent changes cannot starve them.
+   */
+  private static final int LATER_MIN_WRITES_DIVISOR = 8;
 
   /** The weight of the newest interval in the smoothed rate of the leader's own writes. */
-  private static final double RECENT_WEIGHT = 0.3;
+  private static final double SMOOTHING_WEIGHT = 0.3;
 
-  /** What the leader keeps for itself, as a multiple of its smoothed rate. */
-  private static final double KEPT_FACTOR = 1.3;
+  /** The write rate reserved for the leader, as a multiple of its smoothed rate. */
+  private static final double LEADER_RESERVE_FACTOR = 1.3;
 
-  /** The share of the write rate that the leader divides between itself and users. */
-  private static final double LENT_SHARE = 0.9;
+  /** The share of the write rate that is divided between the leader and user requests. */
+  private static final double ALLOCATABLE_SHARE = 0.9;
 
   private final Scheduler scheduler;
   private final long term;
   private final int maxWrites;
   private final long spacingMicros;
-  private final double scarceWrites;
+  private final double lowTokens;
   private final RateLimiter writeLimiter;
   private final double writesPerSecond;
-  private final Runnable onLost;
+  private final Runnable onLeadershipLost;
   private final UrgencyQueues queues = new UrgencyQueues();
   private final FencedCommitter committer;
-  private double recentPerSecond;
-  private long nextMicros;
+  private double smoothedWritesPerSecond;
+  private long nextFlushMicros;
   private boolean inFlight;
-  private boolean scheduled;
-  private boolean laterScheduled;
+  private boolean flushScheduled;
+  private boolean laterFlushScheduled;
   private boolean closed;
 
   /**
-   * The order in which changes are written when there are more than one transaction takes; a change
-   * queued at two urgencies keeps the more urgent one.
+   * The order in which changes are written when there are more than fit into one transaction. A
+   * change queued at two urgencies keeps the more urgent one.
    */
   public enum Urgency {
-    /** Somebody waits for it: a start, a rental. */
+    /** Blocks another operation, such as the start of a task or a rental. */
     FIRST,
     /** Written in the next transaction that has room. */
     SOON,
     /**
-     * Nothing but a failover depends on it: written when there is little else, or after some
+     * Needed only after a failover: written while there are few other changes, or after some
      * seconds.
      */
     LATER
@@ -74,14 +83,14 @@
    * Creates the queue of one leader's term.
    *
    * @param scheduler the event loop; its clock is in microseconds
-   * @param store the store client the transactions go through
+   * @param store the client that sends the transactions
    * @param member this node's name, written into the term key
    * @param term the leader's term
    * @param termKeyVersion the version of the term key that this leader wrote when it took over
-   * @param maxWrites the most writes in one transaction
+   * @param maxWrites the maximum number of writes in one transaction
    * @param writesPerSecond the leader's write rate
-   * @param onLost called once, on the event loop, when another leader has taken over or the term
-   *     key is gone or unreadable
+   * @param onLeadershipLost called once, on the event loop, when another leader has taken over or
+   *     the term key is gone or unreadable
    */
   public CommitQueue(
       Scheduler scheduler,
@@ -91,22 +100,22 @@
       long termKeyVersion,
       int maxWrites,
       double writesPerSecond,
-      Runnable onLost) {
+      Runnable onLeadershipLost) {
     this.scheduler = scheduler;
     this.term = term;
     this.maxWrites = maxWrites;
-    spacingMicros = (long) (TERM_KEY_WRITE_SHARE * 1e6 / writesPerSecond);
-    scarceWrites = writesPerSecond / 2;
+    spacingMicros = (long) (WRITES_PER_TERM_KEY_WRITE * 1e6 / writesPerSecond);
+    lowTokens = writesPerSecond / 2;
     this.writesPerSecond = writesPerSecond;
     writeLimiter = new RateLimiter(scheduler, writesPerSecond, writesPerSecond);
-    this.onLost = onLost;
+    this.onLeadershipLost = onLeadershipLost;
     committer =
         new FencedCommitter(scheduler, store, member, term, termKeyVersion, new OutcomeHandler());
   }
 
   /**
-   * Ends the queue: what waits is dropped, nothing is sent any more, and an answer that still
-   * arrives is ignored.
+   * Closes the queue: drops the pending changes, sends no further requests and ignores replies that
+   * arrive afterwards.
    */
   public void close() {
     closed = true;
@@ -115,8 +124,8 @@
   }
 
   /**
-   * Queues a change, to be written together with others. Queued a second time before it is written,
-   * it keeps the more urgent place.
+   * Queues a change, to be batched with others into a transaction. A change that is queued again
+   * before it is written keeps its more urgent position.
    */
   public void add(PendingChange change, Urgency urgency) {
     if (!queues.add(change, urgency)) {
@@ -124,80 +133,87 @@
     }
     if (urgency != Urgency.LATER) {
       scheduleFlush();
-    } else if (!laterScheduled) {
-      laterScheduled = true;
+    } else if (!laterFlushScheduled) {
+      laterFlushScheduled = true;
       scheduler.after(
-          LATER_DELAY_MICROS,
+          LATER_FLUSH_DELAY_MICROS,
           () -> {
-            laterScheduled = false;
+            laterFlushScheduled = false;
             scheduleFlush();
           });
     }
   }
 
-  /** How many changes wait to be written, at all urgencies together. */
+  /** Returns the number of changes pending in the queue, at all urgencies together. */
   public int backlog() {
     return queues.size();
   }
 
   /**
-   * Estimates how many writes a second the leader will leave unused of its rate, from what it wrote
-   * since the last call; 0 while more changes wait than one transaction takes.
+   * Estimates the part of the leader's write rate that it will leave unused, in writes per second,
+   * from its writes since the previous call. Returns 0 while more changes are pending than one
+   * transaction can hold.
    *
-   * @param sinceMicros the time since the last call
+   * @param sinceMicros the time since the previous call
    */
   public double spareWritesPerSecond(long sinceMicros) {
-    double perSecond = writeLimiter.takeSpent() * 1e6 / Math.max(1, sinceMicros);
-    recentPerSecond += RECENT_WEIGHT * (perSecond - recentPerSecond);
+    double measuredWritesPerSecond =
+        writeLimiter.takeSpentTokens() * 1e6 / Math.max(1, sinceMicros);
+    smoothedWritesPerSecond +=
+        SMOOTHING_WEIGHT * (measuredWritesPerSecond - smoothedWritesPerSecond);
     if (backlog() > maxWrites) {
       return 0;
     }
-    return Math.max(0, LENT_SHARE * writesPerSecond - KEPT_FACTOR * recentPerSecond);
+    return Math.max(
+        0, ALLOCATABLE_SHARE * writesPerSecond - LEADER_RESERVE_FACTOR * smoothedWritesPerSecond);
   }
 
-  private boolean nothingDue() {
+  private boolean nothingToFlush() {
     return queues.isEmpty(Urgency.FIRST)
         && queues.isEmpty(Urgency.SOON)
-        && (laterScheduled || queues.isEmpty(Urgency.LATER));
+        && (laterFlushScheduled || queues.isEmpty(Urgency.LATER));
   }
 
   private void scheduleFlush() {
-    if (scheduled || inFlight || closed || nothingDue()) {
+    if (flushScheduled || inFlight || closed || nothingToFlush()) {
       return;
     }
-    scheduled = true;
+    flushScheduled = true;
     scheduler.after(
-        Math.max(0, nextMicros - scheduler.nowMicros()),
+        Math.max(0, nextFlushMicros - scheduler.nowMicros()),
         () -> {
-          scheduled = false;
+          flushScheduled = false;
           flush();
         });
   }
 
   private void flush() {
-    if (closed || inFlight || nothingDue()) {
+    if (closed || inFlight || nothingToFlush()) {
       return;
     }
-    Transaction transaction = assemble();
+    Transaction transaction = buildTransaction();
     inFlight = true;
-    nextMicros = scheduler.nowMicros() + currentSpacingMicros();
+    nextFlushMicros = scheduler.nowMicros() + currentSpacingMicros();
     writeLimiter.run(transaction.writes(), () -> committer.commit(transaction));
   }
 
   private long currentSpacingMicros() {
-    boolean scarce = writeLimiter.left() < scarceWrites;
-    return scarce ? SCARCE_SPACING_FACTOR * spacingMicros : spacingMicros;
+    boolean tokensLow = writeLimiter.availableTokens() < lowTokens;
+    return tokensLow ? LOW_TOKENS_SPACING_FACTOR * spacingMicros : spacingMicros;
   }
 
-  private Transaction assemble() {
+  private Transaction buildTransaction() {
     TransactionBuilder builder = committer.begin();
     if (builder.takeFrom(queues.get(Urgency.FIRST), maxWrites)
         && builder.takeFrom(queues.get(Urgency.SOON), maxWrites)) {
-      // What can wait gets what the rate leaves over, and always a little, so that it is written at
-      // some time.
-      int spare =
-          (int) Math.max(builder.writes() + maxWrites / LATER_SHARE_DIVISOR, writeLimiter.left());
-      builder.takeFrom(queues.get(Urgency.LATER), Math.min(maxWrites, spare));
+      // LATER changes use the remaining write tokens, and always a minimum share of the
+      // transaction, so that they are written eventually.
+      int laterLimit =
+          (int)
+              Math.max(
+                  builder.writes() + maxWrites / LATER_MIN_WRITES_DIVISOR,
+                  writeLimiter.availableTokens());
+      builder.takeFrom(queues.get(Urgency.LATER), Math.min(maxWrites, laterLimit));
     }
     return builder.build();
   }
@@ -210,12 +226,13 @@
       scheduleFlush();
     }
 
-    /** Changes whose own condition failed are dropped; the others are queued again. */
+    /** Rejects changes whose own condition failed and queues the others again. */
     @Override
     public void conflicted(Transaction transaction, Set<String> failedKeys) {
       inFlight = false;
       for (PendingChange change : transaction.changes()) {
-        if (change.conditions().stream().anyMatch(c -> failedKeys.contains(c.key()))) {
+        if (change.conditions().stream()
+            .anyMatch(condition -> failedKeys.contains(condition.key()))) {
           change.rejected();
         } else {
           add(change, Urgency.FIRST);
@@ -225,11 +242,11 @@
     }
 
     @Override
-    public void lost(String reason) {
+    public void leadershipLost(String reason) {
       if (!closed) {
-        LOG.info("term {}: {}", term, reason);
+        LOG.info("commit queue of term {} closed: {}", term, reason);
         close();
-        onLost.run();
+        onLeadershipLost.run();
       }
     }
   }
--- a/src/main/java/madderrudder/persistence/FencedCommitter.java
+++ b/src/main/java/madderrudder/persistence/FencedCommitter.java
@@ -10,24 +10,29 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * Commits a leader's transactions, one at a time, as a chain: each is conditioned on the version of
- * the term key that the one before wrote, and rewrites that key. So a transaction that is applied
- * late, or comes from a leader that was replaced, fails its condition and writes nothing. Confined
- * to the event loop thread.
+ * Commits a leader's transactions one at a time, as a chain: each transaction is conditioned on the
+ * version of the term key that the previous one wrote, and rewrites that key. A transaction that
+ * reaches the store late, or was sent by a replaced leader, therefore fails its condition and
+ * writes nothing. Confined to the event loop thread.
  */
 final class FencedCommitter {
-  private static final long RETRY_MICROS = 150_000;
+  private static final long RETRY_DELAY_MICROS = 150_000;
 
-  /** Receives the outcome of a transaction: exactly one call for each, none after closing. */
+  /**
+   * Receives the outcome of each transaction in exactly one call, and no call after {@link #close}.
+   */
   interface Listener {
     /** The transaction is durable. */
     void committed(Transaction transaction);
 
-    /** Other conditions than the term key's failed, for these keys; nothing was written. */
+    /**
+     * Nothing was written: the condition on the term key held, but the conditions on {@code
+     * failedKeys} did not.
+     */
     void conflicted(Transaction transaction, Set<String> failedKeys);
 
-    /** Nothing can be committed in this term any more. */
-    void lost(String reason);
+    /** No further transaction can be committed in this term. */
+    void leadershipLost(String reason);
   }
 
   private final Scheduler scheduler;
@@ -54,7 +59,10 @@
     this.listener = listener;
   }
 
-  /** Starts the next transaction of the chain. The one before must have had its outcome. */
+  /**
+   * Starts the next transaction of the chain. The outcome of the previous one must be known
+   * already.
+   */
   TransactionBuilder begin() {
     serial++;
     return new TransactionBuilder(
@@ -63,14 +71,14 @@
         Write.put(Keys.TERM, TermKey.encode(term, member, serial)));
   }
 
-  /** Sends the transaction until its outcome is known. Does nothing once closed. */
+  /** Sends the transaction, with retries until its outcome is known. Does nothing once closed. */
   void commit(Transaction transaction) {
     if (!closed) {
       send(transaction, false);
     }
   }
 
-  /** Sends nothing any more, and ignores answers that still arrive. */
+  /** Stops sending requests and ignores replies that arrive afterwards. */
   void close() {
     closed = true;
   }
@@ -78,19 +86,20 @@
   /**
    * Sends the transaction.
    *
-   * @param maybeApplied whether an earlier copy of it may have been, or may yet be, applied
+   * @param maybeApplied whether the store may have applied an earlier copy of it, or may still do
+   *     so
    */
   private void send(Transaction transaction, boolean maybeApplied) {
     store.commitUrgent(
         transaction.body(),
         reply -> {
           if (!closed) {
-            handle(reply, transaction, maybeApplied);
+            handleReply(reply, transaction, maybeApplied);
           }
         });
   }
 
-  private void handle(StoreReply<Long> reply, Transaction transaction, boolean maybeApplied) {
+  private void handleReply(StoreReply<Long> reply, Transaction transaction, boolean maybeApplied) {
     switch (reply.outcome()) {
       case OK -> committed(transaction, reply.value());
       case CONFLICT -> {
@@ -99,14 +108,15 @@
         } else if (maybeApplied) {
           checkEarlierCopy(transaction);
         } else {
-          listener.lost("another leader has taken over");
+          listener.leadershipLost("another leader has taken over");
         }
       }
       case REFUSED -> retryLater(() -> send(transaction, maybeApplied));
-      // The unanswered copy may have been applied, or may be later. The same transaction is sent
-      // again: at most one of the copies can find the term key at the expected version.
+      // The store may have applied the unacknowledged copy, or may still do so. Sending the same
+      // transaction again is safe: the term key has the expected version for at most one of the
+      // copies.
       case UNKNOWN -> retryLater(() -> send(transaction, true));
-      default -> listener.lost("the store rejects transactions");
+      default -> listener.leadershipLost("the store rejected the transaction");
     }
   }
 
@@ -116,8 +126,8 @@
   }
 
   /**
-   * Reads the term key to find out whether it was an earlier, unanswered copy of the transaction
-   * that changed it.
+   * Reads the term key to find out whether an earlier, unacknowledged copy of the transaction
+   * changed it.
    */
   private void checkEarlierCopy(Transaction transaction) {
     store.getUrgent(
@@ -129,7 +139,7 @@
           if (reply.is(Outcome.OK)) {
             compareTermKey(transaction, reply.value().value(), reply.value().version());
           } else if (reply.is(Outcome.GONE)) {
-            listener.lost("the term key is gone");
+            listener.leadershipLost("the term key does not exist");
           } else {
             retryLater(() -> checkEarlierCopy(transaction));
           }
@@ -137,24 +147,24 @@
   }
 
   private void compareTermKey(Transaction transaction, JsonFields termKey, long version) {
-    boolean ours;
+    boolean writtenByTransaction;
     try {
-      ours =
+      writtenByTransaction =
           TermKey.readTerm(termKey) == term && TermKey.readSerial(termKey) == transaction.serial();
     } catch (MalformedMessageException e) {
-      listener.lost("the term key is unreadable");
+      listener.leadershipLost("the value of the term key is malformed");
       return;
     }
-    if (ours) {
+    if (writtenByTransaction) {
       committed(transaction, version);
     } else {
-      listener.lost("another leader has taken over");
+      listener.leadershipLost("another leader has taken over");
     }
   }
 
   private void retryLater(Runnable retry) {
     scheduler.after(
-        RETRY_MICROS,
+        RETRY_DELAY_MICROS,
         () -> {
           if (!closed) {
             retry.run();
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -10,32 +10,32 @@
 import madderrudder.protocol.MalformedMessageException;
 
 /**
- * Encodes and decodes the stored records of jobs: the job itself, its progress in chunks, and how
- * it ended. The layouts are stored and must not change.
+ * Encodes and decodes the stored records of jobs: the unfinished job, its progress in chunks, and
+ * its final state. Records outlive the process, so their layouts must not change.
  */
 public final class JobRecords {
-  /** The tasks in a chunk of progress: 4 KiB of bits, less than 6 KiB as text. */
+  /** The number of tasks in a chunk of progress: 4 KiB of bits, less than 6 KiB as base64. */
   public static final int CHUNK = 32_768;
 
   /**
-   * A job that is not over.
+   * An unfinished job.
    *
    * @param spec the job as submitted
-   * @param acceptedWallMicros the time of day of its acceptance, in microseconds
+   * @param acceptedWallMicros the wall-clock time of its acceptance, in microseconds
    */
   public record Live(JobSpec spec, long acceptedWallMicros) {}
 
   /**
-   * How a job ended.
+   * The final state of a job.
    *
    * @param state done or cancelled
-   * @param done how many of its tasks had completed
+   * @param done the number of its tasks that had completed
    */
   public record Finished(JobState state, int done) {}
 
   private JobRecords() {}
 
-  /** Encodes a job that is not over; the time is a time of day in microseconds. */
+  /** Encodes an unfinished job and the wall-clock time of its acceptance, in microseconds. */
   public static byte[] live(JobSpec spec, long acceptedWallMicros) {
     return Json.object(
         out -> {
@@ -45,7 +45,7 @@
   }
 
   /**
-   * Decodes a job that is not over.
+   * Decodes an unfinished job.
    *
    * @throws MalformedMessageException if the record is not valid
    */
@@ -53,7 +53,7 @@
     return new Live(JobCodec.read(in), in.count("accepted_us"));
   }
 
-  /** Encodes how a job ended. */
+  /** Encodes the final state of a job and the number of its tasks that had completed. */
   public static byte[] finished(JobState state, int done) {
     return Json.object(
         out -> {
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Decodes how a job ended; any state but "done" counts as cancelled.
+   * Decodes the final state of a job; any state but "done" counts as cancelled.
    *
    * @throws MalformedMessageException if a field is missing or has the wrong type
    */
@@ -78,9 +78,9 @@
   /**
    * Encodes a chunk of a job's progress.
    *
-   * @param done the indexes of all the job's completed tasks
+   * @param done the indexes of all completed tasks of the job, also those outside the chunk
    * @param chunk the number of the chunk, from 0
-   * @param failing whether the job's tasks fail on whatever machine they run
+   * @param failing whether the job's tasks fail on every machine
    */
   public static byte[] progress(BitSet done, int chunk, boolean failing) {
     byte[] bits = done.get(chunk * CHUNK, (chunk + 1) * CHUNK).toByteArray();
@@ -94,7 +94,8 @@
   }
 
   /**
-   * Whether a chunk of progress says that the job's tasks fail on whatever machine they run.
+   * Returns whether a chunk of progress marks the job as one whose tasks fail on every machine;
+   * false if the field is absent.
    *
    * @throws MalformedMessageException if the field is not a boolean
    */
@@ -103,8 +104,10 @@
   }
 
   /**
-   * Decodes a chunk of progress and adds its completed tasks to the set.
+   * Decodes a chunk of progress and adds the indexes of its completed tasks to the set.
    *
+   * @param chunk the number of the chunk, from 0
+   * @param done the indexes of completed tasks, to which those of the chunk are added
    * @throws MalformedMessageException if the chunk is not valid; the set is not changed
    */
   public static void readProgress(JsonFields in, int chunk, BitSet done)
--- a/src/main/java/madderrudder/persistence/LiveJobChecker.java
+++ b/src/main/java/madderrudder/persistence/LiveJobChecker.java
@@ -11,33 +11,34 @@
 import madderrudder.protocol.StoreCodec.Condition;
 
 /**
- * Asks the store whether live jobs are still live, many with one request: a transaction of
- * conditions only tells which keys have another version by now. One request is under way at a time,
- * and what is asked meanwhile shares the next one. Reading each job at each poll of a user once
- * took the whole request rate with about a hundred unfinished jobs, and submissions had to wait.
+ * Checks in the store whether jobs are still unfinished, many with one request: a transaction that
+ * has conditions and no writes reports which keys have a different version. One request is in
+ * flight at a time, and checks that arrive meanwhile are batched into the next one. Without
+ * batching, one read per job and poll by a user exhausts the request rate limit at about a hundred
+ * unfinished jobs, and submissions are delayed.
  *
  * <p>Confined to the event loop thread.
  */
 public final class LiveJobChecker {
   private final StoreClient store;
   private final int maxConditions;
-  private final Map<Condition, List<Consumer<Answer>>> asked = new LinkedHashMap<>();
+  private final Map<Condition, List<Consumer<Answer>>> pending = new LinkedHashMap<>();
   private boolean inFlight;
 
-  /** The answer for one job. */
+  /** The result of checking one job. */
   public enum Answer {
-    /** The record is unchanged, so the job is not over. */
+    /** The record is unchanged, so the job is unfinished. */
     LIVE,
-    /** The record has changed or was deleted: read it anew. */
+    /** The record was changed or deleted and has to be read again. */
     MOVED,
-    /** The store did not say. */
+    /** The store did not return a result. */
     UNKNOWN
   }
 
   /**
    * Creates a checker.
    *
-   * @param maxConditions the most conditions in one request
+   * @param maxConditions the maximum number of conditions in one request
    */
   public LiveJobChecker(StoreClient store, int maxConditions) {
     this.store = store;
@@ -45,35 +46,37 @@
   }
 
   /**
-   * Checks one job. The answer holds at a moment after this call. While the store does not answer
-   * and a request waits for it already, the answer is {@link Answer#UNKNOWN} at once.
+   * Checks one job. The result reflects the store's state at a moment after this call. While the
+   * store is unresponsive and a request is in flight, the result is {@link Answer#UNKNOWN}
+   * immediately.
    *
+   * @param job the job's id
    * @param version the version of the job's record as last read
-   * @param answer called once, on the event loop
+   * @param callback receives the result once, on the event loop
    */
-  public void ask(String job, long version, Consumer<Answer> answer) {
+  public void ask(String job, long version, Consumer<Answer> callback) {
     if (inFlight && !store.isResponsive()) {
-      answer.accept(Answer.UNKNOWN);
+      callback.accept(Answer.UNKNOWN);
       return;
     }
-    asked
-        .computeIfAbsent(new Condition(Keys.live(job), version), c -> new ArrayList<>(1))
-        .add(answer);
+    pending
+        .computeIfAbsent(new Condition(Keys.live(job), version), condition -> new ArrayList<>(1))
+        .add(callback);
     flush();
   }
 
   private void flush() {
-    if (inFlight || asked.isEmpty()) {
+    if (inFlight || pending.isEmpty()) {
       return;
     }
     inFlight = true;
     Map<Condition, List<Consumer<Answer>>> batch = takeBatch();
-    store.compare(List.copyOf(batch.keySet()), reply -> answered(batch, reply));
+    store.compare(List.copyOf(batch.keySet()), reply -> handleReply(batch, reply));
   }
 
   private Map<Condition, List<Consumer<Answer>>> takeBatch() {
     Map<Condition, List<Consumer<Answer>>> batch = new LinkedHashMap<>();
-    var iterator = asked.entrySet().iterator();
+    var iterator = pending.entrySet().iterator();
     while (iterator.hasNext() && batch.size() < maxConditions) {
       Map.Entry<Condition, List<Consumer<Answer>>> next = iterator.next();
       batch.put(next.getKey(), next.getValue());
@@ -82,26 +85,28 @@
     return batch;
   }
 
-  private void answered(Map<Condition, List<Consumer<Answer>>> batch, StoreReply<Long> reply) {
+  private void handleReply(Map<Condition, List<Consumer<Answer>>> batch, StoreReply<Long> reply) {
     inFlight = false;
     boolean known = reply.is(Outcome.OK) || reply.is(Outcome.CONFLICT);
-    // After a failure those who asked meanwhile are answered too: to wait for another time-out
-    // would be longer than users wait.
-    List<List<Consumer<Answer>>> alsoUnknown = known ? List.of() : List.copyOf(asked.values());
+    // A failed request also completes the checks that are pending: a second timeout would exceed
+    // the time that users wait.
+    List<List<Consumer<Answer>>> pendingCallbacks =
+        known ? List.of() : List.copyOf(pending.values());
     if (!known) {
-      asked.clear();
+      pending.clear();
     }
-    Set<String> failed = new HashSet<>(reply.is(Outcome.CONFLICT) ? reply.failed() : List.of());
+    Set<String> failedKeys = new HashSet<>(reply.is(Outcome.CONFLICT) ? reply.failed() : List.of());
     batch.forEach(
-        (condition, answers) -> {
-          Answer result = known ? resultOf(condition, failed) : Answer.UNKNOWN;
-          answers.forEach(answer -> answer.accept(result));
+        (condition, callbacks) -> {
+          Answer result = known ? resultOf(condition, failedKeys) : Answer.UNKNOWN;
+          callbacks.forEach(callback -> callback.accept(result));
         });
-    alsoUnknown.forEach(answers -> answers.forEach(answer -> answer.accept(Answer.UNKNOWN)));
+    pendingCallbacks.forEach(
+        callbacks -> callbacks.forEach(callback -> callback.accept(Answer.UNKNOWN)));
     flush();
   }
 
-  private static Answer resultOf(Condition condition, Set<String> failed) {
-    return failed.contains(condition.key()) ? Answer.MOVED : Answer.LIVE;
+  private static Answer resultOf(Condition condition, Set<String> failedKeys) {
+    return failedKeys.contains(condition.key()) ? Answer.MOVED : Answer.LIVE;
   }
 }
--- a/src/main/java/madderrudder/persistence/LogSegment.java
+++ b/src/main/java/madderrudder/persistence/LogSegment.java
@@ -8,16 +8,16 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * A segment of the leader's log as it is stored: which machines exist, which attempts may be on
- * them from now on, and which attempts have ended. {@link LogState} replays the segments in the
- * order of their numbers; {@link LogSegmentBuilder} encodes them. Because a value in the store
- * holds little, what several entries have in common is stored once for the group. Immutable.
+ * A decoded segment of the leader's log: which machines exist, which attempts may run on them from
+ * this segment on, and which attempts have ended. {@link LogState} replays the segments in the
+ * order of their numbers; {@link LogSegmentBuilder} encodes them. Because the store limits the size
+ * of a value, the fields that several entries have in common are stored once per group. Immutable.
  *
  * @param number the sequence number of the segment; a higher one is later
  * @param machines machines that exist
  * @param gone ids of machines that no longer exist
- * @param placed attempts that may be on a machine
- * @param ended attempts that are no longer on their machine
+ * @param placed attempts that may be running on a machine
+ * @param ended attempts that no longer run on their machine
  * @param images container images cached on machines
  */
 public record LogSegment(
@@ -32,26 +32,27 @@
    * A machine that exists.
    *
    * @param id the machine's id
-   * @param kind what it has in common with other machines
-   * @param rentedWallMicros the time of day when it was rented, in microseconds
+   * @param kind the properties by which machines are grouped
+   * @param rentedWallMicros the wall-clock time when it was rented, in microseconds
    * @param retiring whether it is being returned to the cloud
    */
   public record MachineEntry(
       String id, MachineKind kind, long rentedWallMicros, boolean retiring) {}
 
   /**
-   * What machines may have in common; entries of the same kind form one group.
+   * The properties that machines may have in common; entries of the same kind form one group.
    *
    * @param type the name of the machine type
    * @param zone the zone
-   * @param spot whether the cloud may reclaim it (spot or preemptible)
-   * @param owned whether it existed before the first rental, so is never returned
+   * @param spot whether the cloud may reclaim the machine (spot or preemptible)
+   * @param owned whether the machine existed before the first rental and is therefore never
+   *     returned
    */
   public record MachineKind(String type, String zone, boolean spot, boolean owned) {}
 
   /**
-   * A task attempt that may be on a machine. Its resources are stored too, because its job may be
-   * over, and the job's record deleted, while the task is still on the machine.
+   * A task attempt that may be running on a machine. Its resources are stored too, because its job
+   * may have finished, and the job's record been deleted, while the task is still on the machine.
    *
    * @param task the task
    * @param attempt the attempt number
@@ -61,16 +62,17 @@
   public record Placement(TaskId task, long attempt, Usage usage, String machine) {}
 
   /**
-   * What each task of a job uses.
+   * The resource usage of each task of a job.
    *
-   * @param team the team whose quota it counts against
+   * @param team the team whose quota the task counts against
    * @param resources the resources of one task
    */
   public record Usage(String team, Resources resources) {}
 
   /**
-   * An attempt that is no longer on its machine. Without the machine the entry would be ambiguous:
-   * a task lost by a gang that is still being placed is replaced under the same attempt number.
+   * An attempt that no longer runs on its machine. The machine is part of the entry because the
+   * attempt number alone is ambiguous: while a gang is still being placed, a task of it that is
+   * lost is placed again under the same attempt number.
    *
    * @param task the task
    * @param attempt the attempt number
@@ -79,7 +81,8 @@
   public record EndedAttempt(TaskId task, long attempt, String machine) {}
 
   /**
-   * A container image cached on a machine. Only a hint: a new leader that knows it places better.
+   * A container image cached on a machine. It is only a hint, with which a new leader makes better
+   * placements.
    *
    * @param name the image's name
    * @param gb its size in gigabytes
@@ -109,8 +112,9 @@
           new MachineKind(
               group.text("type"), group.text("zone"), group.flag("spot"), group.flag("owned"));
       for (String item : group.texts("of")) {
-        String[] parts = item.split(" ");
-        machines.add(new MachineEntry(text(parts, 0), kind, number(parts, 1), parts.length > 2));
+        String[] fields = item.split(" ");
+        machines.add(
+            new MachineEntry(fieldAt(fields, 0), kind, parseNumber(fields, 1), fields.length > 2));
       }
     }
     return machines;
@@ -124,10 +128,13 @@
           new Usage(
               group.text("w"), new Resources(group.count("c"), group.count("g"), group.count("m")));
       for (String item : group.texts("of")) {
-        String[] parts = item.split(" ", 3);
+        String[] fields = item.split(" ", 3);
         placed.add(
             new Placement(
-                new TaskId(job, (int) number(parts, 0)), number(parts, 1), usage, text(parts, 2)));
+                new TaskId(job, (int) parseNumber(fields, 0)),
+                parseNumber(fields, 1),
+                usage,
+                fieldAt(fields, 2)));
       }
     }
     return placed;
@@ -138,10 +145,12 @@
     for (JsonFields group : in.objects("ended")) {
       String job = group.text("j");
       for (String item : group.texts("of")) {
-        String[] parts = item.split(" ");
+        String[] fields = item.split(" ");
         ended.add(
             new EndedAttempt(
-                new TaskId(job, (int) number(parts, 0)), number(parts, 1), text(parts, 2)));
+                new TaskId(job, (int) parseNumber(fields, 0)),
+                parseNumber(fields, 1),
+                fieldAt(fields, 2)));
       }
     }
     return ended;
@@ -157,22 +166,22 @@
     return images;
   }
 
-  private static long number(String[] parts, int index) throws MalformedMessageException {
+  private static long parseNumber(String[] fields, int index) throws MalformedMessageException {
     try {
-      return Long.parseLong(text(parts, index));
+      return Long.parseLong(fieldAt(fields, index));
     } catch (NumberFormatException e) {
-      throw notAnEntry(parts);
+      throw malformedEntry(fields);
     }
   }
 
-  private static String text(String[] parts, int index) throws MalformedMessageException {
-    if (index >= parts.length) {
-      throw notAnEntry(parts);
+  private static String fieldAt(String[] fields, int index) throws MalformedMessageException {
+    if (index >= fields.length) {
+      throw malformedEntry(fields);
     }
-    return parts[index];
+    return fields[index];
   }
 
-  private static MalformedMessageException notAnEntry(String[] parts) {
-    return new MalformedMessageException("not an entry of the log: " + String.join(" ", parts));
+  private static MalformedMessageException malformedEntry(String[] fields) {
+    return new MalformedMessageException("not an entry of the log: " + String.join(" ", fields));
   }
 }
--- a/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
+++ b/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
@@ -15,51 +15,55 @@
 import madderrudder.protocol.Json;
 
 /**
- * Collects the entries of a {@link LogSegment} up to a size and encodes them. The size is an upper
- * bound computed entry by entry, so the encoded value never exceeds it. Not thread-safe.
+ * Collects the entries of a {@link LogSegment} up to a size limit and encodes them. An upper bound
+ * of the encoded size is computed entry by entry, so the encoded value never exceeds the limit. Not
+ * thread-safe.
  */
 public final class LogSegmentBuilder {
-  private static final int HEAD_BYTES = 128;
+  /** Upper bound of the encoded size of a segment without entries. */
+  private static final int BASE_BYTES = 128;
 
-  /** Of a group, beside the names in it; numbers have up to 20 digits. */
-  private static final int GROUP_BYTES = 128;
+  /** Upper bound of the size of a group without its names; numbers have up to 20 digits. */
+  private static final int GROUP_OVERHEAD_BYTES = 128;
 
-  /** Of an item, beside its text: two quotes and a comma. */
-  private static final int ITEM_BYTES = 3;
+  /** The size of an item without its text: two quotes and a comma. */
+  private static final int ITEM_OVERHEAD_BYTES = 3;
 
-  private static final int ESCAPED_BYTES = 6;
-  private static final int MAX_UTF8_BYTES = 3;
+  private static final int UNICODE_ESCAPE_BYTES = 6;
+  private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
 
   private int maxBytes;
-  private int bytes = HEAD_BYTES;
+  private int usedBytes = BASE_BYTES;
   private final Map<MachineKind, List<String>> machines = new LinkedHashMap<>();
   private final List<String> gone = new ArrayList<>();
-  private final Map<JobUsage, List<String>> placed = new LinkedHashMap<>();
+  private final Map<JobGroup, List<String>> placed = new LinkedHashMap<>();
   private final Map<String, List<String>> ended = new LinkedHashMap<>();
-  private final Map<ImageName, List<String>> images = new LinkedHashMap<>();
+  private final Map<ImageGroup, List<String>> images = new LinkedHashMap<>();
 
-  private record JobUsage(String job, Usage usage) {}
+  /** The group of placed attempts of one job with the same resource usage. */
+  private record JobGroup(String job, Usage usage) {}
 
-  private record ImageName(String name, double gb) {}
+  /** The group of machines that have the same image cached. */
+  private record ImageGroup(String name, double gb) {}
 
   /**
    * Creates an empty segment.
    *
-   * @param maxBytes the most bytes that the encoded segment may have
+   * @param maxBytes the size limit of the encoded segment
    */
   public LogSegmentBuilder(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Lowers the size limit, so that this many bytes stay free of entries added from now on. */
-  public void spare(int spareBytes) {
-    maxBytes -= spareBytes;
+  /** Lowers the size limit for the entries added from now on by this many bytes. */
+  public void spare(int bytes) {
+    maxBytes -= bytes;
   }
 
-  /** Adds a machine; returns false, and adds nothing, if the segment is too full for it. */
+  /** Adds a machine; returns false if it does not fit. */
   public boolean add(MachineEntry machine) {
     MachineKind kind = machine.kind();
-    return put(
+    return addToGroup(
         machines,
         kind,
         encodedBytes(kind.type()) + encodedBytes(kind.zone()),
@@ -68,22 +72,22 @@
 
   /** Adds the id of a machine that no longer exists; returns false if it does not fit. */
   public boolean addGone(String machine) {
-    return reserve(encodedBytes(machine) + ITEM_BYTES) && gone.add(machine);
+    return reserveBytes(encodedBytes(machine) + ITEM_OVERHEAD_BYTES) && gone.add(machine);
   }
 
   /** Adds an attempt that may be on a machine; returns false if it does not fit. */
   public boolean add(Placement placement) {
     String job = placement.task().job();
-    return put(
+    return addToGroup(
         placed,
-        new JobUsage(job, placement.usage()),
+        new JobGroup(job, placement.usage()),
         encodedBytes(job) + encodedBytes(placement.usage().team()),
         placement.task().index() + " " + placement.attempt() + " " + placement.machine());
   }
 
   /** Adds an attempt that has ended; returns false if it does not fit. */
   public boolean add(EndedAttempt end) {
-    return put(
+    return addToGroup(
         ended,
         end.task().job(),
         encodedBytes(end.task().job()),
@@ -92,15 +96,15 @@
 
   /** Adds an image cached on a machine; returns false if it does not fit. */
   public boolean add(CachedImage image) {
-    return put(
+    return addToGroup(
         images,
-        new ImageName(image.name(), image.gb()),
+        new ImageGroup(image.name(), image.gb()),
         encodedBytes(image.name()),
         image.machine());
   }
 
   /**
-   * Encodes the segment under its sequence number. The JSON layout is stored and must not change.
+   * Encodes the segment with its sequence number. The JSON layout is stored and must not change.
    */
   public byte[] render(long number) {
     return Json.object(
@@ -109,33 +113,34 @@
           writeGroups(out, "machines", machines, kind -> writeKind(out, kind));
           out.writeFieldName("gone");
           writeTexts(out, gone);
-          writeGroups(out, "placed", placed, job -> writeJobUsage(out, job));
+          writeGroups(out, "placed", placed, job -> writeJobGroup(out, job));
           writeGroups(out, "ended", ended, job -> out.writeStringField("j", job));
           writeGroups(out, "images", images, image -> writeImage(out, image));
         });
   }
 
-  private <K> boolean put(Map<K, List<String>> groups, K group, int nameBytes, String item) {
-    int groupBytes = groups.containsKey(group) ? 0 : GROUP_BYTES + nameBytes;
-    if (!reserve(encodedBytes(item) + ITEM_BYTES + groupBytes)) {
+  private <K> boolean addToGroup(Map<K, List<String>> groups, K group, int nameBytes, String item) {
+    int groupBytes = groups.containsKey(group) ? 0 : GROUP_OVERHEAD_BYTES + nameBytes;
+    if (!reserveBytes(encodedBytes(item) + ITEM_OVERHEAD_BYTES + groupBytes)) {
       return false;
     }
     groups.computeIfAbsent(group, key -> new ArrayList<>()).add(item);
     return true;
   }
 
-  private boolean reserve(int size) {
-    if (bytes + size > maxBytes) {
+  private boolean reserveBytes(int size) {
+    if (usedBytes + size > maxBytes) {
       return false;
     }
-    bytes += size;
+    usedBytes += size;
     return true;
   }
 
   /**
-   * The bytes of a text as JSON. Users choose the names of images: names with control characters,
-   * which take six bytes each, once made a segment larger than the store accepts, and no later
-   * segment could be written either.
+   * Returns an upper bound of the size of a text in JSON, without quotes. Escapes have to be
+   * counted because users choose image names: control characters take six bytes each, and once the
+   * store refuses a segment that exceeds its limit on values, no later segment can be written
+   * either.
    */
   private static int encodedBytes(String text) {
     int size = 0;
@@ -147,16 +152,16 @@
 
   private static int encodedBytes(char character) {
     if (character < ' ' || Character.isSurrogate(character)) {
-      return ESCAPED_BYTES;
+      return UNICODE_ESCAPE_BYTES;
     }
     if (character == '"' || character == '\\') {
       return 2;
     }
-    return character < 0x80 ? 1 : MAX_UTF8_BYTES;
+    return character < 0x80 ? 1 : MAX_UTF8_BYTES_PER_CHAR;
   }
 
-  /** Writes the fields that the items of a group share. */
-  private interface GroupHead<K> {
+  /** Writes the fields that the items of a group have in common. */
+  private interface GroupFieldsWriter<K> {
     void write(K group) throws IOException;
   }
 
@@ -167,7 +172,7 @@
     out.writeBooleanField("owned", kind.owned());
   }
 
-  private static void writeJobUsage(JsonGenerator out, JobUsage job) throws IOException {
+  private static void writeJobGroup(JsonGenerator out, JobGroup job) throws IOException {
     out.writeStringField("j", job.job());
     out.writeStringField("w", job.usage().team());
     out.writeNumberField("c", job.usage().resources().milliCpus());
@@ -175,18 +180,21 @@
     out.writeNumberField("m", job.usage().resources().memoryMb());
   }
 
-  private static void writeImage(JsonGenerator out, ImageName image) throws IOException {
+  private static void writeImage(JsonGenerator out, ImageGroup image) throws IOException {
     out.writeStringField("i", image.name());
     out.writeNumberField("gb", image.gb());
   }
 
   private static <K> void writeGroups(
-      JsonGenerator out, String name, Map<K, List<String>> groups, GroupHead<K> head)
+      JsonGenerator out,
+      String name,
+      Map<K, List<String>> groups,
+      GroupFieldsWriter<K> sharedFields)
       throws IOException {
     out.writeArrayFieldStart(name);
     for (Map.Entry<K, List<String>> group : groups.entrySet()) {
       out.writeStartObject();
-      head.write(group.getKey());
+      sharedFields.write(group.getKey());
       out.writeFieldName("of");
       writeTexts(out, group.getValue());
       out.writeEndObject();
--- a/src/main/java/madderrudder/persistence/LogState.java
+++ b/src/main/java/madderrudder/persistence/LogState.java
@@ -9,20 +9,22 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * The state that the segments of the leader's log describe together, in the order of their numbers.
+ * The state that results from replaying the segments of the leader's log in the order of their
+ * numbers.
  */
 public final class LogState {
   private final Map<String, LogSegment.MachineEntry> machines = new LinkedHashMap<>();
-  private final Map<Attempt, LogSegment.Placement> placed = new LinkedHashMap<>();
+  private final Map<PlacedAttempt, LogSegment.Placement> placed = new LinkedHashMap<>();
   private final List<LogSegment.CachedImage> images = new ArrayList<>();
 
-  private record Attempt(TaskId task, long number, String machine) {}
+  private record PlacedAttempt(TaskId task, long number, String machine) {}
 
   private LogState() {}
 
   /**
-   * Replays the segments, which may be given in any order. A later segment overrides an earlier
-   * one; within a segment, attempts ended before any new one was placed.
+   * Replays the segments, which may be given in any order. A segment with a higher number overrides
+   * one with a lower number. Within a segment, ended attempts are removed before placed ones are
+   * added.
    */
   public static LogState of(Collection<LogSegment> segments) {
     LogState state = new LogState();
@@ -35,25 +37,28 @@
     segment.machines().forEach(machine -> machines.put(machine.id(), machine));
     segment.gone().forEach(machines::remove);
     for (LogSegment.EndedAttempt end : segment.ended()) {
-      placed.remove(new Attempt(end.task(), end.attempt(), end.machine()));
+      placed.remove(new PlacedAttempt(end.task(), end.attempt(), end.machine()));
     }
     for (LogSegment.Placement entry : segment.placed()) {
-      placed.put(new Attempt(entry.task(), entry.attempt(), entry.machine()), entry);
+      placed.put(new PlacedAttempt(entry.task(), entry.attempt(), entry.machine()), entry);
     }
     images.addAll(segment.images());
   }
 
-  /** The machines that exist, in the order in which the log first names them. */
+  /** Returns the machines that exist, in the order in which the log first lists them. */
   public Collection<LogSegment.MachineEntry> machines() {
     return machines.values();
   }
 
-  /** The attempts that may be on machines that exist; those on a removed machine went with it. */
+  /** Returns the attempts that may be running; those on removed machines are left out. */
   public Collection<LogSegment.Placement> placed() {
     return placed.values();
   }
 
-  /** All cached images that the log names, also on machines that no longer exist; oldest first. */
+  /**
+   * Returns all cached images in the log, oldest first, including those on machines that no longer
+   * exist.
+   */
   public List<LogSegment.CachedImage> images() {
     return images;
   }
--- a/src/main/java/madderrudder/persistence/PendingChange.java
+++ b/src/main/java/madderrudder/persistence/PendingChange.java
@@ -5,21 +5,24 @@
 import madderrudder.protocol.StoreCodec.Write;
 
 /**
- * A difference between the leader's in-memory state and the store, written as one piece by a {@link
- * CommitQueue}. Its writes are rendered when its transaction is built, so that what is written is
- * the newest state. All methods are called on the event-loop thread.
+ * A change to the leader's in-memory state that is not in the store yet. A {@link CommitQueue}
+ * writes it in one transaction. The writes are created when that transaction is built, so that they
+ * contain the latest state. All methods are called on the event-loop thread.
  */
 public interface PendingChange {
   /**
-   * The identity of the change in the queue: changes with the same name are one, so queueing it
-   * twice before it is written costs nothing.
+   * Returns the identity of the change in the queue. The queue holds one change per name, so a
+   * change that is queued twice before it is written is written once.
    */
   String name();
 
-  /** The writes to commit, rendered now. */
+  /** Creates the writes to commit, from the current state. */
   List<Write> writes();
 
-  /** Compare-and-swap conditions the change needs besides the term key; none by default. */
+  /**
+   * Returns the compare-and-swap conditions of the change in addition to the one on the term key;
+   * none by default.
+   */
   default List<Condition> conditions() {
     return List.of();
   }
@@ -27,6 +30,6 @@
   /** Called when the writes are durable in the store. */
   void committed();
 
-  /** Called when one of this change's own conditions did not hold; it is not tried again. */
+  /** Called when one of the change's own conditions did not hold; the queue does not retry it. */
   default void rejected() {}
 }
--- a/src/main/java/madderrudder/persistence/RateLimiter.java
+++ b/src/main/java/madderrudder/persistence/RateLimiter.java
@@ -5,33 +5,36 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * A token bucket with a bounded first-in first-out queue, which keeps calls under a rate that the
- * other side enforces. Confined to the event loop thread, where the calls run too.
+ * A token bucket with a bounded first-in first-out queue, which keeps calls under the rate limit
+ * that a server enforces. Confined to the event loop thread, where the calls run too.
  */
 public final class RateLimiter {
-  private static final int MAX_WAITING = 256;
+  private static final int MAX_QUEUED_CALLS = 256;
 
-  /** Timers are no finer than this, and a shorter wait could end before the clock has moved. */
+  /**
+   * Added to each wait. Timers have no finer resolution, and a shorter wait could end before the
+   * clock has advanced.
+   */
   private static final long MIN_WAIT_MICROS = 1_000;
 
   private final Scheduler scheduler;
   private double tokensPerMicro;
   private final double burst;
-  private final Deque<Waiting> queue = new ArrayDeque<>();
+  private final Deque<QueuedCall> queue = new ArrayDeque<>();
   private double tokens;
   private double queuedCost;
-  private double spent;
+  private double spentTokens;
   private long refilledMicros;
   private boolean runningOrScheduled;
 
   /** A call in the queue. */
-  private record Waiting(double cost, Runnable call) {}
+  private record QueuedCall(double cost, Runnable call) {}
 
   /**
    * Creates a limiter with a full bucket.
    *
-   * @param perSecond the tokens added each second
-   * @param burst the most tokens in the bucket, at least 1
+   * @param perSecond the number of tokens added per second
+   * @param burst the capacity of the bucket in tokens; raised to 1 if it is lower
    */
   public RateLimiter(Scheduler scheduler, double perSecond, double burst) {
     this.scheduler = scheduler;
@@ -42,63 +45,63 @@
   }
 
   /**
-   * Runs the call as soon as the rate allows, at once if it can.
+   * Runs the call as soon as the rate allows, immediately if possible.
    *
-   * @param cost the tokens it takes; no call takes more than the burst
-   * @return false, and the call will not run, if too many wait already
+   * @param cost the number of tokens the call takes, capped at the burst
+   * @return false if the queue is full; the call will then not run
    */
   public boolean run(double cost, Runnable call) {
-    if (queue.size() >= MAX_WAITING) {
+    if (queue.size() >= MAX_QUEUED_CALLS) {
       return false;
     }
-    queue.addLast(new Waiting(Math.min(cost, burst), call));
+    queue.addLast(new QueuedCall(Math.min(cost, burst), call));
     queuedCost += Math.min(cost, burst);
-    runDue();
+    runDueCalls();
     return true;
   }
 
   /**
-   * Runs the call if its turn comes in time.
+   * Runs the call if the rate allows it within a time limit.
    *
-   * @param cost the tokens it takes
-   * @param maxWaitMicros the longest it may wait
-   * @return false at once, and the call will not run, if it would have to wait for longer
+   * @param cost the number of tokens the call takes
+   * @param maxWaitMicros the maximum time in the queue
+   * @return false if the call would have to wait longer or the queue is full; it will then not run
    */
   public boolean runWithin(double cost, long maxWaitMicros, Runnable call) {
     refill();
     return queuedCost + cost - tokens <= maxWaitMicros * tokensPerMicro && run(cost, call);
   }
 
-  /** Changes the rate; the burst stays. */
+  /** Changes the rate, in tokens per second, and keeps the burst. */
   public void setRate(double perSecond) {
     refill();
     tokensPerMicro = perSecond / 1e6;
   }
 
-  /** Returns the tokens spent since the last call of this method. */
-  public double takeSpent() {
-    double result = spent;
-    spent = 0;
+  /** Returns the number of tokens spent since the previous call of this method. */
+  public double takeSpentTokens() {
+    double result = spentTokens;
+    spentTokens = 0;
     return result;
   }
 
-  /** The tokens that may be spent at this moment; 0 while calls wait. */
-  public double left() {
+  /** Returns the number of tokens that may be spent now; 0 while calls are queued. */
+  public double availableTokens() {
     refill();
     return queue.isEmpty() ? tokens : 0;
   }
 
-  private void runDue() {
+  private void runDueCalls() {
     if (runningOrScheduled) {
       return;
     }
     runningOrScheduled = true;
     refill();
     while (!queue.isEmpty() && tokens >= queue.peekFirst().cost()) {
-      Waiting next = queue.pollFirst();
+      QueuedCall next = queue.pollFirst();
       tokens -= next.cost();
       queuedCost -= next.cost();
-      spent += next.cost();
+      spentTokens += next.cost();
       next.call().run();
     }
     runningOrScheduled = false;
@@ -110,7 +113,7 @@
           waitMicros,
           () -> {
             runningOrScheduled = false;
-            runDue();
+            runDueCalls();
           });
     }
   }
--- a/src/main/java/madderrudder/persistence/RentalBudget.java
+++ b/src/main/java/madderrudder/persistence/RentalBudget.java
@@ -10,37 +10,42 @@
 import madderrudder.protocol.MalformedMessageException;
 
 /**
- * Limits the machines rented within a sliding window. The times are times of day in microseconds,
- * because the count outlives the process; the window is lengthened by how far two clocks may
- * differ, so a failover to a node with another clock never lets more through.
+ * Limits the number of machines rented within a sliding window. Times are wall-clock times in
+ * microseconds, because the reservations outlive the process. The window is extended by the largest
+ * difference between two clocks, so that a failover to a node with a different clock does not
+ * permit additional rentals.
  *
- * <p>Reservations made close together are stored as one, counted from the last of them, so that the
- * record stays small however many machines a window allows. Confined to the event loop thread.
+ * <p>Reservations made close together are merged into one, which expires with the latest of them,
+ * so that the size of the stored record does not grow with the budget. Confined to the event loop
+ * thread.
  */
 public final class RentalBudget {
-  /** At most this many reservations are kept within a window. */
+  /**
+   * Bounds the number of reservations kept per window: those closer together than the window
+   * divided by this are merged.
+   */
   private static final int MAX_RESERVATIONS = 100;
 
   private final int maxRentals;
   private final long windowMicros;
   private final Deque<Reservation> reservations = new ArrayDeque<>();
 
-  /** Reservations made between two moments, kept as one. */
+  /** One reservation, or several that were merged. */
   private record Reservation(long firstWallMicros, long lastWallMicros, int count) {}
 
   /**
    * Creates an unused budget.
    *
-   * @param maxRentals the most machines rented within the window
+   * @param maxRentals the maximum number of machines rented within the window
    * @param windowMicros the length of the window
-   * @param clockOffMicros how far a clock may be off the true time
+   * @param maxClockErrorMicros the maximum difference between a node's clock and the true time
    */
-  public RentalBudget(int maxRentals, long windowMicros, long clockOffMicros) {
+  public RentalBudget(int maxRentals, long windowMicros, long maxClockErrorMicros) {
     this.maxRentals = maxRentals;
-    this.windowMicros = windowMicros + 2 * clockOffMicros;
+    this.windowMicros = windowMicros + 2 * maxClockErrorMicros;
   }
 
-  /** How many machines may be rented at this time of day. */
+  /** Returns the number of machines that may still be rented at this wall-clock time. */
   public int left(long wallMicros) {
     while (!reservations.isEmpty()
         && reservations.peekFirst().lastWallMicros() <= wallMicros - windowMicros) {
@@ -53,7 +58,9 @@
     return Math.max(0, maxRentals - used);
   }
 
-  /** Reserves rentals; returns false, and reserves nothing, if not that many are left. */
+  /**
+   * Reserves rentals; returns false, and reserves nothing, if fewer than {@code count} are left.
+   */
   public boolean reserve(int count, long wallMicros) {
     if (left(wallMicros) < count) {
       return false;
@@ -94,9 +101,9 @@
   }
 
   /**
-   * Replaces the reservations by stored ones.
+   * Replaces the reservations with stored ones.
    *
-   * @throws MalformedMessageException if the record is not valid; nothing is replaced
+   * @throws MalformedMessageException if the record is not valid; the reservations are unchanged
    */
   public void load(JsonFields in) throws MalformedMessageException {
     List<Reservation> all = new ArrayList<>();
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -5,18 +5,22 @@
 import madderrudder.protocol.MalformedMessageException;
 
 /**
- * An open rental: committed before the cloud is called, deleted once its answer is recorded.
+ * A pending rental. It is committed before the cloud is called and deleted once the cloud's
+ * response is recorded.
  *
- * @param request the request id, which makes repeated calls of the cloud idempotent
+ * @param request the request id, the idempotency key of calls to the cloud
  * @param type the name of the machine type
  * @param zone the zone
- * @param spot whether spot machines are asked for
- * @param count how many machines
+ * @param spot whether spot machines are requested
+ * @param count the number of machines
  * @param counted whether they count against the rental budget
  */
 public record RentalRecord(
     String request, String type, String zone, boolean spot, int count, boolean counted) {
-  /** Encodes the record; the request id is its key. The layout is stored and must not change. */
+  /**
+   * Encodes the record without the request id, which is part of its key. The JSON layout is stored
+   * and must not change.
+   */
   public byte[] render() {
     return Json.object(
         out -> {
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -18,35 +18,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the state service, the consensus-backed key-value store. Each call ends in exactly one
- * reply, passed to its callback. Requests caused by users are limited to this node's share of the
- * store's rates; those for leases, watches and leadership are few and never wait.
+ * Client of the state service, the consensus-backed key-value store. Each call passes exactly one
+ * reply to its callback. Requests on behalf of users are limited to this node's share of the
+ * store's rate limits; requests for leases, watches and leadership are few and are not rate
+ * limited.
  *
  * <p>Confined to the event loop thread, where the callbacks run too.
  */
 public final class StoreClient {
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
-  private static final long TIMEOUT_MICROS = 1_500_000;
-  private static final int RANGE_LIMIT = 500;
-  private static final int BURST_SECONDS = 4;
+  private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
+  private static final int RANGE_PAGE_SIZE = 500;
 
-  /** A store that has not answered for this long is not likely to answer the next request. */
-  private static final long SILENT_MICROS = 4_500_000;
+  /** The burst of user writes, as the seconds of the write rate that it holds. */
+  private static final int USER_WRITE_BURST_SECONDS = 4;
 
-  /** The longest a user's request waits for its turn; one that would wait longer is refused. */
-  private static final long MAX_WAIT_MICROS = 1_000_000;
+  /**
+   * The time without a processed request after which the store counts as unresponsive and the next
+   * request is unlikely to be answered.
+   */
+  private static final long UNRESPONSIVE_AFTER_MICROS = 4_500_000;
+
+  /** A user's request that the rate limit would delay for longer than this is refused. */
+  private static final long MAX_USER_WAIT_MICROS = 1_000_000;
 
   private final Scheduler scheduler;
-  private final HttpCaller calls;
+  private final HttpCaller http;
   private final String address;
-  private final RateLimiter requests;
-  private final RateLimiter writes;
+  private final RateLimiter userRequestLimiter;
+  private final RateLimiter userWriteLimiter;
   private double requestedUserWrites;
   private double userWritesPerSecond;
-  private long lastOkMicros = Long.MIN_VALUE / 2;
 
-  /** Requests caused by users that were sent and are not answered. */
-  private int openForUsers;
+  /** The time of the latest response that shows that the store processed a request. */
+  private long lastProcessedMicros = Long.MIN_VALUE / 2;
+
+  /** The number of requests on behalf of users that are in flight. */
+  private int userRequestsInFlight;
 
   /** Decodes the body of a response with status 200. */
   private interface Decoder<T> {
@@ -57,42 +65,46 @@
    * Creates a client.
    *
    * @param address host and port of the state service
-   * @param requestsPerSecond this node's share of the request rate, for users
-   * @param writesPerSecond this node's share of the write rate, for users, until {@link
-   *     #setUserWritesPerSecond} changes it
+   * @param requestsPerSecond this node's share of the rate of users' requests
+   * @param writesPerSecond this node's initial share of the rate of users' writes, see {@link
+   *     #setUserWritesPerSecond}
    */
   public StoreClient(
       Scheduler scheduler,
-      HttpCaller calls,
+      HttpCaller http,
       String address,
       double requestsPerSecond,
       double writesPerSecond) {
     this.scheduler = scheduler;
-    this.calls = calls;
+    this.http = http;
     this.address = address;
     userWritesPerSecond = writesPerSecond;
-    requests = new RateLimiter(scheduler, requestsPerSecond, requestsPerSecond);
-    // Users come in bursts, which the store's own burst allows.
-    writes = new RateLimiter(scheduler, writesPerSecond, BURST_SECONDS * writesPerSecond);
+    userRequestLimiter = new RateLimiter(scheduler, requestsPerSecond, requestsPerSecond);
+    // Users' writes arrive in bursts, which the burst of the store's own rate limit permits.
+    userWriteLimiter =
+        new RateLimiter(scheduler, writesPerSecond, USER_WRITE_BURST_SECONDS * writesPerSecond);
   }
 
-  /** Whether the store has answered this node within the last seconds. */
+  /** Returns whether the store processed a request of this node within the last few seconds. */
   public boolean isResponsive() {
-    return scheduler.nowMicros() - lastOkMicros < SILENT_MICROS;
+    return scheduler.nowMicros() - lastProcessedMicros < UNRESPONSIVE_AFTER_MICROS;
   }
 
-  /** Sets the rate of users' writes on this node, in writes a second. */
+  /** Sets the limit on the rate of users' writes on this node, in writes per second. */
   public void setUserWritesPerSecond(double perSecond) {
-    writes.setRate(perSecond);
+    userWriteLimiter.setRate(perSecond);
     userWritesPerSecond = perSecond;
   }
 
-  /** The rate of users' writes on this node, in writes a second. */
+  /** Returns the limit on the rate of users' writes on this node, in writes per second. */
   public double userWritesPerSecond() {
     return userWritesPerSecond;
   }
 
-  /** Returns the writes users asked for since the last call of this method, refused ones too. */
+  /**
+   * Returns the number of writes that users requested since the previous call of this method,
+   * including refused ones.
+   */
   public double takeRequestedUserWrites() {
     double result = requestedUserWrites;
     requestedUserWrites = 0;
@@ -100,185 +112,207 @@
   }
 
   /**
-   * Reads a key for a user: waits its turn, and is refused at once if that would take too long. The
-   * outcome is {@link Outcome#GONE} if the key does not exist.
+   * Reads a key on behalf of a user, within the rate limit. The outcome is {@link Outcome#GONE} if
+   * the key does not exist, and {@link Outcome#REFUSED} immediately if the request would be delayed
+   * too long.
    */
-  public void get(String key, Consumer<StoreReply<KeyValue>> answer) {
-    forUser(HttpRequest.get("/store/" + key), requests, 1, StoreCodec::readItem, answer);
+  public void get(String key, Consumer<StoreReply<KeyValue>> callback) {
+    callForUser(
+        HttpRequest.get("/store/" + key), userRequestLimiter, 1, StoreCodec::readItem, callback);
   }
 
-  /** Reads a key for the leadership or the leader, never queued behind users. */
-  public void getUrgent(String key, Consumer<StoreReply<KeyValue>> answer) {
-    call(HttpRequest.get("/store/" + key), TIMEOUT_MICROS, StoreCodec::readItem, answer);
+  /** Reads a key for the leader or a leader election, without a rate limit. */
+  public void getUrgent(String key, Consumer<StoreReply<KeyValue>> callback) {
+    call(HttpRequest.get("/store/" + key), REQUEST_TIMEOUT_MICROS, StoreCodec::readItem, callback);
   }
 
   /**
    * Reads one page of the keys with a prefix.
    *
-   * @param since the key after which the page starts; empty for the start of the range
+   * @param prefix the prefix of the keys
+   * @param since the key after which the page starts; empty for the first page
    */
-  public void range(String prefix, String since, Consumer<StoreReply<Page>> answer) {
+  public void range(String prefix, String since, Consumer<StoreReply<Page>> callback) {
     String target =
         "/store?under="
             + prefix
             + (since.isEmpty() ? "" : "&since=" + since)
             + "&most="
-            + RANGE_LIMIT;
-    call(HttpRequest.get(target), TIMEOUT_MICROS, StoreCodec::readRange, answer);
+            + RANGE_PAGE_SIZE;
+    call(HttpRequest.get(target), REQUEST_TIMEOUT_MICROS, StoreCodec::readRange, callback);
   }
 
   /**
    * Watches the keys with a prefix by one long poll. The outcome is {@link Outcome#GONE} if the
    * store no longer keeps the changes since the revision.
    *
-   * @param since the revision after which changes are wanted
-   * @param waitMicros how long the store waits for a change before it answers without any
+   * @param prefix the prefix of the keys
+   * @param since the revision after which changes are returned
+   * @param waitMicros how long the store waits for a change before it returns an empty response
    */
-  public void watch(String prefix, long since, long waitMicros, Consumer<StoreReply<Page>> answer) {
+  public void watch(
+      String prefix, long since, long waitMicros, Consumer<StoreReply<Page>> callback) {
     call(
         HttpRequest.get(
             "/follow?under=" + prefix + "&since=" + since + "&wait_ms=" + waitMicros / 1000),
-        waitMicros + TIMEOUT_MICROS,
+        waitMicros + REQUEST_TIMEOUT_MICROS,
         StoreCodec::readEvents,
-        answer);
+        callback);
   }
 
   /**
-   * Commits a user's transaction: it waits its turn behind other transactions, but not behind
-   * reads, and is refused at once if that would take too long.
+   * Commits a user's transaction, within the rate limit on writes, which is separate from the one
+   * on reads. The outcome is {@link Outcome#REFUSED} immediately if the request would be delayed
+   * too long.
    *
-   * @param answer receives the store's revision
+   * @param callback receives the revision of the commit
    */
   public void commit(
-      List<Condition> conditions, List<Write> changes, Consumer<StoreReply<Long>> answer) {
-    HttpRequest request = HttpRequest.post("/commit", StoreCodec.commit(conditions, changes));
-    requestedUserWrites += changes.size();
-    forUser(request, writes, changes.size(), StoreCodec::readRevision, answer);
+      List<Condition> conditions, List<Write> writes, Consumer<StoreReply<Long>> callback) {
+    HttpRequest request = HttpRequest.post("/commit", StoreCodec.commit(conditions, writes));
+    requestedUserWrites += writes.size();
+    callForUser(request, userWriteLimiter, writes.size(), StoreCodec::readRevision, callback);
   }
 
-  /** Checks, for users, whether the keys have these versions; nothing is written. */
-  public void compare(List<Condition> conditions, Consumer<StoreReply<Long>> answer) {
-    forUser(
+  /**
+   * Checks on behalf of users whether keys have the given versions, within the rate limit on
+   * requests. Nothing is written.
+   *
+   * @param callback receives {@link Outcome#CONFLICT} with the keys that have another version
+   */
+  public void compare(List<Condition> conditions, Consumer<StoreReply<Long>> callback) {
+    callForUser(
         HttpRequest.post("/commit", StoreCodec.commit(conditions, List.of())),
-        requests,
+        userRequestLimiter,
         1,
         StoreCodec::readRevision,
-        answer);
+        callback);
   }
 
   /**
-   * Commits a leader's transaction, never queued behind users; the caller batches and paces it.
+   * Commits a leader's transaction without a rate limit; the caller batches and limits its commits.
    *
    * @param body the encoded transaction
-   * @param answer receives the store's revision
+   * @param callback receives the revision of the commit
    */
-  public void commitUrgent(byte[] body, Consumer<StoreReply<Long>> answer) {
-    call(HttpRequest.post("/commit", body), TIMEOUT_MICROS, StoreCodec::readRevision, answer);
+  public void commitUrgent(byte[] body, Consumer<StoreReply<Long>> callback) {
+    call(
+        HttpRequest.post("/commit", body),
+        REQUEST_TIMEOUT_MICROS,
+        StoreCodec::readRevision,
+        callback);
   }
 
   /**
-   * Asks for a new lease.
+   * Requests a new lease.
    *
-   * @param answer receives the lease's id
+   * @param lifeMicros the time after which the lease expires unless it is renewed
+   * @param callback receives the lease's id
    */
-  public void grantLease(long lifeMicros, Consumer<StoreReply<Long>> answer) {
+  public void grantLease(long lifeMicros, Consumer<StoreReply<Long>> callback) {
     call(
         HttpRequest.post("/holds", StoreCodec.leaseRequest(lifeMicros)),
-        TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         StoreCodec::readLease,
-        answer);
+        callback);
   }
 
   /** Renews a lease; the outcome is {@link Outcome#GONE} if it has expired. */
-  public void renewLease(long lease, Consumer<StoreReply<Boolean>> answer) {
+  public void renewLease(long lease, Consumer<StoreReply<Boolean>> callback) {
     call(
         HttpRequest.post("/holds/" + lease + "/extend", new byte[] {'{', '}'}),
-        TIMEOUT_MICROS / 2,
+        REQUEST_TIMEOUT_MICROS / 2,
         body -> true,
-        answer);
+        callback);
   }
 
-  /** Gives a lease back, without waiting for the outcome. */
+  /** Revokes a lease without waiting for the outcome. */
   public void revokeLease(long lease) {
-    call(HttpRequest.delete("/holds/" + lease), TIMEOUT_MICROS, body -> true, reply -> {});
+    call(HttpRequest.delete("/holds/" + lease), REQUEST_TIMEOUT_MICROS, body -> true, reply -> {});
   }
 
   /**
-   * Sends a user's request in its turn. It is refused at once if its turn is too far off, and while
-   * the store does not answer, except for one that finds out whether that is still so. Such
-   * requests once waited for a time-out each, and those behind them for two, and their users got no
-   * answer.
+   * Sends a user's request within the rate limit. The request is refused immediately if the rate
+   * limit would delay it too long, and while the store is unresponsive and another user's request
+   * is in flight, which serves as the probe. Otherwise each request waits for a timeout and those
+   * queued behind it for two, and users receive no response in time.
    */
-  private <T> void forUser(
+  private <T> void callForUser(
       HttpRequest request,
       RateLimiter limiter,
       int cost,
       Decoder<T> decoder,
-      Consumer<StoreReply<T>> answer) {
+      Consumer<StoreReply<T>> callback) {
     boolean refused =
-        (openForUsers > 0 && !isResponsive())
+        (userRequestsInFlight > 0 && !isResponsive())
             || !limiter.runWithin(
                 cost,
-                MAX_WAIT_MICROS,
+                MAX_USER_WAIT_MICROS,
                 () -> {
-                  openForUsers++;
+                  userRequestsInFlight++;
                   call(
                       request,
-                      TIMEOUT_MICROS,
+                      REQUEST_TIMEOUT_MICROS,
                       decoder,
                       reply -> {
-                        openForUsers--;
-                        answer.accept(reply);
+                        userRequestsInFlight--;
+                        callback.accept(reply);
                       });
                 });
     if (refused) {
-      answer.accept(StoreReply.of(Outcome.REFUSED));
+      callback.accept(StoreReply.of(Outcome.REFUSED));
     }
   }
 
   private <T> void call(
-      HttpRequest request, long timeoutMicros, Decoder<T> decoder, Consumer<StoreReply<T>> answer) {
-    calls.call(
+      HttpRequest request,
+      long timeoutMicros,
+      Decoder<T> decoder,
+      Consumer<StoreReply<T>> callback) {
+    http.call(
         address,
         request,
         timeoutMicros,
-        response -> answer.accept(reply(request, response, decoder)));
+        response -> callback.accept(toReply(request, response, decoder)));
   }
 
-  private <T> StoreReply<T> reply(HttpRequest request, HttpResponse response, Decoder<T> decoder) {
+  private <T> StoreReply<T> toReply(
+      HttpRequest request, HttpResponse response, Decoder<T> decoder) {
     try {
       switch (response.status()) {
         case 200 -> {
           T value = decoder.decode(response.body());
-          lastOkMicros = scheduler.nowMicros();
+          lastProcessedMicros = scheduler.nowMicros();
           return StoreReply.ok(value);
         }
         case 404, 410 -> {
-          lastOkMicros = scheduler.nowMicros();
+          lastProcessedMicros = scheduler.nowMicros();
           return StoreReply.of(Outcome.GONE);
         }
         case 409 -> {
-          lastOkMicros = scheduler.nowMicros();
+          lastProcessedMicros = scheduler.nowMicros();
           return new StoreReply<>(Outcome.CONFLICT, null, StoreCodec.readFailed(response.body()));
         }
         case 400 -> {
           LOG.info(
-              "store refused {} as malformed: {}",
+              "store rejected {} as malformed: {}",
               request.target(),
               new String(response.body(), StandardCharsets.UTF_8));
           return StoreReply.of(Outcome.GONE);
         }
         case 429, 503, HttpResponse.NOT_SENT -> {
-          LOG.debug("store refused {}: {}", request.target(), response.status());
+          LOG.debug(
+              "store request {} was not executed: status {}", request.target(), response.status());
           return StoreReply.of(Outcome.REFUSED);
         }
         default -> {
-          LOG.debug("store did not answer {}: {}", request.target(), response.status());
+          LOG.debug(
+              "no valid store response to {}: status {}", request.target(), response.status());
           return StoreReply.of(Outcome.UNKNOWN);
         }
       }
     } catch (MalformedMessageException e) {
-      LOG.info("answer of the store to {} is unreadable: {}", request.target(), e.getMessage());
+      LOG.info("store response to {} is malformed: {}", request.target(), e.getMessage());
       return StoreReply.of(Outcome.UNKNOWN);
     }
   }
--- a/src/main/java/madderrudder/persistence/StoreReply.java
+++ b/src/main/java/madderrudder/persistence/StoreReply.java
@@ -5,15 +5,15 @@
 /**
  * The outcome of a call to the store.
  *
- * @param outcome what is known of the call
+ * @param outcome the outcome of the call
  * @param value the result; null unless the outcome is {@link Outcome#OK}
  * @param failed the keys whose conditions did not hold; empty unless the outcome is {@link
  *     Outcome#CONFLICT}
  */
 public record StoreReply<T>(Outcome outcome, T value, List<String> failed) {
-  /** What is known of the call. */
+  /** The outcome of a call, as far as it is known. */
   public enum Outcome {
-    /** Executed; there is a value. */
+    /** Executed; the reply has a value. */
     OK,
     /**
      * The key or lease does not exist, the watched revision is no longer kept, or the request is
@@ -22,9 +22,9 @@
     GONE,
     /** A condition did not hold; nothing was written. */
     CONFLICT,
-    /** Certainly not executed: refused, over a rate, or never sent. */
+    /** Not executed: refused by the store, over a rate limit, or never sent. */
     REFUSED,
-    /** No readable answer: it may have been executed, or may be later. */
+    /** No valid response: the store may have executed the call, or may still do so. */
     UNKNOWN
   }
 
@@ -36,7 +36,7 @@
     return new StoreReply<>(Outcome.OK, value, List.of());
   }
 
-  /** Whether this is the outcome. */
+  /** Returns whether the call has this outcome. */
   public boolean is(Outcome other) {
     return outcome == other;
   }
--- a/src/main/java/madderrudder/persistence/TermKey.java
+++ b/src/main/java/madderrudder/persistence/TermKey.java
@@ -5,9 +5,9 @@
 import madderrudder.protocol.MalformedMessageException;
 
 /**
- * The value of the term key ({@link Keys#TERM}): the current term, the name of its leader and a
- * serial number that each commit of the leader raises. The JSON layout ({@code term}, {@code
- * member}, {@code serial}) is stored and must not change.
+ * Encodes and decodes the value of the term key ({@link Keys#TERM}): the current term, the name of
+ * its leader and a serial number that each commit of the leader increments. The JSON layout ({@code
+ * term}, {@code member}, {@code serial}) is stored and must not change.
  */
 public final class TermKey {
   private TermKey() {}
@@ -17,7 +17,7 @@
    *
    * @param term the leader's term
    * @param member the leader's name
-   * @param serial the number of the commit within the term; 0 for the one that claims the term
+   * @param serial the number of the commit within the term; 0 for the commit that claims the term
    */
   public static byte[] encode(long term, String member, long serial) {
     return Json.object(
--- a/src/main/java/madderrudder/persistence/TransactionBuilder.java
+++ b/src/main/java/madderrudder/persistence/TransactionBuilder.java
@@ -11,15 +11,17 @@
 /** Assembles one transaction from queued changes, within the store's limits on writes and bytes. */
 final class TransactionBuilder {
   private static final int MAX_BYTES = 48 * 1024;
-  private static final int HEAD_BYTES = 512;
 
-  /** What one write adds to a transaction beside its key and value. */
+  /** The size counted for everything except the writes of the queued changes. */
+  private static final int BASE_BYTES = 512;
+
+  /** The size that one write adds to a transaction besides its key and value. */
   private static final int WRITE_OVERHEAD_BYTES = 64;
 
   private final List<PendingChange> changes = new ArrayList<>();
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Write> writes = new ArrayList<>();
-  private int bytes = HEAD_BYTES;
+  private int bytes = BASE_BYTES;
 
   private final long serial;
 
@@ -28,7 +30,7 @@
    *
    * @param serial its serial number in the term
    * @param termCondition the condition on the term key
-   * @param termWrite the write that renews the term key
+   * @param termWrite the write that updates the term key
    */
   TransactionBuilder(long serial, Condition termCondition, Write termWrite) {
     this.serial = serial;
@@ -36,28 +38,29 @@
     writes.add(termWrite);
   }
 
-  /** How many writes the transaction has so far. */
+  /** Returns the number of writes added so far, including the one to the term key. */
   int writes() {
     return writes.size();
   }
 
   /**
-   * Moves changes from the queue into the transaction while they fit. The first change of a
-   * transaction is taken whatever its size, so that a large one is sent alone.
+   * Moves changes from the queue into the transaction while they fit. The first change is taken
+   * regardless of its size, so that a change over the limits is sent in a transaction of its own.
    *
-   * @return whether the queue was emptied
+   * @param maxWrites the maximum number of writes in the transaction
+   * @return whether the queue is empty afterwards
    */
   boolean takeFrom(Map<String, PendingChange> queue, int maxWrites) {
     for (Iterator<PendingChange> iterator = queue.values().iterator(); iterator.hasNext(); ) {
       PendingChange change = iterator.next();
-      List<Write> rendered = change.writes();
-      int size = rendered.stream().mapToInt(TransactionBuilder::sizeOf).sum();
-      if (!changes.isEmpty() && !fits(rendered.size(), size, maxWrites)) {
+      List<Write> changeWrites = change.writes();
+      int size = changeWrites.stream().mapToInt(TransactionBuilder::sizeOf).sum();
+      if (!changes.isEmpty() && !fits(changeWrites.size(), size, maxWrites)) {
         return false;
       }
       iterator.remove();
       changes.add(change);
-      writes.addAll(rendered);
+      writes.addAll(changeWrites);
       conditions.addAll(change.conditions());
       bytes += size;
     }
--- a/src/main/java/madderrudder/persistence/UrgencyQueues.java
+++ b/src/main/java/madderrudder/persistence/UrgencyQueues.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import madderrudder.persistence.CommitQueue.Urgency;
 
-/** The queued changes, one queue for each urgency, each in the order of adding. */
+/** The pending changes: one queue per urgency, each in insertion order. */
 final class UrgencyQueues {
   private final Map<Urgency, Map<String, PendingChange>> queues = new EnumMap<>(Urgency.class);
 
@@ -16,9 +16,10 @@
   }
 
   /**
-   * Queues a change. Of changes with the same name one is kept, at the more urgent place.
+   * Queues a change. At most one change of a name is queued, at the highest urgency it was added
+   * with.
    *
-   * @return false if a change of that name waits at a higher urgency already
+   * @return false if a change with the same name is already queued at a higher urgency
    */
   boolean add(PendingChange change, Urgency urgency) {
     for (Urgency other : Urgency.values()) {
@@ -33,7 +34,7 @@
     return true;
   }
 
-  /** The changes of one urgency by name; callers may remove entries. */
+  /** Returns the changes of one urgency by name; callers may remove entries. */
   Map<String, PendingChange> get(Urgency urgency) {
     return queues.get(urgency);
   }
@@ -42,7 +43,7 @@
     return get(urgency).isEmpty();
   }
 
-  /** How many changes wait, at all urgencies together. */
+  /** Returns the number of changes at all urgencies together. */
   int size() {
     return queues.values().stream().mapToInt(Map::size).sum();
   }
--- a/src/main/java/madderrudder/persistence/package-info.java
+++ b/src/main/java/madderrudder/persistence/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The stored state: a client of the consensus-backed key-value store, the keys and record layouts
- * kept in it, and the queue through which a leader commits changes, fenced by its term. Nothing
- * here decides what is stored; the record layouts are fixed, because later versions read them.
+ * Access to the state in the consensus-backed key-value store: the client, the keys and record
+ * layouts, and the queue through which a leader commits changes, fenced by its term. The callers
+ * decide which records are stored. The record layouts must not change, because later versions read
+ * the stored records.
  */
 package madderrudder.persistence;
--- a/src/test/java/madderrudder/persistence/JobRecordsTest.java
+++ b/src/test/java/madderrudder/persistence/JobRecordsTest.java
@@ -9,20 +9,24 @@
 import madderrudder.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against progress chunks that exceed the store's limit on the size of a value or lose
+ * completed tasks.
+ */
 class JobRecordsTest {
   @Test
-  void progressOfTheLargestJobFitsInValuesAndIsReadBack() throws MalformedMessageException {
+  void progressOfLargestJobFitsIntoValuesAndDecodesUnchanged() throws MalformedMessageException {
     SplittableRandom random = new SplittableRandom(5);
     BitSet done = new BitSet();
     for (int i = 0; i < 100_000; i++) {
       done.set(i, random.nextBoolean());
     }
-    BitSet read = new BitSet();
+    BitSet decoded = new BitSet();
     for (int chunk = 0; chunk <= 100_000 / JobRecords.CHUNK; chunk++) {
-      byte[] value = JobRecords.progress(done, chunk, false);
-      assertTrue(value.length < 8 * 1024);
-      JobRecords.readProgress(Json.readObject(value), chunk, read);
+      byte[] encoded = JobRecords.progress(done, chunk, false);
+      assertTrue(encoded.length < 8 * 1024);
+      JobRecords.readProgress(Json.readObject(encoded), chunk, decoded);
     }
-    assertEquals(done, read);
+    assertEquals(done, decoded);
   }
 }
--- a/src/test/java/madderrudder/persistence/LogSegmentTest.java
+++ b/src/test/java/madderrudder/persistence/LogSegmentTest.java
@@ -17,12 +17,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against log segments that exceed their size limit, which the store refuses, and against
+ * malformed entries that stop a new leader from reading the log.
+ */
 class LogSegmentTest {
   @ParameterizedTest
   @ValueSource(ints = {2048, 4096, 15 * 1024})
-  void aFullSegmentKeepsWithinItsSizeAndIsReadBack(int size) throws MalformedMessageException {
+  void fullSegmentStaysWithinSizeLimitAndDecodesUnchanged(int maxBytes)
+      throws MalformedMessageException {
     SplittableRandom random = new SplittableRandom(7);
-    LogSegmentBuilder builder = new LogSegmentBuilder(size);
+    LogSegmentBuilder builder = new LogSegmentBuilder(maxBytes);
     Set<LogSegment.MachineEntry> machines = new HashSet<>();
     Set<LogSegment.Placement> placed = new HashSet<>();
     Set<LogSegment.EndedAttempt> ended = new HashSet<>();
@@ -59,42 +64,43 @@
               && builder.addGone("n-" + i)
               && gone.add("n-" + i);
     }
-    byte[] value = builder.render(77);
-    assertTrue(value.length <= size, value.length + " bytes of " + size);
-    LogSegment read = LogSegment.read(Json.readObject(value));
-    assertEquals(77, read.number());
-    assertEquals(machines, Set.copyOf(read.machines()));
-    assertEquals(placed, Set.copyOf(read.placed()));
-    assertEquals(ended, Set.copyOf(read.ended()));
-    assertEquals(images, Set.copyOf(read.images()));
-    assertEquals(gone, Set.copyOf(read.gone()));
-    assertTrue(placed.size() > size / 1024, "only " + placed.size() + " in " + size);
+    byte[] encoded = builder.render(77);
+    assertTrue(encoded.length <= maxBytes, encoded.length + " bytes of " + maxBytes);
+    LogSegment decoded = LogSegment.read(Json.readObject(encoded));
+    assertEquals(77, decoded.number());
+    assertEquals(machines, Set.copyOf(decoded.machines()));
+    assertEquals(placed, Set.copyOf(decoded.placed()));
+    assertEquals(ended, Set.copyOf(decoded.ended()));
+    assertEquals(images, Set.copyOf(decoded.images()));
+    assertEquals(gone, Set.copyOf(decoded.gone()));
+    assertTrue(
+        placed.size() > maxBytes / 1024, "only " + placed.size() + " placements in " + maxBytes);
   }
 
   /**
-   * Users choose the names of images. A segment of names with control characters once came to 25
-   * KiB of 16, which the store refuses, and with it everything the leader writes afterwards.
+   * Users choose image names. If the escapes of control characters are not counted, a segment
+   * reaches 25 KiB instead of 16, and the store refuses it and all later writes of the leader.
    */
   @ParameterizedTest
   @ValueSource(strings = {"\u0001", "\"", "\u20ac", "\ud83d\ude00"})
-  void aSegmentKeepsWithinItsSizeWhateverTheNamesOfImages(String letter)
+  void segmentStaysWithinSizeLimitForAnyImageName(String character)
       throws MalformedMessageException {
     LogSegmentBuilder builder = new LogSegmentBuilder(15 * 1024);
     int count = 0;
     while (builder.add(
         new LogSegment.CachedImage(
-            letter.repeat(200 / letter.length() - 8) + count, 1.5, "m-000001"))) {
+            character.repeat(200 / character.length() - 8) + count, 1.5, "m-000001"))) {
       count++;
     }
-    byte[] value = builder.render(1);
-    assertTrue(value.length <= 15 * 1024, value.length + " bytes");
-    assertEquals(count, LogSegment.read(Json.readObject(value)).images().size());
-    assertTrue(count > 8, "only " + count);
+    byte[] encoded = builder.render(1);
+    assertTrue(encoded.length <= 15 * 1024, encoded.length + " bytes");
+    assertEquals(count, LogSegment.read(Json.readObject(encoded)).images().size());
+    assertTrue(count > 8, "only " + count + " images");
   }
 
-  /** An entry of blanks once ended the reading of the whole log with an unchecked exception. */
+  /** A blank entry must not stop the decoding of the whole log with an unchecked exception. */
   @Test
-  void aSegmentWithoutAMachinesNameIsMalformed() throws MalformedMessageException {
+  void blankMachineEntryIsMalformed() throws MalformedMessageException {
     JsonFields segment =
         Json.readObject(
             ("{\"n\":1,\"machines\":[{\"type\":\"a\",\"zone\":\"b\",\"spot\":true,\"owned\":true,"
--- a/src/test/java/madderrudder/persistence/LogStateTest.java
+++ b/src/test/java/madderrudder/persistence/LogStateTest.java
@@ -7,6 +7,10 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a replay of the log that loses placements or keeps those that ended, which makes a
+ * new leader run a task twice or never.
+ */
 class LogStateTest {
   private static final LogSegment.MachineKind KIND =
       new LogSegment.MachineKind("g8", "a", false, true);
@@ -25,18 +29,18 @@
     return new LogSegment(number, machines, gone, placed, ended, List.of());
   }
 
-  /** What was placed on a machine that is gone is gone with it. */
+  /** The placement on the removed machine m-3 must not survive the replay. */
   @Test
-  void segmentsAreReplayedInTheOrderOfTheirNumbers() {
+  void segmentsAreReplayedInOrderOfTheirNumbers() {
     TaskId first = new TaskId("req-000001", 0);
     TaskId second = new TaskId("req-000001", 1);
-    LogSegment.Placement again = new LogSegment.Placement(first, 2, USAGE, "m-2");
+    LogSegment.Placement retried = new LogSegment.Placement(first, 2, USAGE, "m-2");
     LogSegment later =
         segment(
             9,
             List.of(),
             List.of("m-3"),
-            List.of(again),
+            List.of(retried),
             List.of(new LogSegment.EndedAttempt(first, 1, "m-1")));
     LogSegment earlier =
         segment(
@@ -48,17 +52,18 @@
                 new LogSegment.Placement(second, 3, USAGE, "m-3")),
             List.of());
     LogState state = LogState.of(List.of(later, earlier));
-    assertEquals(List.of(again), List.copyOf(state.placed()));
+    assertEquals(List.of(retried), List.copyOf(state.placed()));
     assertEquals(
         List.of("m-1", "m-2"), state.machines().stream().map(LogSegment.MachineEntry::id).toList());
   }
 
   /**
-   * A task lost by a gang that is still being placed is replaced under the same attempt. It once
-   * fell out of the log, and ran twice.
+   * While a gang is still being placed, a task of it that is lost is placed again under the same
+   * attempt number. If the end on the first machine also removes the second placement, the task
+   * runs twice.
    */
   @Test
-  void aTaskReplacedUnderItsAttemptStaysPlaced() {
+  void taskPlacedAgainUnderSameAttemptNumberStaysPlaced() {
     TaskId task = new TaskId("req-000001", 0);
     LogSegment.Placement replaced = new LogSegment.Placement(task, 5, USAGE, "m-2");
     LogState state =
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -28,8 +28,9 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * Properties of the stored records: a segment holds what was put in and stays within its size, and
- * an altered one is read or reported as malformed.
+ * Properties of the stored records: a segment contains the entries added to it and stays within its
+ * size limit, an altered segment either decodes or is reported as malformed, and progress decodes
+ * unchanged.
  */
 class RecordPropertiesTest {
   private static final String SEGMENT =
@@ -74,11 +75,13 @@
     Arbitrary<Record> machine =
         Combinators.combine(machines(), kinds, numbers, Arbitraries.of(true, false))
             .as(MachineEntry::new);
-    Arbitrary<Usage> share =
+    Arbitrary<Usage> usage =
         Combinators.combine(names(), numbers, numbers, numbers)
-            .as((team, c, g, m) -> new Usage(team, new Resources(c, g, m)));
+            .as(
+                (team, milliCpus, milliGpus, memoryMb) ->
+                    new Usage(team, new Resources(milliCpus, milliGpus, memoryMb)));
     Arbitrary<Record> placed =
-        Combinators.combine(tasks(), numbers, share, machines()).as(Placement::new);
+        Combinators.combine(tasks(), numbers, usage, machines()).as(Placement::new);
     Arbitrary<Record> ended =
         Combinators.combine(tasks(), numbers, machines()).as(EndedAttempt::new);
     Arbitrary<Record> image =
@@ -88,12 +91,12 @@
   }
 
   @Property(seed = "31")
-  void aSegmentHoldsWhatFitsAndNoMore(
+  void segmentContainsExactlyTheEntriesThatFit(
       @ForAll("entries") List<Record> entries,
-      @ForAll @IntRange(min = 200, max = 16_384) int mostBytes)
+      @ForAll @IntRange(min = 200, max = 16_384) int maxBytes)
       throws MalformedMessageException {
-    LogSegmentBuilder builder = new LogSegmentBuilder(mostBytes);
-    List<Record> taken = new ArrayList<>();
+    LogSegmentBuilder builder = new LogSegmentBuilder(maxBytes);
+    List<Record> added = new ArrayList<>();
     for (Record entry : entries) {
       boolean fits =
           entry instanceof MachineEntry machine
@@ -104,18 +107,18 @@
                       ? builder.add(ended)
                       : builder.add((CachedImage) entry);
       if (fits) {
-        taken.add(entry);
+        added.add(entry);
       }
     }
     byte[] segment = builder.render(7);
-    assertTrue(segment.length <= mostBytes, segment.length + " bytes of " + mostBytes);
-    LogSegment read = LogSegment.read(Json.readObject(segment));
-    List<Record> found = new ArrayList<>(read.machines());
-    found.addAll(read.placed());
-    found.addAll(read.ended());
-    found.addAll(read.images());
-    assertEquals(taken.size(), found.size());
-    assertEquals(new HashSet<>(taken), new HashSet<>(found));
+    assertTrue(segment.length <= maxBytes, segment.length + " bytes of " + maxBytes);
+    LogSegment decoded = LogSegment.read(Json.readObject(segment));
+    List<Record> decodedEntries = new ArrayList<>(decoded.machines());
+    decodedEntries.addAll(decoded.placed());
+    decodedEntries.addAll(decoded.ended());
+    decodedEntries.addAll(decoded.images());
+    assertEquals(added.size(), decodedEntries.size());
+    assertEquals(new HashSet<>(added), new HashSet<>(decodedEntries));
   }
 
   @Provide
@@ -124,28 +127,29 @@
   }
 
   @Property(seed = "32", tries = 3000)
-  void anAlteredSegmentIsReadOrMalformed(@ForAll("segments") byte[] text) {
-    boolean read;
+  void alteredSegmentDecodesOrIsMalformed(@ForAll("segments") byte[] text) {
+    boolean decodes;
     try {
       LogSegment.read(Json.readObject(text));
-      read = true;
+      decodes = true;
     } catch (MalformedMessageException e) {
-      read = false;
+      decodes = false;
     }
-    Statistics.collect(read);
+    Statistics.collect(decodes);
     Statistics.coverage(
         coverage -> coverage.check(true).percentage(share -> share > 10 && share < 90));
   }
 
   @Property(seed = "33")
-  void progressReadsBackTheSame(
+  void progressDecodesUnchanged(
       @ForAll @IntRange(min = 0, max = 3) int chunk,
       @ForAll List<@IntRange(min = 0, max = JobRecords.CHUNK - 1) Integer> tasks)
       throws MalformedMessageException {
     BitSet done = new BitSet();
     tasks.forEach(task -> done.set(chunk * JobRecords.CHUNK + task));
-    BitSet read = new BitSet();
-    JobRecords.readProgress(Json.readObject(JobRecords.progress(done, chunk, false)), chunk, read);
-    assertEquals(done, read);
+    BitSet decoded = new BitSet();
+    JobRecords.readProgress(
+        Json.readObject(JobRecords.progress(done, chunk, false)), chunk, decoded);
+    assertEquals(done, decoded);
   }
 }
--- a/src/test/java/madderrudder/persistence/RentalBudgetTest.java
+++ b/src/test/java/madderrudder/persistence/RentalBudgetTest.java
@@ -8,19 +8,23 @@
 import madderrudder.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against more rentals than the budget permits after a failover to a node with a different
+ * clock.
+ */
 class RentalBudgetTest {
-  private static final long WINDOW = 300_000_000;
+  private static final long WINDOW_MICROS = 300_000_000;
 
-  /** The second node's clock may differ by all that is allowed. */
+  /** The second node's clock may be ahead of the first one's by twice the maximum clock error. */
   @Test
-  void aBudgetLoadedByAnotherNodeLetsNoMoreThroughWithinTheWindow()
+  void budgetLoadedByAnotherNodePermitsNoAdditionalRentalsWithinWindow()
       throws MalformedMessageException {
-    RentalBudget first = new RentalBudget(3, WINDOW, 1_000_000);
+    RentalBudget first = new RentalBudget(3, WINDOW_MICROS, 1_000_000);
     assertTrue(first.reserve(3, 1_000_000_000));
-    assertFalse(first.reserve(1, 1_000_000_000 + WINDOW));
-    RentalBudget second = new RentalBudget(3, WINDOW, 1_000_000);
+    assertFalse(first.reserve(1, 1_000_000_000 + WINDOW_MICROS));
+    RentalBudget second = new RentalBudget(3, WINDOW_MICROS, 1_000_000);
     second.load(Json.readObject(first.render()));
-    assertEquals(0, second.left(1_000_000_000 + WINDOW + 1_999_999));
-    assertEquals(3, second.left(1_000_000_000 + WINDOW + 2_000_000));
+    assertEquals(0, second.left(1_000_000_000 + WINDOW_MICROS + 1_999_999));
+    assertEquals(3, second.left(1_000_000_000 + WINDOW_MICROS + 2_000_000));
   }
 }
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the stored form of each record kind: the literals are what the encoders wrote when the
- * package was renamed, so a renamed field in code that would change what is kept in the store, or
- * make earlier values unreadable, fails here.
+ * Pins the stored form of each kind of record. The literals are the output of an earlier version of
+ * the encoders. A rename in code that changes the stored form, or makes existing values unreadable,
+ * fails here.
  */
 class StoredFormTest {
   private static final String TERM_KEY = "{\"term\":7,\"member\":\"node-a\",\"serial\":3}";
@@ -50,34 +50,34 @@
   private static final LogSegment.CachedImage IMAGE = new LogSegment.CachedImage("img", 1.5, "m1");
 
   @Test
-  void termKeyIsWrittenInItsStoredForm() {
+  void termKeyEncodesToStoredForm() {
     assertEquals(TERM_KEY, text(TermKey.encode(7, "node-a", 3)));
   }
 
   @Test
-  void termKeyInItsStoredFormIsRead() throws MalformedMessageException {
+  void termKeyDecodesFromStoredForm() throws MalformedMessageException {
     assertEquals(7, TermKey.readTerm(Json.readObject(bytes(TERM_KEY))));
   }
 
   @Test
-  void finishedJobIsWrittenInItsStoredForm() {
+  void finishedJobEncodesToStoredForm() {
     assertEquals(FINISHED, text(JobRecords.finished(JobState.DONE, 12)));
   }
 
   @Test
-  void finishedJobInItsStoredFormIsRead() throws MalformedMessageException {
+  void finishedJobDecodesFromStoredForm() throws MalformedMessageException {
     assertEquals(
         new JobRecords.Finished(JobState.DONE, 12),
         JobRecords.readFinished(Json.readObject(bytes(FINISHED))));
   }
 
   @Test
-  void progressIsWrittenInItsStoredForm() {
+  void progressEncodesToStoredForm() {
     assertEquals(PROGRESS, text(JobRecords.progress(BitSet.valueOf(new long[] {5}), 0, true)));
   }
 
   @Test
-  void progressInItsStoredFormIsRead() throws MalformedMessageException {
+  void progressDecodesFromStoredForm() throws MalformedMessageException {
     BitSet done = new BitSet();
     JobRecords.readProgress(Json.readObject(bytes(PROGRESS)), 1, done);
     assertEquals(BitSet.valueOf(new long[] {5}), done.get(JobRecords.CHUNK, 2 * JobRecords.CHUNK));
@@ -86,34 +86,34 @@
   }
 
   @Test
-  void rentalIsWrittenInItsStoredForm() {
+  void rentalEncodesToStoredForm() {
     assertEquals(
         RENTAL, text(new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false).render()));
   }
 
   @Test
-  void rentalInItsStoredFormIsRead() throws MalformedMessageException {
+  void rentalDecodesFromStoredForm() throws MalformedMessageException {
     assertEquals(
         new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false),
         RentalRecord.read("req-1", Json.readObject(bytes(RENTAL))));
   }
 
   @Test
-  void rentalBudgetIsWrittenInItsStoredForm() {
+  void rentalBudgetEncodesToStoredForm() {
     RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
     assertTrue(budget.reserve(2, 1_000_000));
     assertEquals(BUDGET, text(budget.render()));
   }
 
   @Test
-  void rentalBudgetInItsStoredFormIsRead() throws MalformedMessageException {
+  void rentalBudgetDecodesFromStoredForm() throws MalformedMessageException {
     RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
     budget.load(Json.readObject(bytes(BUDGET)));
     assertEquals(1, budget.left(2_000_000));
   }
 
   @Test
-  void logSegmentIsWrittenInItsStoredForm() {
+  void logSegmentEncodesToStoredForm() {
     LogSegmentBuilder builder = new LogSegmentBuilder(10_000);
     assertTrue(builder.add(MACHINE));
     assertTrue(builder.addGone("m0"));
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void logSegmentInItsStoredFormIsRead() throws MalformedMessageException {
+  void logSegmentDecodesFromStoredForm() throws MalformedMessageException {
     assertEquals(
         new LogSegment(
             9, List.of(MACHINE), List.of("m0"), List.of(PLACED), List.of(ENDED), List.of(IMAGE)),
