--- a/src/main/java/madderrudder/service/JobAdmission.java
+++ b/src/main/java/madderrudder/service/JobAdmission.java
@@ -9,21 +9,26 @@
 import madderrudder.protocol.MachineType;
 import madderrudder.protocol.Resources;
 
-/** Tells jobs that can never run from those that can. */
+/** Decides at submission whether a job can ever run. */
 final class JobAdmission {
   private JobAdmission() {}
 
-  /** Why the job can never run; empty if it can. */
-  static Optional<RejectionReason> rejection(
-      JobSpec job, Map<String, TeamQuota> teams, Collection<MachineType> types) {
-    TeamQuota team = teams.get(job.team());
-    if (team == null) {
+  /**
+   * The reason why the job can never run; empty if it can.
+   *
+   * @param quotas the quota of each team by the team's name
+   * @param machineTypes the machine types that the cloud offers
+   */
+  static Optional<RejectionReason> rejectionReason(
+      JobSpec job, Map<String, TeamQuota> quotas, Collection<MachineType> machineTypes) {
+    TeamQuota quota = quotas.get(job.team());
+    if (quota == null) {
       return Optional.of(RejectionReason.UNKNOWN_TEAM);
     }
-    if (types.stream().noneMatch(type -> canRunTaskOn(job, type))) {
+    if (machineTypes.stream().noneMatch(type -> canRunTaskOn(job, type))) {
       return Optional.of(RejectionReason.NO_MACHINE_TYPE);
     }
-    if (!team.allows(neededAtOnce(job))) {
+    if (!quota.allows(concurrentResources(job))) {
       return Optional.of(RejectionReason.OVER_TEAM_LIMIT);
     }
     return Optional.empty();
@@ -35,8 +40,8 @@
         && job.perTask().fits(type.capacity());
   }
 
-  /** An array's tasks may run one after the other; those of other jobs run together. */
-  private static Resources neededAtOnce(JobSpec job) {
+  /** The resources of one task for an array, whose tasks may run in sequence, else of all tasks. */
+  private static Resources concurrentResources(JobSpec job) {
     return job.kind() == JobKind.ARRAY ? job.perTask() : job.perTask().times(job.tasks());
   }
 }
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -29,240 +29,262 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' job API, served alike by every controller: submit, status and cancel. A submission is
- * idempotent, by a compare-and-swap on the job's absence. Confined to the event loop thread.
+ * The job API for users: submit, status and cancel. Every controller serves it in the same way. A
+ * submission is idempotent: the compare-and-swap that writes the job requires that the store has no
+ * record of its id. Confined to the event loop thread.
  */
 final class JobEndpoint {
   private static final Logger LOG = LoggerFactory.getLogger(JobEndpoint.class);
 
-  /** The store takes this many conditions for each write that it allows in a transaction. */
+  /** The store allows this many times as many conditions as writes in a transaction. */
   private static final int CONDITIONS_PER_WRITE = 4;
 
-  private static final int MAX_CANCEL_TRIES = 4;
-  private static final String STORE_SILENT = "the store does not answer";
+  private static final int MAX_CANCEL_ATTEMPTS = 4;
+  private static final String STORE_UNRESPONSIVE = "the store does not answer";
   private static final String NO_SUCH_JOB = "no such job";
 
   private final Scheduler scheduler;
   private final StoreClient store;
   private final MachineTypeCatalog catalog;
-  private final Map<String, TeamQuota> teams;
+  private final Map<String, TeamQuota> quotas;
   private final int maxRecordBytes;
-  private final Function<String, Optional<JobProgress>> progress;
+  private final Function<String, Optional<JobProgress>> jobProgress;
   private final Metrics metrics;
-  private final JobReader reader;
-  private final RetryAfterPolicy retryAfter = new RetryAfterPolicy();
+  private final JobReader jobReader;
+  private final RetryAfterPolicy retryAfterPolicy = new RetryAfterPolicy();
 
   /**
    * Creates the endpoint.
    *
-   * @param progress a job's progress by its id; empty where it is not known
-   * @param metrics where the times of submissions are recorded
+   * @param jobProgress returns a job's progress by its id; empty if it is not known
+   * @param metrics where the durations of submissions are recorded
    */
   JobEndpoint(
       Scheduler scheduler,
       StoreClient store,
       MachineTypeCatalog catalog,
       Deployment deployment,
-      Function<String, Optional<JobProgress>> progress,
+      Function<String, Optional<JobProgress>> jobProgress,
       Metrics metrics) {
     this.scheduler = scheduler;
     this.store = store;
     this.catalog = catalog;
-    this.progress = progress;
+    this.jobProgress = jobProgress;
     this.metrics = metrics;
-    teams = deployment.teams();
+    quotas = deployment.teams();
     Deployment.StateLimits limits = deployment.state();
     maxRecordBytes = limits.valueBytes();
-    reader = new JobReader(store, CONDITIONS_PER_WRITE * limits.transactionWrites());
+    jobReader = new JobReader(store, CONDITIONS_PER_WRITE * limits.transactionWrites());
   }
 
   /**
-   * Accepts a job: 201 if it is new, 200 if it was accepted before, 400 if it is malformed, 422 if
-   * it can never run, and 503 if that can't be said or stored now.
+   * Handles the submission of a job. The status is 201 if the job is new, 200 if it was accepted
+   * before, 400 if it is malformed or too large, 422 if it can never run, and 503 if the machine
+   * types are not known yet or the store can't be read or written now.
    */
-  void submit(byte[] body, Consumer<HttpResponse> answer) {
-    long beginMicros = scheduler.nowMicros();
-    validate(
+  void submit(byte[] body, Consumer<HttpResponse> callback) {
+    long startMicros = scheduler.nowMicros();
+    decodeAndAdmit(
         body,
         response -> {
-          long tookMicros = scheduler.nowMicros() - beginMicros;
-          metrics.record(Timing.SUBMISSION, tookMicros);
+          long elapsedMicros = scheduler.nowMicros() - startMicros;
+          metrics.record(Timing.SUBMISSION, elapsedMicros);
           LOG.debug(
-              "a submission was answered {} after {} ms", response.status(), tookMicros / 1000);
-          answer.accept(response);
+              "job submission answered with status {} after {} ms",
+              response.status(),
+              elapsedMicros / 1000);
+          callback.accept(response);
         });
   }
 
-  private void validate(byte[] body, Consumer<HttpResponse> answer) {
+  private void decodeAndAdmit(byte[] body, Consumer<HttpResponse> callback) {
     JsonFields fields;
     String id;
     try {
       fields = Json.readObject(body);
       id = JobCodec.readId(fields);
     } catch (MalformedMessageException e) {
-      answer.accept(Responses.error(400, e.getMessage()));
+      callback.accept(Responses.error(400, e.getMessage()));
       return;
     }
     JobSpec job;
     try {
       job = JobCodec.read(fields);
     } catch (MalformedMessageException e) {
-      refuseUnlessKnown(id, Responses.error(400, e.getMessage()), answer);
+      rejectUnlessStored(id, Responses.error(400, e.getMessage()), callback);
       return;
     }
-    admit(id, job, answer);
+    admit(id, job, callback);
   }
 
-  private void admit(String id, JobSpec job, Consumer<HttpResponse> answer) {
+  private void admit(String id, JobSpec job, Consumer<HttpResponse> callback) {
     if (!catalog.known()) {
-      refuseUnlessKnown(id, Responses.unavailable("the machine types are not known yet"), answer);
+      rejectUnlessStored(
+          id, Responses.unavailable("the machine types are not known yet"), callback);
       return;
     }
-    Optional<RejectionReason> rejection =
-        JobAdmission.rejection(job, teams, catalog.types().values());
-    if (rejection.isPresent()) {
-      refuseUnlessKnown(id, Responses.error(422, rejection.get().text()), answer);
+    Optional<RejectionReason> reason =
+        JobAdmission.rejectionReason(job, quotas, catalog.types().values());
+    if (reason.isPresent()) {
+      rejectUnlessStored(id, Responses.error(422, reason.get().text()), callback);
       return;
     }
     byte[] record = JobRecords.live(job, scheduler.wallMicros());
     if (record.length > maxRecordBytes) {
-      refuseUnlessKnown(id, Responses.error(400, "the job is too large to be kept"), answer);
+      rejectUnlessStored(id, Responses.error(400, "the job is too large to be kept"), callback);
       return;
     }
-    store(id, record, answer);
+    storeJob(id, record, callback);
   }
 
-  /** A known job is answered as known, whatever the repeated submission looks like. */
-  private void refuseUnlessKnown(String id, HttpResponse refusal, Consumer<HttpResponse> answer) {
-    reader.find(
+  /**
+   * Responds with the rejection, unless the store has a job of this id: then with that job's state,
+   * whatever the repeated submission contains. The status is 503 if the store does not respond.
+   */
+  private void rejectUnlessStored(
+      String id, HttpResponse rejectionResponse, Consumer<HttpResponse> callback) {
+    jobReader.find(
         id,
-        job -> {
-          if (job instanceof JobLookup.Unknown) {
-            answer.accept(Responses.unavailable(STORE_SILENT));
-          } else if (job instanceof JobLookup.Absent) {
-            answer.accept(refusal);
+        lookup -> {
+          if (lookup instanceof JobLookup.Unknown) {
+            callback.accept(Responses.unavailable(STORE_UNRESPONSIVE));
+          } else if (lookup instanceof JobLookup.Absent) {
+            callback.accept(rejectionResponse);
           } else {
-            answer.accept(currentState(id, job));
+            callback.accept(stateResponse(id, lookup));
           }
         });
   }
 
-  /** Compare-and-swap: writes the job on the condition that it is neither live nor finished. */
-  private void store(String id, byte[] record, Consumer<HttpResponse> answer) {
+  /**
+   * Writes the job by a compare-and-swap, on the condition that it is neither live nor finished.
+   */
+  private void storeJob(String id, byte[] record, Consumer<HttpResponse> callback) {
     store.commit(
         List.of(new Condition(Keys.live(id), 0), new Condition(Keys.finished(id), 0)),
         List.of(Write.put(Keys.live(id), record)),
         reply -> {
           if (reply.is(Outcome.OK)) {
-            answer.accept(HttpResponse.of(201, JobCodec.state(id, JobState.PENDING)));
+            callback.accept(HttpResponse.of(201, JobCodec.state(id, JobState.PENDING)));
           } else if (reply.is(Outcome.CONFLICT)) {
-            refuseUnlessKnown(id, Responses.unavailable("the job's state is changing"), answer);
+            rejectUnlessStored(id, Responses.unavailable("the job's state is changing"), callback);
           } else {
-            answer.accept(notWritten());
+            callback.accept(writeFailedResponse());
           }
         });
   }
 
-  /** Answers how far the job has come: 404 if there is none, 503 if the store does not answer. */
-  void status(String id, Consumer<HttpResponse> answer) {
+  /**
+   * Handles the query of a job's status: 200 with its state and progress, 404 if there is no such
+   * job, 503 if the store does not respond.
+   */
+  void status(String id, Consumer<HttpResponse> callback) {
     if (!JobCodec.validId(id)) {
-      answer.accept(Responses.error(404, NO_SUCH_JOB));
+      callback.accept(Responses.error(404, NO_SUCH_JOB));
       return;
     }
-    reader.find(id, job -> answer.accept(statusOf(id, job)));
+    jobReader.find(id, lookup -> callback.accept(statusResponse(id, lookup)));
   }
 
-  private HttpResponse statusOf(String id, JobLookup job) {
-    if (job instanceof JobLookup.Finished finished) {
-      JobRecords.Finished end = finished.end();
-      return HttpResponse.of(200, JobCodec.status(id, end.state(), end.done(), 0));
+  private HttpResponse statusResponse(String id, JobLookup lookup) {
+    if (lookup instanceof JobLookup.Finished finished) {
+      JobRecords.Finished result = finished.result();
+      return HttpResponse.of(200, JobCodec.status(id, result.state(), result.done(), 0));
     }
-    if (job instanceof JobLookup.Live live) {
-      Optional<JobProgress> current = progress.apply(id);
+    if (lookup instanceof JobLookup.Live live) {
+      Optional<JobProgress> progress = jobProgress.apply(id);
       int tasks = live.job().spec().tasks();
-      int done = Math.min(current.map(JobProgress::done).orElse(0), tasks);
-      int running = current.map(JobProgress::running).orElse(0);
-      return HttpResponse.of(200, JobCodec.status(id, liveState(id), done, running));
+      int done = Math.min(progress.map(JobProgress::done).orElse(0), tasks);
+      int running = progress.map(JobProgress::running).orElse(0);
+      return HttpResponse.of(200, JobCodec.status(id, stateOfLiveJob(id), done, running));
     }
-    return notFound(job);
+    return notFoundOrUnavailable(lookup);
   }
 
   /**
-   * Cancels the job: 200 with its state, which is another one if it had ended before; 404 if there
-   * is none, 503 if the store does not answer or take the write.
+   * Handles the cancellation of a job: 200 with its final state, which may be another than
+   * cancelled if the job had finished before; 404 if there is no such job; 503 if the store does
+   * not respond, does not confirm the write, or reports a conflict at each attempt.
    */
-  void cancel(String id, Consumer<HttpResponse> answer) {
+  void cancel(String id, Consumer<HttpResponse> callback) {
     if (!JobCodec.validId(id)) {
-      answer.accept(Responses.error(404, NO_SUCH_JOB));
+      callback.accept(Responses.error(404, NO_SUCH_JOB));
       return;
     }
-    cancel(id, MAX_CANCEL_TRIES, answer);
+    cancel(id, MAX_CANCEL_ATTEMPTS, callback);
   }
 
-  private void cancel(String id, int triesLeft, Consumer<HttpResponse> answer) {
-    reader.find(
+  private void cancel(String id, int attemptsLeft, Consumer<HttpResponse> callback) {
+    jobReader.find(
         id,
-        job -> {
-          if (triesLeft == 0) {
-            answer.accept(Responses.unavailable(STORE_SILENT));
-          } else if (job instanceof JobLookup.Finished) {
-            answer.accept(currentState(id, job));
-          } else if (job instanceof JobLookup.Live live) {
-            writeCancellation(id, live, triesLeft, answer);
+        lookup -> {
+          if (attemptsLeft == 0) {
+            callback.accept(Responses.unavailable(STORE_UNRESPONSIVE));
+          } else if (lookup instanceof JobLookup.Finished) {
+            callback.accept(stateResponse(id, lookup));
+          } else if (lookup instanceof JobLookup.Live live) {
+            writeCancellation(id, live, attemptsLeft, callback);
           } else {
-            answer.accept(notFound(job));
+            callback.accept(notFoundOrUnavailable(lookup));
           }
         });
   }
 
-  /** Compare-and-swap: moves the job from live to finished if it has not changed since. */
+  /**
+   * Moves the job from live to finished by a compare-and-swap on the version that was read. After a
+   * conflict, the cancellation starts again from the lookup.
+   */
   private void writeCancellation(
-      String id, JobLookup.Live live, int triesLeft, Consumer<HttpResponse> answer) {
-    int done = progress.apply(id).map(JobProgress::done).orElse(0);
-    JobRecords.Finished end = new JobRecords.Finished(JobState.CANCELLED, done);
+      String id, JobLookup.Live live, int attemptsLeft, Consumer<HttpResponse> callback) {
+    int done = jobProgress.apply(id).map(JobProgress::done).orElse(0);
+    JobRecords.Finished result = new JobRecords.Finished(JobState.CANCELLED, done);
     List<Write> writes =
         List.of(
             Write.delete(Keys.live(id)),
-            Write.put(Keys.finished(id), JobRecords.finished(end.state(), end.done())));
+            Write.put(Keys.finished(id), JobRecords.finished(result.state(), result.done())));
     store.commit(
         List.of(new Condition(Keys.live(id), live.version())),
         writes,
         reply -> {
           if (reply.is(Outcome.OK)) {
-            reader.rememberFinished(id, end);
-            answer.accept(HttpResponse.of(200, JobCodec.state(id, JobState.CANCELLED)));
+            jobReader.cacheFinished(id, result);
+            callback.accept(HttpResponse.of(200, JobCodec.state(id, JobState.CANCELLED)));
           } else if (reply.is(Outcome.CONFLICT)) {
-            cancel(id, triesLeft - 1, answer);
+            cancel(id, attemptsLeft - 1, callback);
           } else {
-            answer.accept(notWritten());
+            callback.accept(writeFailedResponse());
           }
         });
   }
 
-  /** The state of a job that is live or finished. */
-  private HttpResponse currentState(String id, JobLookup job) {
+  /** Status 200 with the state of a job that is live or finished. */
+  private HttpResponse stateResponse(String id, JobLookup lookup) {
     JobState state =
-        job instanceof JobLookup.Finished finished ? finished.end().state() : liveState(id);
+        lookup instanceof JobLookup.Finished finished
+            ? finished.result().state()
+            : stateOfLiveJob(id);
     return HttpResponse.of(200, JobCodec.state(id, state));
   }
 
-  private JobState liveState(String id) {
-    boolean running = progress.apply(id).map(JobProgress::running).orElse(0) > 0;
+  private JobState stateOfLiveJob(String id) {
+    boolean running = jobProgress.apply(id).map(JobProgress::running).orElse(0) > 0;
     return running ? JobState.RUNNING : JobState.PENDING;
   }
 
-  /** The answer for a job that is absent or not known. */
-  private static HttpResponse notFound(JobLookup job) {
-    return job instanceof JobLookup.Absent
+  /** Status 404 if the job is absent, 503 if the store did not respond. */
+  private static HttpResponse notFoundOrUnavailable(JobLookup lookup) {
+    return lookup instanceof JobLookup.Absent
         ? Responses.error(404, NO_SUCH_JOB)
-        : Responses.unavailable(STORE_SILENT);
+        : Responses.unavailable(STORE_UNRESPONSIVE);
   }
 
   /**
-   * A user's write that the store did not take: it was not reached, or takes no more at this time.
+   * Status 503 for a user's write that the store has not confirmed, because it did not respond or
+   * its rate limit is reached. Retry-After is chosen by the {@link RetryAfterPolicy}.
    */
-  private HttpResponse notWritten() {
-    int retryAfterS = retryAfter.afterSeconds(scheduler.nowMicros(), store.userWritesPerSecond());
-    return new HttpResponse(503, Json.error(STORE_SILENT), retryAfterS, false);
+  private HttpResponse writeFailedResponse() {
+    int retryAfterSeconds =
+        retryAfterPolicy.chooseDelaySeconds(scheduler.nowMicros(), store.userWritesPerSecond());
+    return new HttpResponse(503, Json.error(STORE_UNRESPONSIVE), retryAfterSeconds, false);
   }
 }
--- a/src/main/java/madderrudder/service/JobLookup.java
+++ b/src/main/java/madderrudder/service/JobLookup.java
@@ -2,26 +2,26 @@
 
 import madderrudder.persistence.JobRecords;
 
-/** What the store says of a job. */
+/** The result of looking up a job in the store. */
 sealed interface JobLookup {
   /**
-   * The job was accepted and has not ended.
+   * The job was accepted and is not finished.
    *
    * @param job the stored job
-   * @param version the version of its key, for a compare-and-swap
+   * @param version the version of the job's key, for a compare-and-swap
    */
   record Live(JobRecords.Live job, long version) implements JobLookup {}
 
   /**
-   * The job has ended, which never changes.
+   * The job is finished. This state never changes.
    *
-   * @param end how it ended
+   * @param result the final state and the number of completed tasks
    */
-  record Finished(JobRecords.Finished end) implements JobLookup {}
+  record Finished(JobRecords.Finished result) implements JobLookup {}
 
-  /** There is no such job. */
+  /** The store has no record of the job. */
   record Absent() implements JobLookup {}
 
-  /** The store did not answer, or its record is unreadable. */
+  /** The store did not respond, or the job's record is unreadable. */
   record Unknown() implements JobLookup {}
 }
--- a/src/main/java/madderrudder/service/JobReader.java
+++ b/src/main/java/madderrudder/service/JobReader.java
@@ -13,94 +13,95 @@
 import madderrudder.util.BoundedMap;
 
 /**
- * Looks jobs up in the store: live first and then finished, since a job only ever moves that way.
- * Whether a job is live is always asked of the store, so that no controller can give an older
- * answer than another; only ends, which never change, are remembered. Confined to the event loop
- * thread.
+ * Looks up jobs in the store: first the live record and then the finished one, since a job only
+ * ever moves from live to finished. Whether a job is live is checked in the store at each lookup,
+ * so that no controller returns an older state than another. Only finished jobs, which never
+ * change, are returned from a cache. Confined to the event loop thread.
  */
 final class JobReader {
-  private static final int MAX_REMEMBERED_FINISHED = 5_000;
-  private static final int MAX_REMEMBERED_LIVE = 2_000;
+  private static final int MAX_CACHED_FINISHED_JOBS = 5_000;
+  private static final int MAX_CACHED_LIVE_JOBS = 2_000;
 
   private final StoreClient store;
-  private final LiveJobChecker liveJobs;
-  private final Map<String, JobLookup.Finished> finishedJobs =
-      BoundedMap.evictingOldest(MAX_REMEMBERED_FINISHED);
+  private final LiveJobChecker liveJobChecker;
+  private final Map<String, JobLookup.Finished> finishedCache =
+      BoundedMap.evictingOldest(MAX_CACHED_FINISHED_JOBS);
 
   /**
-   * Live jobs that were read here. Their keys are written once, so that the store need only be
-   * asked whether they have ended.
+   * Live records that were read before. A live record is written once and never modified, so that a
+   * lookup only checks whether its version is still the same.
    */
-  private final Map<String, JobLookup.Live> seenLive =
-      BoundedMap.evictingOldest(MAX_REMEMBERED_LIVE);
+  private final Map<String, JobLookup.Live> liveCache =
+      BoundedMap.evictingOldest(MAX_CACHED_LIVE_JOBS);
 
-  /** {@code maxConditions} is the most that the store takes in one transaction. */
+  /** Creates a reader; {@code maxConditions} limits the conditions in one store transaction. */
   JobReader(StoreClient store, int maxConditions) {
     this.store = store;
-    liveJobs = new LiveJobChecker(store, maxConditions);
+    liveJobChecker = new LiveJobChecker(store, maxConditions);
   }
 
-  /** Looks the job up; what is found holds at some moment after this call. */
-  void find(String id, Consumer<JobLookup> found) {
-    JobLookup.Finished finished = finishedJobs.get(id);
-    if (finished != null) {
-      found.accept(finished);
+  /** Looks up a job. The result was valid at some moment after this call. */
+  void find(String id, Consumer<JobLookup> callback) {
+    JobLookup.Finished cachedFinished = finishedCache.get(id);
+    if (cachedFinished != null) {
+      callback.accept(cachedFinished);
       return;
     }
-    JobLookup.Live seen = seenLive.get(id);
-    if (seen != null) {
-      checkStillLive(id, seen, found);
+    JobLookup.Live cachedLive = liveCache.get(id);
+    if (cachedLive != null) {
+      checkStillLive(id, cachedLive, callback);
     } else {
-      readLive(id, found);
+      readLive(id, callback);
     }
   }
 
-  /** Notes how a job has ended, as this controller has just written it. */
-  void rememberFinished(String id, JobRecords.Finished end) {
-    finishedJobs.put(id, new JobLookup.Finished(end));
+  /** Caches the result of a job that this controller has just written to the store. */
+  void cacheFinished(String id, JobRecords.Finished result) {
+    finishedCache.put(id, new JobLookup.Finished(result));
   }
 
-  private void checkStillLive(String id, JobLookup.Live seen, Consumer<JobLookup> found) {
-    liveJobs.ask(
+  private void checkStillLive(String id, JobLookup.Live cached, Consumer<JobLookup> callback) {
+    liveJobChecker.ask(
         id,
-        seen.version(),
+        cached.version(),
         answer -> {
           switch (answer) {
-            case LIVE -> found.accept(seen);
-            case MOVED -> readFinished(id, found);
-            default -> found.accept(new JobLookup.Unknown());
+            case LIVE -> callback.accept(cached);
+            case MOVED -> readFinished(id, callback);
+            default -> callback.accept(new JobLookup.Unknown());
           }
         });
   }
 
-  private void readLive(String id, Consumer<JobLookup> found) {
+  private void readLive(String id, Consumer<JobLookup> callback) {
     store.get(
         Keys.live(id),
         reply -> {
           switch (reply.outcome()) {
-            case OK -> found.accept(decodeLive(id, reply.value()));
-            case GONE -> readFinished(id, found);
-            default -> found.accept(new JobLookup.Unknown());
+            case OK -> callback.accept(decodeAndCacheLive(id, reply.value()));
+            case GONE -> readFinished(id, callback);
+            default -> callback.accept(new JobLookup.Unknown());
           }
         });
   }
 
-  private void readFinished(String id, Consumer<JobLookup> found) {
-    seenLive.remove(id);
-    store.get(Keys.finished(id), reply -> found.accept(decodeFinished(id, reply)));
+  private void readFinished(String id, Consumer<JobLookup> callback) {
+    liveCache.remove(id);
+    store.get(Keys.finished(id), reply -> callback.accept(decodeAndCacheFinished(id, reply)));
   }
 
-  private JobLookup decodeLive(String id, KeyValue item) {
+  private JobLookup decodeAndCacheLive(String id, KeyValue keyValue) {
     try {
-      JobLookup.Live live = new JobLookup.Live(JobRecords.readLive(item.value()), item.version());
-      seenLive.put(id, live);
+      JobLookup.Live live =
+          new JobLookup.Live(JobRecords.readLive(keyValue.value()), keyValue.version());
+      liveCache.put(id, live);
       return live;
     } catch (MalformedMessageException e) {
       return new JobLookup.Unknown();
     }
   }
 
-  private JobLookup decodeFinished(String id, StoreReply<KeyValue> reply) {
+  private JobLookup decodeAndCacheFinished(String id, StoreReply<KeyValue> reply) {
     if (reply.is(Outcome.GONE)) {
       return new JobLookup.Absent();
     }
@@ -108,9 +109,9 @@
       return new JobLookup.Unknown();
     }
     try {
-      JobRecords.Finished end = JobRecords.readFinished(reply.value().value());
-      JobLookup.Finished finished = new JobLookup.Finished(end);
-      finishedJobs.put(id, finished);
+      JobRecords.Finished result = JobRecords.readFinished(reply.value().value());
+      JobLookup.Finished finished = new JobLookup.Finished(result);
+      finishedCache.put(id, finished);
       return finished;
     } catch (MalformedMessageException e) {
       return new JobLookup.Unknown();
--- a/src/main/java/madderrudder/service/RejectionReason.java
+++ b/src/main/java/madderrudder/service/RejectionReason.java
@@ -1,12 +1,12 @@
 package madderrudder.service;
 
-/** Why a job can never run; the protocol names these three reasons. */
+/** Why a job can never run. The protocol defines these three reasons only. */
 enum RejectionReason {
-  /** The platform's settings name no such team. */
+  /** The platform's settings have no team of this name. */
   UNKNOWN_TEAM("unknown team"),
-  /** No machine type that the job allows is large enough for one of its tasks. */
+  /** No machine type that the job and its zone allow is large enough for one of its tasks. */
   NO_MACHINE_TYPE("a task fits no allowed machine type"),
-  /** What must run at the same time exceeds the team's limit. */
+  /** The tasks that must run at the same time need more than the team's limit. */
   OVER_TEAM_LIMIT("more than the team's limit");
 
   private final String text;
@@ -15,7 +15,7 @@
     this.text = text;
   }
 
-  /** The reason as users are told. */
+  /** The text of the error that the user receives. */
   String text() {
     return text;
   }
--- a/src/main/java/madderrudder/service/Responses.java
+++ b/src/main/java/madderrudder/service/Responses.java
@@ -3,19 +3,19 @@
 import madderrudder.protocol.Json;
 import madderrudder.transport.HttpResponse;
 
-/** Responses that several endpoints give. */
+/** Error responses that several endpoints use. */
 final class Responses {
-  private static final int RETRY_AFTER_S = 1;
+  private static final int RETRY_AFTER_SECONDS = 1;
 
   private Responses() {}
 
-  /** 503 with a reason, to be tried again after a second. */
-  static HttpResponse unavailable(String why) {
-    return new HttpResponse(503, Json.error(why), RETRY_AFTER_S, false);
+  /** Status 503 with an error message and a Retry-After of 1 s. */
+  static HttpResponse unavailable(String message) {
+    return new HttpResponse(503, Json.error(message), RETRY_AFTER_SECONDS, false);
   }
 
-  /** An error with a reason. */
-  static HttpResponse error(int status, String why) {
-    return HttpResponse.of(status, Json.error(why));
+  /** A response with an error status and message. */
+  static HttpResponse error(int status, String message) {
+    return HttpResponse.of(status, Json.error(message));
   }
 }
--- a/src/main/java/madderrudder/service/RetryAfterPolicy.java
+++ b/src/main/java/madderrudder/service/RetryAfterPolicy.java
@@ -1,47 +1,48 @@
 package madderrudder.service;
 
 /**
- * When users whose requests were refused should try again. After a gap all of them come at once
- * and, told to return in a second, at once again, each time for as many as the store takes in a
- * second. They are spread over as many seconds as it takes to serve those who were refused lately.
- * Confined to the event loop thread.
+ * Chooses the Retry-After delays of refused requests. After an interruption all users send their
+ * requests at once. With a fixed delay of 1 s they would all return at once again, and each time
+ * the store would serve only as many as it can in a second. The delays are therefore spread over as
+ * many seconds as it takes to serve the requests that were refused recently. Confined to the event
+ * loop thread.
  */
 final class RetryAfterPolicy {
   private static final long SECOND_MICROS = 1_000_000;
 
   /**
-   * Users give up after a minute: nobody is sent away for so long that few tries would be left
-   * after the second one.
+   * The longest delay in seconds. Users give up after a minute; a longer delay would leave them few
+   * retries after the second one.
    */
-  private static final int MAX_S = 8;
+  private static final int MAX_DELAY_SECONDS = 8;
 
-  private long secondBeganMicros = Long.MIN_VALUE / 2;
-  private int refusedThisSecond;
-  private int refusedSecondBefore;
-  private int turn;
+  private long secondStartMicros = Long.MIN_VALUE / 2;
+  private int refusedInCurrentSecond;
+  private int refusedInPreviousSecond;
+  private int roundRobinPosition;
 
   /**
-   * Counts one refused request, and returns when it should be tried again.
+   * Counts a refused request and returns the delay after which the user should retry it.
    *
-   * @param nowMicros the steady clock in microseconds
-   * @param servedPerSecond how many requests a second are served here
-   * @return a whole number of seconds, 1 or more
+   * @param nowMicros the time on the steady clock in microseconds
+   * @param servedPerSecond the rate at which this controller serves such requests
+   * @return the delay in seconds, 1 or more
    */
-  int afterSeconds(long nowMicros, double servedPerSecond) {
+  int chooseDelaySeconds(long nowMicros, double servedPerSecond) {
     countRefusal(nowMicros);
-    int refused = Math.max(refusedThisSecond, refusedSecondBefore);
-    int spread = (int) Math.min(MAX_S, refused / Math.max(1, servedPerSecond));
-    turn++;
-    return 1 + (spread <= 1 ? 0 : turn % spread);
+    int refused = Math.max(refusedInCurrentSecond, refusedInPreviousSecond);
+    int spreadSeconds = (int) Math.min(MAX_DELAY_SECONDS, refused / Math.max(1, servedPerSecond));
+    roundRobinPosition++;
+    return 1 + (spreadSeconds <= 1 ? 0 : roundRobinPosition % spreadSeconds);
   }
 
   private void countRefusal(long nowMicros) {
-    long sinceMicros = nowMicros - secondBeganMicros;
+    long sinceMicros = nowMicros - secondStartMicros;
     if (sinceMicros >= SECOND_MICROS) {
-      refusedSecondBefore = sinceMicros < 2 * SECOND_MICROS ? refusedThisSecond : 0;
-      refusedThisSecond = 0;
-      secondBeganMicros = nowMicros;
+      refusedInPreviousSecond = sinceMicros < 2 * SECOND_MICROS ? refusedInCurrentSecond : 0;
+      refusedInCurrentSecond = 0;
+      secondStartMicros = nowMicros;
     }
-    refusedThisSecond++;
+    refusedInCurrentSecond++;
   }
 }
--- a/src/test/java/madderrudder/service/JobAdmissionTest.java
+++ b/src/test/java/madderrudder/service/JobAdmissionTest.java
@@ -14,17 +14,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against the rejection of jobs that can run, and the acceptance of jobs that never can. */
 class JobAdmissionTest {
-  private static final Map<String, TeamQuota> TEAMS =
+  private static final Map<String, TeamQuota> QUOTAS =
       Map.of("alto", new TeamQuota("alto", Resources.NONE, Resources.of(20, 0, 0)));
-  private static final List<MachineType> TYPES =
+  private static final List<MachineType> MACHINE_TYPES =
       List.of(
           new MachineType("small", Resources.of(4, 0, 16), 30, 1, 1, 1, 1, List.of("east", "west")),
           new MachineType("big", Resources.of(16, 0, 64), 30, 1, 1, 1, 1, List.of("east")));
 
   /**
-   * The protocol names three reasons, and no other is one: a service of which at most half may be
-   * in a zone is taken where there is one zone only, and runs by half.
+   * The protocol defines three reasons for a rejection. A service of which at most half may run in
+   * one zone is therefore accepted even if only one zone is allowed; half of its tasks run then.
    */
   @ParameterizedTest
   @CsvSource(
@@ -47,7 +48,7 @@
         "alto, SERVICE, 1, 5, -, east, true, true, -",
         "alto, ARRAY, 2, 4, -, east, true, true, -"
       })
-  void onlyJobsThatCanNeverRunAreRejected(
+  void rejectsOnlyJobsThatCanNeverRun(
       String team,
       JobKind kind,
       int tasks,
@@ -56,7 +57,7 @@
       String zone,
       boolean oneZone,
       boolean spread,
-      String why) {
+      String expectedReason) {
     JobSpec job =
         new JobSpec(
             "req-1",
@@ -78,6 +79,9 @@
             0,
             0);
     assertEquals(
-        why, JobAdmission.rejection(job, TEAMS, TYPES).map(RejectionReason::text).orElse(null));
+        expectedReason,
+        JobAdmission.rejectionReason(job, QUOTAS, MACHINE_TYPES)
+            .map(RejectionReason::text)
+            .orElse(null));
   }
 }
--- a/src/test/java/madderrudder/service/RetryAfterPolicyTest.java
+++ b/src/test/java/madderrudder/service/RetryAfterPolicyTest.java
@@ -8,44 +8,53 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against delays that make all refused users return at once, so that the store serves only a
+ * few of them and refuses the others again.
+ */
 class RetryAfterPolicyTest {
-  private static final int SECOND = 1_000_000;
+  private static final int SECOND_MICROS = 1_000_000;
 
   private final RetryAfterPolicy policy = new RetryAfterPolicy();
 
-  /** How many of those refused in the second second are told to retry after each time. */
-  private int[] retriesPerSecond(int refused, double servedPerSecond) {
+  /**
+   * Refuses the given number of requests in each of two seconds.
+   *
+   * @return for each delay in seconds, how many requests of the second of these got it
+   */
+  private int[] countRetriesByDelay(int refused, double servedPerSecond) {
     for (int i = 0; i < refused; i++) {
-      policy.afterSeconds(0, servedPerSecond);
+      policy.chooseDelaySeconds(0, servedPerSecond);
     }
-    int[] retries = new int[10];
+    int[] retriesByDelay = new int[10];
     for (int i = 0; i < refused; i++) {
-      retries[policy.afterSeconds(SECOND + i, servedPerSecond)]++;
+      retriesByDelay[policy.chooseDelaySeconds(SECOND_MICROS + i, servedPerSecond)]++;
     }
-    return retries;
+    return retriesByDelay;
   }
 
   /**
-   * In each second come back no more than are served in it, and no fewer than keep it busy, up to
-   * the longest absence.
+   * Up to the longest delay, some users return in each second, so that the store is not idle, and
+   * no more than an even spread gives, so that it can serve them.
    */
   @ParameterizedTest
   @CsvSource({"10,20,1", "100,20,5", "1000,20,8", "60,0.5,8"})
-  void retriesAreSpreadOverTheTimeItTakesToServeThem(
-      int refused, double servedPerSecond, int seconds) {
-    int[] retries = retriesPerSecond(refused, servedPerSecond);
-    for (int s = 1; s < retries.length; s++) {
-      assertEquals(s <= seconds, retries[s] > 0, "after " + s + " s");
+  void spreadsRetriesOverTimeNeededToServeThem(
+      int refused, double servedPerSecond, int spreadSeconds) {
+    int[] retriesByDelay = countRetriesByDelay(refused, servedPerSecond);
+    for (int delay = 1; delay < retriesByDelay.length; delay++) {
+      assertEquals(
+          delay <= spreadSeconds, retriesByDelay[delay] > 0, "retries after " + delay + " s");
     }
-    int most = Arrays.stream(retries, 1, retries.length).max().orElseThrow();
-    assertTrue(most <= refused / seconds + 1, most + " at once");
+    int most = Arrays.stream(retriesByDelay, 1, retriesByDelay.length).max().orElseThrow();
+    assertTrue(most <= refused / spreadSeconds + 1, most + " retries after the same delay");
   }
 
   @Test
-  void aSingleRefusalIsRetriedAfterASecond() {
+  void singleRefusalGetsDelayOfOneSecond() {
     for (int i = 0; i < 500; i++) {
-      policy.afterSeconds(i, 1);
+      policy.chooseDelaySeconds(i, 1);
     }
-    assertEquals(1, policy.afterSeconds(5 * SECOND, 1));
+    assertEquals(1, policy.chooseDelaySeconds(5 * SECOND_MICROS, 1));
   }
 }
