--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -25,17 +25,22 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * One controller: wires its parts together, and leads while elected. It knows its clock, network
- * and randomness only through what it is given. Confined to the event loop thread.
+ * One controller: creates and connects its components, and runs the leader while it is elected. The
+ * clock, the network and the random numbers are injected, so that tests can simulate them. Confined
+ * to the event loop thread.
  */
 public final class ControllerNode implements HttpHandler {
-  /** Of the store's rates, for what users ask of all nodes together. */
-  private static final double REQUESTS_SHARE = 0.75;
+  /** The part of the store's request rate that users get, over all controllers together. */
+  private static final double USER_REQUESTS_FRACTION = 0.75;
 
-  private static final double WRITES_SHARE = 0.25;
+  /** The part of the store's write rate that users get, over all controllers together. */
+  private static final double USER_WRITES_FRACTION = 0.25;
 
-  /** Nobody leading for so many leases is more than a change of leader. */
-  private static final int LEADERLESS_LEASES = 2;
+  /**
+   * An ordinary change of leader takes no longer than this many leader leases. After a longer time
+   * without a known leader, delegates may answer heartbeats.
+   */
+  private static final int MAX_LEADER_CHANGE_LEASES = 2;
 
   private final Scheduler scheduler;
   private final PlatformSettings settings;
@@ -45,25 +50,26 @@
   private final MachineTypeCatalog catalog;
   private final LeaderElection election;
   private final HeartbeatDelegate delegate;
-  private final LocalLeader leader;
-  private final HeartbeatEndpoint heartbeats;
-  private final PeerStatusExchange peerStatus;
-  private final RequestRouter router;
+  private final LocalLeader localLeader;
+  private final HeartbeatEndpoint heartbeatEndpoint;
+  private final PeerStatusExchange peerStatusExchange;
+  private final RequestRouter requestRouter;
 
   /**
-   * Creates a controller that does nothing before {@link #start}.
+   * Creates a controller, which is inactive until {@link #start} is called.
    *
    * @param scheduler clock and timers of the event loop
-   * @param calls sends requests to the store, the cloud and workers
-   * @param peers sends messages to the other controllers
-   * @param random spreads campaigns and redirects, and names this process
+   * @param httpCaller sends HTTP requests to the store, the cloud and workers
+   * @param peerMessenger sends messages to the other controllers
+   * @param random adds jitter to election campaigns and to the times of redirects, and draws the
+   *     number that identifies this process
    * @param settings the platform's settings
    * @param policy the operators' settings
    */
   public ControllerNode(
       Scheduler scheduler,
-      HttpCaller calls,
-      PeerMessenger peers,
+      HttpCaller httpCaller,
+      PeerMessenger peerMessenger,
       RandomGenerator random,
       PlatformSettings settings,
       OperatorPolicy policy) {
@@ -71,10 +77,10 @@
     this.settings = settings;
     this.policy = policy;
     Deployment deployment = settings.deployment();
-    store = storeClient(calls);
+    store = createStoreClient(httpCaller);
     CloudClient cloud =
         new CloudClient(
-            scheduler, calls, settings.cloudAddress(), deployment.cloud().requestsPerSecond());
+            scheduler, httpCaller, settings.cloudAddress(), deployment.cloud().requestsPerSecond());
     catalog = new MachineTypeCatalog(scheduler, store, cloud);
     election =
         new LeaderElection(
@@ -82,41 +88,44 @@
     delegate =
         new HeartbeatDelegate(
             scheduler, SafetyBounds.of(deployment.workers()), settings.member(), random.nextLong());
-    leader = new LocalLeader(leaderDependencies(calls, cloud));
-    heartbeats = heartbeatEndpoint(peers, random);
-    peerStatus = peerStatusExchange(peers);
-    router = requestRouter();
+    localLeader = new LocalLeader(createLeaderDependencies(httpCaller, cloud));
+    heartbeatEndpoint = createHeartbeatEndpoint(peerMessenger, random);
+    peerStatusExchange = createPeerStatusExchange(peerMessenger);
+    requestRouter = createRequestRouter();
   }
 
-  /** Begins and ends this process's terms as the leader. */
+  /** Starts and ends the terms of the leader of this process. */
   private final class TermListener implements LeaderElection.Listener {
     @Override
     public void elected(long term, long termVersion) {
-      leader.begin(term, termVersion);
+      localLeader.startTerm(term, termVersion);
     }
 
     @Override
     public void deposed() {
-      leader.end();
+      localLeader.endTerm();
     }
   }
 
-  /** What users ask for is spread over the nodes; the leader's own calls come on top. */
-  private StoreClient storeClient(HttpCaller calls) {
+  /**
+   * Limits users' calls to this controller's equal share of the users' part of the store's rates.
+   * The leader's own calls are not counted against it.
+   */
+  private StoreClient createStoreClient(HttpCaller httpCaller) {
     Deployment deployment = settings.deployment();
     return new StoreClient(
         scheduler,
-        calls,
+        httpCaller,
         settings.stateAddress(),
-        deployment.state().requestsPerSecond() * REQUESTS_SHARE / deployment.members(),
-        deployment.state().writesPerSecond() * WRITES_SHARE / deployment.members());
+        deployment.state().requestsPerSecond() * USER_REQUESTS_FRACTION / deployment.members(),
+        deployment.state().writesPerSecond() * USER_WRITES_FRACTION / deployment.members());
   }
 
-  private LeaderDependencies leaderDependencies(HttpCaller calls, CloudClient cloud) {
+  private LeaderDependencies createLeaderDependencies(HttpCaller httpCaller, CloudClient cloud) {
     return new LeaderDependencies(
         scheduler,
         store,
-        calls,
+        httpCaller,
         cloud,
         catalog,
         election,
@@ -128,79 +137,84 @@
         delegate::renewalSafeUntilMicros);
   }
 
-  private HeartbeatEndpoint heartbeatEndpoint(PeerMessenger peers, RandomGenerator random) {
+  private HeartbeatEndpoint createHeartbeatEndpoint(
+      PeerMessenger peerMessenger, RandomGenerator random) {
     return new HeartbeatEndpoint(
         new HeartbeatEndpoint.Dependencies(
             scheduler,
             election,
-            leader,
+            localLeader,
             delegate,
             new WorkerRedirects(random, settings.maxSockets()),
-            new HeartbeatForwarder(scheduler, peers, settings.member()),
+            new HeartbeatForwarder(scheduler, peerMessenger, settings.member()),
             settings.member(),
             store::isResponsive),
         policy.delegation(),
-        LEADERLESS_LEASES * policy.leaseMicros(),
+        MAX_LEADER_CHANGE_LEASES * policy.leaseMicros(),
         settings.maxSockets());
   }
 
-  private PeerStatusExchange peerStatusExchange(PeerMessenger peers) {
+  private PeerStatusExchange createPeerStatusExchange(PeerMessenger peerMessenger) {
     Deployment deployment = settings.deployment();
-    WriteRateAllocator writeRate =
+    WriteRateAllocator writeRateAllocator =
         new WriteRateAllocator(
-            deployment.state().writesPerSecond() * WRITES_SHARE, deployment.members());
+            deployment.state().writesPerSecond() * USER_WRITES_FRACTION, deployment.members());
     return new PeerStatusExchange(
-        new PeerStatusExchange.Parts(
+        new PeerStatusExchange.Dependencies(
             scheduler,
-            peers,
+            peerMessenger,
             settings.member(),
             election,
-            leader,
+            localLeader,
             delegate,
-            heartbeats,
+            heartbeatEndpoint,
             store,
-            writeRate,
+            writeRateAllocator,
             metrics));
   }
 
-  private RequestRouter requestRouter() {
-    HealthCheck health =
-        new HealthCheck(scheduler, catalog::known, store::isResponsive, peerStatus.peerStatuses());
-    DiagnosticsEndpoint diagnostics =
-        new DiagnosticsEndpoint(settings.member(), election, leader, heartbeats, health, metrics);
-    JobEndpoint jobs =
-        new JobEndpoint(scheduler, store, catalog, settings.deployment(), this::progress, metrics);
-    return new RequestRouter(diagnostics, heartbeats, jobs);
+  private RequestRouter createRequestRouter() {
+    HealthCheck healthCheck =
+        new HealthCheck(
+            scheduler, catalog::known, store::isResponsive, peerStatusExchange.peerStatuses());
+    DiagnosticsEndpoint diagnosticsEndpoint =
+        new DiagnosticsEndpoint(
+            settings.member(), election, localLeader, heartbeatEndpoint, healthCheck, metrics);
+    JobEndpoint jobEndpoint =
+        new JobEndpoint(
+            scheduler, store, catalog, settings.deployment(), this::jobProgress, metrics);
+    return new RequestRouter(diagnosticsEndpoint, heartbeatEndpoint, jobEndpoint);
   }
 
-  /** Begins to follow the store, to take part in elections and to tell the peers its status. */
+  /** Starts the catalog, the leader election, the peer status exchange and the heartbeats. */
   public void start() {
     catalog.start();
     election.start();
-    peerStatus.start();
-    heartbeats.start();
+    peerStatusExchange.start();
+    heartbeatEndpoint.start();
   }
 
-  /** Whether this controller leads, and its lease has not expired by its own clock. */
+  /** Whether this controller leads and its lease has not expired on its own clock. */
   public boolean leads() {
     return election.holdsLease();
   }
 
   /**
-   * Takes a message from another controller; a malformed one is logged and ignored.
+   * Handles a message from another controller; a malformed one is logged and ignored.
    *
-   * @param message the message without its length
+   * @param message the message without its length prefix
    */
   public void receive(ByteBuffer message) {
-    peerStatus.receive(message);
+    peerStatusExchange.receive(message);
   }
 
   @Override
-  public void handle(HttpRequest request, Consumer<HttpResponse> answer) {
-    router.handle(request, answer);
+  public void handle(HttpRequest request, Consumer<HttpResponse> callback) {
+    requestRouter.handle(request, callback);
   }
 
-  private Optional<JobProgress> progress(String job) {
-    return leader.progress(job).or(() -> peerStatus.reportedProgress(job));
+  /** The progress of a job, from the local leader or else as another leader has reported it. */
+  private Optional<JobProgress> jobProgress(String jobId) {
+    return localLeader.jobProgress(jobId).or(() -> peerStatusExchange.progressFromLeader(jobId));
   }
 }
--- a/src/main/java/madderrudder/service/DiagnosticsEndpoint.java
+++ b/src/main/java/madderrudder/service/DiagnosticsEndpoint.java
@@ -7,38 +7,41 @@
 import madderrudder.protocol.Json;
 import madderrudder.transport.HttpResponse;
 
-/** Health, metrics and the history of runs. Confined to the event loop thread. */
+/**
+ * Serves the health check, the metrics and the history of task runs. Confined to the event loop
+ * thread.
+ */
 final class DiagnosticsEndpoint {
   private final String member;
   private final LeaderElection election;
-  private final LocalLeader leader;
-  private final HeartbeatEndpoint heartbeats;
-  private final HealthCheck health;
+  private final LocalLeader localLeader;
+  private final HeartbeatEndpoint heartbeatEndpoint;
+  private final HealthCheck healthCheck;
   private final Metrics metrics;
 
   DiagnosticsEndpoint(
       String member,
       LeaderElection election,
-      LocalLeader leader,
-      HeartbeatEndpoint heartbeats,
-      HealthCheck health,
+      LocalLeader localLeader,
+      HeartbeatEndpoint heartbeatEndpoint,
+      HealthCheck healthCheck,
       Metrics metrics) {
     this.member = member;
     this.election = election;
-    this.leader = leader;
-    this.heartbeats = heartbeats;
-    this.health = health;
+    this.localLeader = localLeader;
+    this.heartbeatEndpoint = heartbeatEndpoint;
+    this.healthCheck = healthCheck;
     this.metrics = metrics;
   }
 
-  /** 200 if users should be sent here, 503 otherwise. */
+  /** Status 200 if users should be sent to this controller, 503 otherwise. */
   HttpResponse health() {
-    return health.healthy()
+    return healthCheck.isHealthy()
         ? HttpResponse.of(200, Json.object(out -> out.writeBooleanField("ok", true)))
         : Responses.unavailable("not ready");
   }
 
-  /** This controller's metrics, and the leader's state if it leads. */
+  /** This controller's metrics, with the metrics of the leader if this controller leads. */
   HttpResponse metrics() {
     return HttpResponse.of(200, Json.object(this::writeMetrics));
   }
@@ -47,27 +50,28 @@
     out.writeStringField("member", member);
     out.writeStringField("leader", election.leader().orElse(""));
     out.writeNumberField("term", election.highestTerm());
-    leader.writeState(out);
-    heartbeats.writeCounters(out);
+    localLeader.writeMetrics(out);
+    heartbeatEndpoint.writeCounters(out);
     metrics.write(out);
   }
 
   /**
-   * The finished runs after a number, which only the leader knows.
+   * The finished task runs after the run with the given number. Only the leader keeps them: another
+   * controller responds with 503 and the leader's name.
    *
-   * @param afterNumber the number as the request's path has it; 404 if it is none
+   * @param afterRun the run number as text from the request path; 404 if it is not a number
    */
-  HttpResponse history(String afterNumber) {
-    if (!leader.isReady()) {
+  HttpResponse history(String afterRun) {
+    if (!localLeader.isReady()) {
       return Responses.unavailable(
           "only the leader knows, " + election.leader().orElse("which is not known"));
     }
-    long number;
+    long runNumber;
     try {
-      number = Long.parseLong(afterNumber);
+      runNumber = Long.parseLong(afterRun);
     } catch (NumberFormatException e) {
-      return Responses.error(404, "expected " + RequestRouter.HISTORY + "NUMBER");
+      return Responses.error(404, "expected " + RequestRouter.HISTORY_PREFIX + "NUMBER");
     }
-    return HttpResponse.of(200, Json.object(out -> leader.writeHistory(out, number)));
+    return HttpResponse.of(200, Json.object(out -> localLeader.writeHistory(out, runNumber)));
   }
 }
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -23,18 +23,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Workers' heartbeats at any controller. The leader answers them. Another controller redirects the
- * worker to the leader; if the worker can't reach it, the heartbeat is forwarded, or, where the
- * leader can't be reached from here either, answered without commands for as long as the leader has
- * delegated that. Confined to the event loop thread.
+ * Serves workers' heartbeats on every controller. The leader answers a heartbeat itself. Another
+ * controller redirects the worker to the leader. If the worker can't reach the leader, the
+ * controller forwards the heartbeat to it. If the controller can't reach the leader either, it acts
+ * as a delegate and answers without commands, for as long as the leader has granted that. Confined
+ * to the event loop thread.
  */
 final class HeartbeatEndpoint {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
 
-  /** Within the four seconds that a worker waits, with time for what follows. */
+  /**
+   * How long a heartbeat may stay pending. It is less than the 4 s that a worker waits for a
+   * response, so that there is time to forward the heartbeat afterwards.
+   */
   private static final long MAX_PENDING_MICROS = 2_500_000;
 
-  private static final long PENDING_CHECK_MICROS = 50_000;
+  private static final long PENDING_CHECK_PERIOD_MICROS = 50_000;
 
   private final Dependencies dependencies;
   private final Scheduler scheduler;
@@ -43,26 +47,41 @@
   private final HeartbeatDelegate delegate;
   private final HeartbeatForwarder forwarder;
   private final boolean delegationEnabled;
-  private final long leaderlessMicros;
+  private final long maxLeaderChangeMicros;
+
+  /** Limits the connections that pending heartbeats occupy, since users and peers need some too. */
+  private final int maxPendingHeartbeats;
+
+  private final Set<ReceivedHeartbeat> pendingHeartbeats = new LinkedHashSet<>();
+  private final MalformedMessageLog malformedLog = new MalformedMessageLog(LOG, "heartbeat");
+
+  /**
+   * The latest periodic check at which {@link #isResponderKnown} was true, or the creation time.
+   */
+  private long lastResponderKnownMicros;
 
-  /** Each pending heartbeat takes a connection, and users and peers need some too. */
-  private final int maxPending;
+  /**
+   * Whether the latest heartbeats were answered as a delegate; only the first of them is logged.
+   */
+  private boolean respondingAsDelegate;
 
-  private final Set<PendingHeartbeat> pending = new LinkedHashSet<>();
-  private final MalformedMessageLog malformed = new MalformedMessageLog(LOG, "heartbeat");
-  private long lastAnswererKnownMicros;
-  private boolean answeringAsDelegate;
-  private long answeredAsDelegate;
+  private long delegatedResponses;
 
-  /** A heartbeat that was not answered yet, with its body as the worker sent it. */
-  private record PendingHeartbeat(
-      Heartbeat heartbeat, byte[] body, Consumer<HttpResponse> answer) {}
+  /**
+   * A heartbeat that is not answered yet.
+   *
+   * @param heartbeat the decoded heartbeat
+   * @param body the encoded heartbeat as the worker sent it
+   * @param callback receives the response
+   */
+  private record ReceivedHeartbeat(
+      Heartbeat heartbeat, byte[] body, Consumer<HttpResponse> callback) {}
 
   /**
-   * The parts of the controller that take part in answering heartbeats.
+   * The components that the endpoint uses.
    *
    * @param member this controller's name
-   * @param storeAnswers whether the store has answered lately
+   * @param storeResponsive whether the store has responded to this controller recently
    */
   record Dependencies(
       Scheduler scheduler,
@@ -72,18 +91,23 @@
       WorkerRedirects redirects,
       HeartbeatForwarder forwarder,
       String member,
-      BooleanSupplier storeAnswers) {}
+      BooleanSupplier storeResponsive) {}
 
   /**
    * Creates an endpoint; {@link #start} must be called before the first heartbeat.
    *
-   * @param delegationEnabled whether heartbeats are answered or forwarded at all while another
-   *     controller leads
-   * @param leaderlessMicros when nobody has led for so long, it is more than a change of leader
-   * @param maxSockets the sockets that this controller may use; half of them may wait here
+   * @param delegationEnabled whether a controller that does not lead may forward or answer
+   *     heartbeats; otherwise it redirects all workers
+   * @param maxLeaderChangeMicros the longest time without a known leader that an ordinary change of
+   *     leader takes; after it, heartbeats are answered as a delegate
+   * @param maxSockets the sockets that this controller may use; pending heartbeats may occupy half
+   *     of them
    */
   HeartbeatEndpoint(
-      Dependencies dependencies, boolean delegationEnabled, long leaderlessMicros, int maxSockets) {
+      Dependencies dependencies,
+      boolean delegationEnabled,
+      long maxLeaderChangeMicros,
+      int maxSockets) {
     this.dependencies = dependencies;
     scheduler = dependencies.scheduler();
     election = dependencies.election();
@@ -91,41 +115,45 @@
     delegate = dependencies.delegate();
     forwarder = dependencies.forwarder();
     this.delegationEnabled = delegationEnabled;
-    this.leaderlessMicros = leaderlessMicros;
-    maxPending = maxSockets / 2;
-    lastAnswererKnownMicros = scheduler.nowMicros();
+    this.maxLeaderChangeMicros = maxLeaderChangeMicros;
+    maxPendingHeartbeats = maxSockets / 2;
+    lastResponderKnownMicros = scheduler.nowMicros();
   }
 
-  /** Writes how many heartbeats were answered as a delegate, and forwarded, since the start. */
+  /** Writes the numbers of heartbeats answered as a delegate and forwarded since the start. */
   void writeCounters(JsonGenerator out) throws IOException {
-    out.writeNumberField("reports_stood_in", answeredAsDelegate);
-    out.writeNumberField("reports_passed_on", forwarder.forwarded());
+    out.writeNumberField("reports_stood_in", delegatedResponses);
+    out.writeNumberField("reports_passed_on", forwarder.forwardedCount());
   }
 
-  /** Begins to look periodically for pending heartbeats that can be answered. */
+  /** Starts the periodic dispatch of pending heartbeats. */
   void start() {
-    scheduler.every(PENDING_CHECK_MICROS, this::dispatchPending);
+    scheduler.every(PENDING_CHECK_PERIOD_MICROS, this::dispatchPendingHeartbeats);
   }
 
-  /** Takes a heartbeat; a malformed one is answered with 400. */
-  void handle(byte[] body, Consumer<HttpResponse> answer) {
+  /** Handles a worker's heartbeat; a malformed one gets status 400. */
+  void handle(byte[] body, Consumer<HttpResponse> callback) {
     Heartbeat heartbeat;
     try {
-      heartbeat = parse(body);
+      heartbeat = decode(body);
     } catch (MalformedMessageException e) {
-      malformed.log(e);
-      answer.accept(Responses.error(400, e.getMessage()));
+      malformedLog.log(e);
+      callback.accept(Responses.error(400, e.getMessage()));
       return;
     }
-    PendingHeartbeat arrived = new PendingHeartbeat(heartbeat, body, answer);
-    if (!answererKnown() && pending.size() < maxPending) {
-      keepPending(arrived);
+    ReceivedHeartbeat received = new ReceivedHeartbeat(heartbeat, body, callback);
+    if (!isResponderKnown() && pendingHeartbeats.size() < maxPendingHeartbeats) {
+      hold(received);
     } else {
-      dispatch(arrived);
+      dispatch(received);
     }
   }
 
-  private Heartbeat parse(byte[] body) throws MalformedMessageException {
+  /**
+   * Decodes a heartbeat and observes the term of its fencing token. A token that no leader can have
+   * issued makes the heartbeat malformed.
+   */
+  private Heartbeat decode(byte[] body) throws MalformedMessageException {
     Heartbeat heartbeat = WorkerCodec.readHeartbeat(body);
     if (!election.observeToken(heartbeat.token())) {
       throw new MalformedMessageException("no leader has given the token " + heartbeat.token());
@@ -134,163 +162,168 @@
   }
 
   /**
-   * While nobody leads, or the leader here has not read the stored state, a worker that is
-   * redirected comes back a second later at the earliest, while its lease runs. Its heartbeat is
-   * kept for a moment instead, and answered once it is clear by whom.
+   * Holds a heartbeat until it is known which controller answers it, or for {@link
+   * #MAX_PENDING_MICROS} at most. While there is no leader, or the leader here has not read the
+   * stored state, a redirected worker would retry after 1 s at the earliest, while its lease is
+   * running out.
    */
-  private void keepPending(PendingHeartbeat arrived) {
-    pending.add(arrived);
+  private void hold(ReceivedHeartbeat received) {
+    pendingHeartbeats.add(received);
     scheduler.after(
         MAX_PENDING_MICROS,
         () -> {
-          if (pending.remove(arrived)) {
-            dispatch(arrived);
+          if (pendingHeartbeats.remove(received)) {
+            dispatch(received);
           }
         });
   }
 
-  /** Whether it is clear who answers heartbeats. */
-  private boolean answererKnown() {
-    return localLeader.isPresent()
+  /** Whether a leader is known and, if this controller leads, is ready to answer heartbeats. */
+  private boolean isResponderKnown() {
+    return localLeader.isLeading()
         ? localLeader.answersHeartbeats()
         : election.leader().isPresent();
   }
 
-  private void dispatchPending() {
-    if (!answererKnown()) {
+  private void dispatchPendingHeartbeats() {
+    if (!isResponderKnown()) {
       return;
     }
-    lastAnswererKnownMicros = scheduler.nowMicros();
-    if (!pending.isEmpty()) {
-      List<PendingHeartbeat> kept = List.copyOf(pending);
-      pending.clear();
-      kept.forEach(this::dispatch);
+    lastResponderKnownMicros = scheduler.nowMicros();
+    if (!pendingHeartbeats.isEmpty()) {
+      List<ReceivedHeartbeat> held = List.copyOf(pendingHeartbeats);
+      pendingHeartbeats.clear();
+      held.forEach(this::dispatch);
     }
   }
 
-  private void dispatch(PendingHeartbeat arrived) {
-    if (localLeader.isPresent()) {
-      localLeader.handle(arrived.heartbeat(), answer -> answerOrRedirect(arrived, answer));
+  private void dispatch(ReceivedHeartbeat received) {
+    if (localLeader.isLeading()) {
+      localLeader.handle(received.heartbeat(), response -> respondOrRedirect(received, response));
     } else {
-      dispatchAsFollower(arrived);
+      dispatchAsFollower(received);
     }
   }
 
-  private void dispatchAsFollower(PendingHeartbeat arrived) {
+  private void dispatchAsFollower(ReceivedHeartbeat received) {
     Optional<String> leader = election.leader();
     if (!delegationEnabled) {
-      redirect(arrived);
+      redirect(received);
     } else if (leader.isPresent() && delegate.hasHeardLately(leader.get())) {
-      forwardOrRedirect(leader.get(), arrived);
-    } else if (mayAnswerWithoutLeader(leader, arrived)) {
-      answerAsDelegate(arrived);
+      forwardOrRedirect(leader.get(), received);
+    } else if (mayRespondWithoutLeader(leader, received)) {
+      respondAsDelegate(received);
     } else {
-      redirect(arrived);
+      redirect(received);
     }
   }
 
-  private void forwardOrRedirect(String leader, PendingHeartbeat arrived) {
-    if (isServedHere(arrived)) {
-      forward(leader, arrived);
+  private void forwardOrRedirect(String leader, ReceivedHeartbeat received) {
+    if (decideToServeLocally(received)) {
+      forward(leader, received);
     } else {
-      redirect(arrived);
+      redirect(received);
     }
   }
 
   /**
-   * With the leader silent and the store too, a worker is served at once: a first redirect in vain
-   * could cost it its lease.
+   * Whether this controller may answer although the leader is unknown or has not sent its status
+   * recently. Without a known leader, the time that an ordinary change of leader takes must have
+   * passed. With a known leader, the worker must be one that {@link WorkerRedirects} serves
+   * locally, unless the store does not respond either: then every worker is served at once, because
+   * a redirect to an unreachable leader could cost the worker its lease.
    */
-  private boolean mayAnswerWithoutLeader(Optional<String> leader, PendingHeartbeat arrived) {
+  private boolean mayRespondWithoutLeader(Optional<String> leader, ReceivedHeartbeat received) {
     if (leader.isEmpty()) {
-      return scheduler.nowMicros() - lastAnswererKnownMicros > leaderlessMicros;
+      return scheduler.nowMicros() - lastResponderKnownMicros > maxLeaderChangeMicros;
     }
-    return !dependencies.storeAnswers().getAsBoolean() || isServedHere(arrived);
+    return !dependencies.storeResponsive().getAsBoolean() || decideToServeLocally(received);
   }
 
-  private boolean isServedHere(PendingHeartbeat arrived) {
-    Heartbeat heartbeat = arrived.heartbeat();
+  private boolean decideToServeLocally(ReceivedHeartbeat received) {
+    Heartbeat heartbeat = received.heartbeat();
     return dependencies
         .redirects()
-        .isServedHere(heartbeat.machine(), heartbeat.zone(), scheduler.nowMicros());
+        .decideToServeLocally(heartbeat.machine(), heartbeat.zone(), scheduler.nowMicros());
   }
 
   /**
-   * Answers on the leader's behalf, without a command, a worker that has tasks to lose; one without
-   * tasks is better off looking for the leader.
+   * Answers on behalf of the leader, without commands, if the leader's grant allows it; otherwise
+   * redirects the worker. A worker without tasks is redirected too: it has no tasks to lose while
+   * it searches for the leader.
    */
-  private void answerAsDelegate(PendingHeartbeat arrived) {
-    if (arrived.heartbeat().tasks().isEmpty()
+  private void respondAsDelegate(ReceivedHeartbeat received) {
+    if (received.heartbeat().tasks().isEmpty()
         || !delegate.mayAnswer(election.highestTerm())
-        || !delegate.recordAnswer(arrived.heartbeat())) {
-      redirect(arrived);
+        || !delegate.recordAnswer(received.heartbeat())) {
+      redirect(received);
       return;
     }
-    if (!answeringAsDelegate) {
-      answeringAsDelegate = true;
+    if (!respondingAsDelegate) {
+      respondingAsDelegate = true;
       LOG.info("answering heartbeats on behalf of {}", election.leader().orElse("no known leader"));
     }
-    answeredAsDelegate++;
-    long token = FencingToken.echo(arrived.heartbeat().token(), delegate.grantTerm());
-    answer(arrived, WorkerCodec.heartbeatResponse(token, List.of()));
+    delegatedResponses++;
+    long token = FencingToken.echo(received.heartbeat().token(), delegate.grantTerm());
+    respond(received, WorkerCodec.heartbeatResponse(token, List.of()));
   }
 
-  private void forward(String leader, PendingHeartbeat arrived) {
-    answeringAsDelegate = false;
-    if (!HeartbeatForwarder.canForward(arrived.body())) {
-      answerAsDelegate(arrived);
+  private void forward(String leader, ReceivedHeartbeat received) {
+    respondingAsDelegate = false;
+    if (!HeartbeatForwarder.canForward(received.body())) {
+      respondAsDelegate(received);
       return;
     }
     forwarder.forward(
         leader,
-        arrived.body(),
+        received.body(),
         new HeartbeatForwarder.Callback() {
           @Override
-          public void answered(Optional<byte[]> answer) {
-            answerOrRedirect(arrived, answer);
+          public void onResponse(Optional<byte[]> response) {
+            respondOrRedirect(received, response);
           }
 
           @Override
-          public void timedOut() {
-            answerAsDelegate(arrived);
+          public void onTimeout() {
+            respondAsDelegate(received);
           }
         });
   }
 
-  /** Takes a heartbeat that another controller forwards to this one as the leader. */
+  /** Handles a heartbeat that a peer has forwarded; ignored if this controller does not lead. */
   void receive(ForwardedHeartbeat forwarded) {
     Heartbeat heartbeat;
     try {
-      heartbeat = parse(forwarded.report().getBytes(StandardCharsets.UTF_8));
+      heartbeat = decode(forwarded.report().getBytes(StandardCharsets.UTF_8));
     } catch (MalformedMessageException e) {
-      malformed.log(e);
+      malformedLog.log(e);
       return;
     }
-    if (localLeader.isPresent()) {
-      localLeader.handle(heartbeat, answer -> forwarder.respond(forwarded, answer));
+    if (localLeader.isLeading()) {
+      localLeader.handle(heartbeat, response -> forwarder.respond(forwarded, response));
     }
   }
 
-  /** Takes the leader's answer to a heartbeat that was forwarded. */
+  /** Handles the leader's response to a heartbeat that this controller has forwarded. */
   void receive(ForwardedResponse response) {
     forwarder.receive(response);
   }
 
-  private void answerOrRedirect(PendingHeartbeat arrived, Optional<byte[]> answer) {
-    if (answer.isPresent()) {
-      answer(arrived, answer.get());
+  private void respondOrRedirect(ReceivedHeartbeat received, Optional<byte[]> response) {
+    if (response.isPresent()) {
+      respond(received, response.get());
     } else {
-      redirect(arrived);
+      redirect(received);
     }
   }
 
-  private static void answer(PendingHeartbeat arrived, byte[] body) {
-    arrived.answer().accept(HttpResponse.of(200, body));
+  private static void respond(ReceivedHeartbeat received, byte[] body) {
+    received.callback().accept(HttpResponse.of(200, body));
   }
 
-  private void redirect(PendingHeartbeat arrived) {
-    String other =
+  private void redirect(ReceivedHeartbeat received) {
+    String otherLeader =
         election.leader().filter(leader -> !leader.equals(dependencies.member())).orElse(null);
-    arrived.answer().accept(HttpResponse.of(421, WorkerCodec.redirect(other)));
+    received.callback().accept(HttpResponse.of(421, WorkerCodec.redirect(otherLeader)));
   }
 }
--- a/src/main/java/madderrudder/service/HeartbeatForwarder.java
+++ b/src/main/java/madderrudder/service/HeartbeatForwarder.java
@@ -11,65 +11,66 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * Forwards heartbeats to the leader for workers that can't reach it, and sends back its answers to
- * those forwarded here. Confined to the event loop thread.
+ * Forwards heartbeats to the leader for workers that can't reach it, and, on the leader, returns
+ * the responses to the controllers that forwarded them. Confined to the event loop thread.
  */
 final class HeartbeatForwarder {
-  /** Well within the four seconds that a worker waits. */
-  private static final long TIMEOUT_MICROS = 1_500_000;
+  /** Less than the 4 s that a worker waits, so that it gets a response after a timeout too. */
+  private static final long RESPONSE_TIMEOUT_MICROS = 1_500_000;
 
   private final Scheduler scheduler;
-  private final PeerMessenger peers;
+  private final PeerMessenger peerMessenger;
   private final String member;
-  private final Map<Long, Callback> open = new HashMap<>();
-  private long forwarded;
+  private final Map<Long, Callback> inFlight = new HashMap<>();
+  private long forwardedCount;
 
-  /** Gets what becomes of a forwarded heartbeat; one of the methods is called, once. */
+  /** Receives the outcome of a forwarded heartbeat: exactly one method is called, once. */
   interface Callback {
-    /** The leader's encoded answer; empty if it does not answer this heartbeat. */
-    void answered(Optional<byte[]> answer);
+    /** The leader's encoded response; empty if the leader refused to answer the heartbeat. */
+    void onResponse(Optional<byte[]> response);
 
-    /** The leader was silent. */
-    void timedOut();
+    /** No response of the leader arrived in time. */
+    void onTimeout();
   }
 
-  /** {@code member} is this controller's name, to which leaders answer. */
-  HeartbeatForwarder(Scheduler scheduler, PeerMessenger peers, String member) {
+  /** Creates a forwarder; {@code member} is this controller's name, to which leaders respond. */
+  HeartbeatForwarder(Scheduler scheduler, PeerMessenger peerMessenger, String member) {
     this.scheduler = scheduler;
-    this.peers = peers;
+    this.peerMessenger = peerMessenger;
     this.member = member;
   }
 
-  /** How many heartbeats were forwarded since the start. */
-  long forwarded() {
-    return forwarded;
+  /** The number of heartbeats that this process has forwarded. */
+  long forwardedCount() {
+    return forwardedCount;
   }
 
-  /** Whether the heartbeat is short enough to be forwarded. */
+  /** Whether the encoded heartbeat fits into a message between controllers. */
   static boolean canForward(byte[] body) {
     return PeerMessageCodec.canForward(body.length);
   }
 
-  /** Forwards a heartbeat, as the worker sent it, to the leader named. */
+  /** Forwards a heartbeat to the leader, in the encoding that the worker sent. */
   void forward(String leader, byte[] body, Callback callback) {
-    long number = ++forwarded;
-    open.put(number, callback);
+    long requestNumber = ++forwardedCount;
+    inFlight.put(requestNumber, callback);
     String text = new String(body, StandardCharsets.UTF_8);
-    peers.send(leader, PeerMessageCodec.encode(new ForwardedHeartbeat(member, number, text)));
+    peerMessenger.send(
+        leader, PeerMessageCodec.encode(new ForwardedHeartbeat(member, requestNumber, text)));
     scheduler.after(
-        TIMEOUT_MICROS,
+        RESPONSE_TIMEOUT_MICROS,
         () -> {
-          if (open.remove(number) != null) {
-            callback.timedOut();
+          if (inFlight.remove(requestNumber) != null) {
+            callback.onTimeout();
           }
         });
   }
 
-  /** Takes a leader's answer; a late one is ignored. */
+  /** Handles the leader's response; one that arrives after the timeout is ignored. */
   void receive(ForwardedResponse response) {
-    Callback callback = open.remove(response.number());
+    Callback callback = inFlight.remove(response.number());
     if (callback != null) {
-      callback.answered(
+      callback.onResponse(
           Optional.of(response.answer())
               .filter(text -> !text.isEmpty())
               .map(text -> text.getBytes(StandardCharsets.UTF_8)));
@@ -77,16 +78,17 @@
   }
 
   /**
-   * Sends this leader's answer back to the controller that forwarded the heartbeat; one that is too
-   * long is not sent. An empty answer says that the worker is to have none, neither of this
-   * controller nor of a delegate.
+   * Sends this leader's response to the controller that forwarded the heartbeat. A response that
+   * does not fit into a message is not sent. An empty response means that the heartbeat must not be
+   * answered, neither by this leader nor by a delegate.
    */
-  void respond(ForwardedHeartbeat forwardedHeartbeat, Optional<byte[]> answer) {
-    byte[] body = answer.orElse(new byte[0]);
+  void respond(ForwardedHeartbeat forwardedHeartbeat, Optional<byte[]> response) {
+    byte[] body = response.orElse(new byte[0]);
     if (PeerMessageCodec.canForward(body.length)) {
       String text = new String(body, StandardCharsets.UTF_8);
-      ForwardedResponse response = new ForwardedResponse(forwardedHeartbeat.number(), text);
-      peers.send(forwardedHeartbeat.member(), PeerMessageCodec.encode(response));
+      ForwardedResponse forwardedResponse =
+          new ForwardedResponse(forwardedHeartbeat.number(), text);
+      peerMessenger.send(forwardedHeartbeat.member(), PeerMessageCodec.encode(forwardedResponse));
     }
   }
 }
--- a/src/main/java/madderrudder/service/LocalLeader.java
+++ b/src/main/java/madderrudder/service/LocalLeader.java
@@ -17,61 +17,72 @@
 import madderrudder.protocol.WorkerCodec;
 
 /**
- * The leader that runs in this process while the process is elected, with the answers for the time
- * when there is none. Confined to the event loop thread.
+ * Owns the {@link Leader} that runs in this process while this controller is elected, and supplies
+ * defaults while it is not. Confined to the event loop thread.
  */
 final class LocalLeader {
   private final LeaderDependencies dependencies;
 
-  /** The leader of the present term, or null while another controller leads. */
+  /** The leader of the current term, or null while this controller does not lead. */
   private Leader leader;
 
   LocalLeader(LeaderDependencies dependencies) {
     this.dependencies = dependencies;
   }
 
-  /** Begins to lead in the term. */
-  void begin(long term, long termVersion) {
+  /**
+   * Starts to lead in a term.
+   *
+   * @param term the number of the term
+   * @param termVersion the version of the term's key in the store
+   */
+  void startTerm(long term, long termVersion) {
     leader =
         new Leader(
             dependencies,
             term,
             termVersion,
-            () -> dependencies.election().stepDown("the chain of commits broke"));
+            () ->
+                dependencies
+                    .election()
+                    .stepDown("the term key was changed, was deleted or is unreadable"));
     leader.begin();
   }
 
-  /** Ceases to lead; does nothing if this process does not. */
-  void end() {
+  /** Ends the current term; does nothing if this controller does not lead. */
+  void endTerm() {
     if (leader != null) {
       leader.end();
       leader = null;
     }
   }
 
-  /** Whether this process leads. */
-  boolean isPresent() {
+  /** Whether this controller was elected and its term has not ended. */
+  boolean isLeading() {
     return leader != null;
   }
 
-  /** Whether this process leads and has read the stored state. */
+  /** Whether this controller leads and has read the stored state. */
   boolean isReady() {
     return leader != null && leader.ready();
   }
 
-  /** Whether heartbeats are answered at this moment; false if this process does not lead. */
+  /**
+   * Whether the leader answers heartbeats already, rather than after it has read the stored state;
+   * false if this controller does not lead.
+   */
   boolean answersHeartbeats() {
     return leader != null && leader.decidesHeartbeats();
   }
 
   /**
-   * Hands a heartbeat to the leader, which must be present.
+   * Passes a heartbeat to the leader. This controller must lead.
    *
-   * @param answer gets the encoded answer, perhaps a little later; empty if the leader does not
+   * @param callback receives the encoded response, at once or later; empty if the leader refuses to
    *     answer
    */
-  void handle(Heartbeat heartbeat, Consumer<Optional<byte[]>> answer) {
-    leader.handleHeartbeat(heartbeat, reply -> answer.accept(encode(reply)));
+  void handle(Heartbeat heartbeat, Consumer<Optional<byte[]>> callback) {
+    leader.handleHeartbeat(heartbeat, reply -> callback.accept(encode(reply)));
   }
 
   private static Optional<byte[]> encode(HeartbeatReply reply) {
@@ -80,56 +91,73 @@
         : Optional.empty();
   }
 
-  /** How many writes a second of its own rate the leader leaves over; 0 without a leader. */
+  /**
+   * The part of the leader's own write rate that users may have, in writes per second; 0 if this
+   * controller does not lead.
+   *
+   * @param sinceMicros the time since the previous call
+   */
   double spareWritesPerSecond(long sinceMicros) {
     return leader == null ? 0 : leader.spareWritesPerSecond(sinceMicros);
   }
 
-  /** The progress of some of the jobs, for the other controllers. The leader must be ready. */
+  /**
+   * The progress of the next batch of jobs, for the other controllers. The leader must be ready.
+   */
   ProgressUpdate progressUpdate() {
     return new ProgressUpdate(leader.number(), leader.nextProgressBatch());
   }
 
-  /** A job's progress; empty without a leader or if it does not know the job. */
-  Optional<JobProgress> progress(String job) {
-    return leader == null ? Optional.empty() : leader.progress(job);
+  /** The progress of a job; empty if this controller does not lead or the job is unknown. */
+  Optional<JobProgress> jobProgress(String jobId) {
+    return leader == null ? Optional.empty() : leader.progress(jobId);
   }
 
-  /** For how long other controllers may answer heartbeats; 0 if not at all or without a leader. */
-  long grantMicros() {
+  /**
+   * How long other controllers may answer heartbeats on behalf of this leader; 0 if they may not,
+   * or if this controller does not lead.
+   */
+  long delegationGrantMicros() {
     return leader == null ? 0 : leader.delegationGrantMicros();
   }
 
-  /** Those of the processes heard that may be sent the grant. The leader must be present. */
-  List<StampEcho> grantTo(List<StampEcho> heard, long grantMicros) {
-    return leader.grantDelegation(heard, grantMicros);
+  /**
+   * Grants delegation for the given time. This controller must lead.
+   *
+   * @param peerStamps the latest stamps of the peers' processes
+   * @return those of the stamps whose processes may receive the grant
+   */
+  List<StampEcho> grantDelegation(List<StampEcho> peerStamps, long grantMicros) {
+    return leader.grantDelegation(peerStamps, grantMicros);
   }
 
   /**
-   * Notes another controller's status.
+   * Records a peer's status; does nothing if this controller does not lead.
    *
-   * @param echo what that controller has heard of this very process, or null if nothing
+   * @param echo the latest stamp that the peer received from this process, or null if none
    */
-  void recordStatus(MembershipStatus status, StampEcho echo) {
+  void recordPeerStatus(MembershipStatus status, StampEcho echo) {
     if (leader != null) {
       leader.onMembershipStatus(status, echo);
     }
   }
 
-  /** Notes that another controller has renewed workers' leases. */
-  void recordRenewals(DelegatedRenewals renewals) {
+  /**
+   * Records workers' leases that a peer has renewed; does nothing if this controller does not lead.
+   */
+  void recordDelegatedRenewals(DelegatedRenewals renewals) {
     if (leader != null) {
       leader.onDelegatedRenewals(renewals);
     }
   }
 
-  /** Writes the finished runs after the number given. The leader must be ready. */
-  void writeHistory(JsonGenerator out, long afterNumber) throws IOException {
-    leader.writeHistory(out, afterNumber);
+  /** Writes the finished task runs after the given run number. The leader must be ready. */
+  void writeHistory(JsonGenerator out, long afterRun) throws IOException {
+    leader.writeHistory(out, afterRun);
   }
 
-  /** Writes the leader's state for {@code GET /metrics}; nothing if it is not ready. */
-  void writeState(JsonGenerator out) throws IOException {
+  /** Writes the leader's fields of {@code GET /metrics}; nothing if it is not ready. */
+  void writeMetrics(JsonGenerator out) throws IOException {
     if (isReady()) {
       leader.writeMetrics(out);
     }
--- a/src/main/java/madderrudder/service/MalformedMessageLog.java
+++ b/src/main/java/madderrudder/service/MalformedMessageLog.java
@@ -3,24 +3,25 @@
 import madderrudder.protocol.MalformedMessageException;
 import org.slf4j.Logger;
 
-/** Logs the first malformed message of a kind at level info and further ones at level debug. */
+/** Logs the first malformed message of a kind at level info, and later ones at level debug. */
 final class MalformedMessageLog {
   private final Logger log;
-  private final String kind;
-  private boolean logged;
+  private final String messageKind;
+  private boolean firstLogged;
 
-  /** Logs messages of the kind named to the log given. */
-  MalformedMessageLog(Logger log, String kind) {
+  /** Creates a log for one kind of message, which the log lines name. */
+  MalformedMessageLog(Logger log, String messageKind) {
     this.log = log;
-    this.kind = kind;
+    this.messageKind = messageKind;
   }
 
+  /** Logs a message that could not be decoded. */
   void log(MalformedMessageException cause) {
-    if (logged) {
-      log.debug("malformed {}: {}", kind, cause.getMessage());
+    if (firstLogged) {
+      log.debug("malformed {}: {}", messageKind, cause.getMessage());
     } else {
-      logged = true;
-      log.info("malformed {}: {} (further ones at level debug)", kind, cause.getMessage());
+      firstLogged = true;
+      log.info("malformed {}: {} (further ones at level debug)", messageKind, cause.getMessage());
     }
   }
 }
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -28,135 +28,140 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The status messages that controllers send one another periodically, and the dispatch of all peer
- * messages to the parts they are for. Confined to the event loop thread.
+ * Sends status messages to the other controllers periodically, and dispatches each message from a
+ * peer to the component that handles it. Confined to the event loop thread.
  */
 final class PeerStatusExchange {
   private static final Logger LOG = LoggerFactory.getLogger(PeerStatusExchange.class);
-  private static final long PERIOD_MICROS = 400_000;
+  private static final long STATUS_PERIOD_MICROS = 400_000;
   private static final int PERIODS_PER_PROGRESS_UPDATE = 2;
-  private static final int MAX_REMEMBERED_PROGRESS = 5_000;
+  private static final int MAX_CACHED_JOB_PROGRESS = 5_000;
 
-  private final Parts parts;
+  private final Dependencies dependencies;
   private final Scheduler scheduler;
   private final LeaderElection election;
-  private final LocalLeader leader;
+  private final LocalLeader localLeader;
   private final HeartbeatDelegate delegate;
-  private final WriteRateAllocator writeRate;
-  private final MalformedMessageLog malformed = new MalformedMessageLog(LOG, "peer message");
+  private final WriteRateAllocator writeRateAllocator;
+  private final MalformedMessageLog malformedLog = new MalformedMessageLog(LOG, "peer message");
   private final Map<String, PeerStatus> peerStatuses = new HashMap<>();
 
-  /** Progress that a leader elsewhere has sent, by job. */
-  private final Map<String, JobProgress> reportedProgress =
-      BoundedMap.evictingOldest(MAX_REMEMBERED_PROGRESS);
+  /** The latest progress that a leader on another controller has sent, by job id. */
+  private final Map<String, JobProgress> progressFromLeader =
+      BoundedMap.evictingOldest(MAX_CACHED_JOB_PROGRESS);
 
-  private long lastPeriodMicros = -1;
-  private int readyPeriods;
+  private long lastStatusMicros = -1;
+
+  /** The number of status periods in which this controller was a ready leader. */
+  private int periodsAsReadyLeader;
 
   /**
-   * What a peer last said, and when.
+   * The latest status of a peer.
    *
-   * @param storeAnswers whether the store answers the peer
-   * @param heardMicros when it said so, on this controller's steady clock
+   * @param storeResponsive whether the store responds to the peer
+   * @param receivedMicros when the status was received, on this controller's steady clock
    */
-  record PeerStatus(boolean storeAnswers, long heardMicros) {}
+  record PeerStatus(boolean storeResponsive, long receivedMicros) {}
 
-  /** The parts of a controller that take part in the exchange. */
-  record Parts(
+  /** The components that the exchange uses; {@code member} is this controller's name. */
+  record Dependencies(
       Scheduler scheduler,
-      PeerMessenger peers,
+      PeerMessenger peerMessenger,
       String member,
       LeaderElection election,
-      LocalLeader leader,
+      LocalLeader localLeader,
       HeartbeatDelegate delegate,
-      HeartbeatEndpoint heartbeats,
+      HeartbeatEndpoint heartbeatEndpoint,
       StoreClient store,
-      WriteRateAllocator writeRate,
+      WriteRateAllocator writeRateAllocator,
       Metrics metrics) {}
 
-  PeerStatusExchange(Parts parts) {
-    this.parts = parts;
-    scheduler = parts.scheduler();
-    election = parts.election();
-    leader = parts.leader();
-    delegate = parts.delegate();
-    writeRate = parts.writeRate();
+  PeerStatusExchange(Dependencies dependencies) {
+    this.dependencies = dependencies;
+    scheduler = dependencies.scheduler();
+    election = dependencies.election();
+    localLeader = dependencies.localLeader();
+    delegate = dependencies.delegate();
+    writeRateAllocator = dependencies.writeRateAllocator();
   }
 
-  /** Begins to send status messages. */
+  /** Starts to send status messages periodically. */
   void start() {
-    scheduler.every(PERIOD_MICROS, this::sendStatus);
+    scheduler.every(STATUS_PERIOD_MICROS, this::sendStatus);
   }
 
-  /** What each peer last said, for peers that were heard since the start. */
+  /** The latest status of each peer that has sent one since the start; a live view. */
   Map<String, PeerStatus> peerStatuses() {
     return peerStatuses;
   }
 
-  /** A job's progress as a leader elsewhere has sent it; empty if none has. */
-  Optional<JobProgress> reportedProgress(String job) {
-    return Optional.ofNullable(reportedProgress.get(job));
+  /** The progress that a leader on another controller has sent for the job; empty if none has. */
+  Optional<JobProgress> progressFromLeader(String jobId) {
+    return Optional.ofNullable(progressFromLeader.get(jobId));
   }
 
   private void sendStatus() {
     long nowMicros = scheduler.nowMicros();
-    long sinceMicros = lastPeriodMicros < 0 ? PERIOD_MICROS : nowMicros - lastPeriodMicros;
-    lastPeriodMicros = nowMicros;
-    parts.metrics().record(Timing.LOOP_DELAY, sinceMicros - PERIOD_MICROS);
-    double spareWrites = leader.spareWritesPerSecond(sinceMicros);
-    shareWriteRate(spareWrites, sinceMicros, nowMicros);
+    long sinceLastStatusMicros =
+        lastStatusMicros < 0 ? STATUS_PERIOD_MICROS : nowMicros - lastStatusMicros;
+    lastStatusMicros = nowMicros;
+    dependencies.metrics().record(Timing.LOOP_DELAY, sinceLastStatusMicros - STATUS_PERIOD_MICROS);
+    double spareWrites = localLeader.spareWritesPerSecond(sinceLastStatusMicros);
+    updateWriteRateShare(spareWrites, sinceLastStatusMicros, nowMicros);
     sendNodeStatus(spareWrites);
     sendProgress();
     sendMembershipStatus(nowMicros);
   }
 
-  private void shareWriteRate(double spareWrites, long sinceMicros, long nowMicros) {
-    StoreClient store = parts.store();
-    writeRate.recordDemand(store.takeRequestedUserWrites() * 1e6 / Math.max(1, sinceMicros));
-    if (leader.isPresent()) {
-      writeRate.recordSpare(spareWrites, nowMicros);
+  private void updateWriteRateShare(
+      double spareWrites, long sinceLastStatusMicros, long nowMicros) {
+    StoreClient store = dependencies.store();
+    writeRateAllocator.recordLocalDemand(
+        store.takeRequestedUserWrites() * 1e6 / Math.max(1, sinceLastStatusMicros));
+    if (localLeader.isLeading()) {
+      writeRateAllocator.recordSpare(spareWrites, nowMicros);
     }
-    store.setUserWritesPerSecond(writeRate.sharePerSecond(nowMicros));
+    store.setUserWritesPerSecond(writeRateAllocator.localSharePerSecond(nowMicros));
   }
 
   private void sendNodeStatus(double spareWrites) {
     broadcast(
         new NodeStatus(
-            parts.member(),
+            dependencies.member(),
             election.highestTerm(),
             election.leader().orElse(""),
-            parts.store().isResponsive(),
+            dependencies.store().isResponsive(),
             (int) (1000 * spareWrites),
-            (int) (1000 * writeRate.demandPerSecond())));
+            (int) (1000 * writeRateAllocator.localDemandPerSecond())));
   }
 
   private void sendProgress() {
-    if (leader.isReady() && ++readyPeriods % PERIODS_PER_PROGRESS_UPDATE == 0) {
-      broadcast(leader.progressUpdate());
+    if (localLeader.isReady() && ++periodsAsReadyLeader % PERIODS_PER_PROGRESS_UPDATE == 0) {
+      broadcast(localLeader.progressUpdate());
     }
   }
 
   private void sendMembershipStatus(long nowMicros) {
-    long grantMicros = leader.grantMicros();
+    long grantMicros = localLeader.delegationGrantMicros();
     List<StampEcho> echoes = delegate.echoes();
     if (grantMicros > 0) {
       delegate.renewalSafeUntil(nowMicros + grantMicros);
-      echoes = leader.grantTo(echoes, grantMicros);
+      echoes = localLeader.grantDelegation(echoes, grantMicros);
     }
     delegate.statusMessages(election.highestTerm(), grantMicros, echoes).forEach(this::broadcast);
   }
 
   private void broadcast(PeerMessage message) {
-    parts.peers().broadcast(PeerMessageCodec.encode(message));
+    dependencies.peerMessenger().broadcast(PeerMessageCodec.encode(message));
   }
 
-  /** Takes a message from another controller. */
+  /** Handles a message from another controller; a malformed one is logged and ignored. */
   void receive(ByteBuffer bytes) {
     PeerMessage message;
     try {
       message = PeerMessageCodec.decode(bytes);
     } catch (MalformedMessageException e) {
-      malformed.log(e);
+      malformedLog.log(e);
       return;
     }
     dispatch(message);
@@ -170,11 +175,11 @@
     } else if (message instanceof MembershipStatus status) {
       receiveMembershipStatus(status);
     } else if (message instanceof DelegatedRenewals renewals) {
-      leader.recordRenewals(renewals);
+      localLeader.recordDelegatedRenewals(renewals);
     } else if (message instanceof ForwardedHeartbeat forwarded) {
-      parts.heartbeats().receive(forwarded);
+      dependencies.heartbeatEndpoint().receive(forwarded);
     } else if (message instanceof ForwardedResponse response) {
-      parts.heartbeats().receive(response);
+      dependencies.heartbeatEndpoint().receive(response);
     }
   }
 
@@ -182,22 +187,23 @@
     long nowMicros = scheduler.nowMicros();
     peerStatuses.put(status.member(), new PeerStatus(status.storeAnswers(), nowMicros));
     election.observeLeader(status.term(), status.leader());
-    writeRate.recordPeerDemand(status.member(), status.wantedMilliWrites() / 1000.0, nowMicros);
+    writeRateAllocator.recordPeerDemand(
+        status.member(), status.wantedMilliWrites() / 1000.0, nowMicros);
     boolean fromLeader = status.member().equals(election.leader().orElse(null));
-    if (!leader.isPresent() && fromLeader) {
-      writeRate.recordSpare(status.spareMilliWrites() / 1000.0, nowMicros);
+    if (!localLeader.isLeading() && fromLeader) {
+      writeRateAllocator.recordSpare(status.spareMilliWrites() / 1000.0, nowMicros);
     }
   }
 
   private void receiveProgress(ProgressUpdate update) {
     if (update.term() >= election.highestTerm()) {
-      update.jobs().forEach(job -> reportedProgress.put(job.job(), job));
+      update.jobs().forEach(job -> progressFromLeader.put(job.job(), job));
     }
   }
 
   private void receiveMembershipStatus(MembershipStatus status) {
     election.observeTerm(status.term());
     delegate.recordStatus(status, election.highestTerm());
-    leader.recordStatus(status, delegate.echoOfThisProcess(status));
+    localLeader.recordPeerStatus(status, delegate.echoOfThisProcess(status));
   }
 }
--- a/src/main/java/madderrudder/service/RequestRouter.java
+++ b/src/main/java/madderrudder/service/RequestRouter.java
@@ -6,68 +6,76 @@
 import madderrudder.transport.HttpResponse;
 
 /**
- * Routes each request to its endpoint by path and method: 404 for an unknown path, 405 for another
- * method. Confined to the event loop thread.
+ * Routes each request to its endpoint by path and method. The status is 404 for an unknown path and
+ * 405 for a method that the path does not support. Confined to the event loop thread.
  */
 final class RequestRouter implements HttpHandler {
-  /** Followed by a number, the path of the history of runs. */
-  static final String HISTORY = "/history/";
+  /** The path of the history of task runs, up to the run number. */
+  static final String HISTORY_PREFIX = "/history/";
 
-  private static final String HEALTH = "/healthz";
-  private static final String METRICS = "/metrics";
-  private static final String HEARTBEAT = "/hello";
-  private static final String JOBS = "/v1/jobs";
-  private static final String JOB = JOBS + "/";
+  private static final String HEALTH_PATH = "/healthz";
+  private static final String METRICS_PATH = "/metrics";
+  private static final String HEARTBEAT_PATH = "/hello";
+  private static final String JOBS_PATH = "/v1/jobs";
+  private static final String JOB_PREFIX = JOBS_PATH + "/";
   private static final String CANCEL_SUFFIX = "/withdraw";
 
-  private final DiagnosticsEndpoint diagnostics;
-  private final HeartbeatEndpoint heartbeats;
-  private final JobEndpoint jobs;
+  private final DiagnosticsEndpoint diagnosticsEndpoint;
+  private final HeartbeatEndpoint heartbeatEndpoint;
+  private final JobEndpoint jobEndpoint;
 
-  RequestRouter(DiagnosticsEndpoint diagnostics, HeartbeatEndpoint heartbeats, JobEndpoint jobs) {
-    this.diagnostics = diagnostics;
-    this.heartbeats = heartbeats;
-    this.jobs = jobs;
+  RequestRouter(
+      DiagnosticsEndpoint diagnosticsEndpoint,
+      HeartbeatEndpoint heartbeatEndpoint,
+      JobEndpoint jobEndpoint) {
+    this.diagnosticsEndpoint = diagnosticsEndpoint;
+    this.heartbeatEndpoint = heartbeatEndpoint;
+    this.jobEndpoint = jobEndpoint;
   }
 
   @Override
-  public void handle(HttpRequest request, Consumer<HttpResponse> answer) {
+  public void handle(HttpRequest request, Consumer<HttpResponse> callback) {
     String path = request.path();
-    if (path.equals(HEALTH)) {
-      get(request, answer, () -> answer.accept(diagnostics.health()));
-    } else if (path.equals(METRICS)) {
-      get(request, answer, () -> answer.accept(diagnostics.metrics()));
-    } else if (path.startsWith(HISTORY)) {
-      String afterNumber = path.substring(HISTORY.length());
-      get(request, answer, () -> answer.accept(diagnostics.history(afterNumber)));
-    } else if (path.equals(HEARTBEAT)) {
-      post(request, answer, () -> heartbeats.handle(request.body(), answer));
-    } else if (path.equals(JOBS)) {
-      post(request, answer, () -> jobs.submit(request.body(), answer));
-    } else if (path.startsWith(JOB) && path.endsWith(CANCEL_SUFFIX)) {
-      String id = path.substring(JOB.length(), path.length() - CANCEL_SUFFIX.length());
-      post(request, answer, () -> jobs.cancel(id, answer));
-    } else if (path.startsWith(JOB)) {
-      get(request, answer, () -> jobs.status(path.substring(JOB.length()), answer));
+    if (path.equals(HEALTH_PATH)) {
+      requireGet(request, callback, () -> callback.accept(diagnosticsEndpoint.health()));
+    } else if (path.equals(METRICS_PATH)) {
+      requireGet(request, callback, () -> callback.accept(diagnosticsEndpoint.metrics()));
+    } else if (path.startsWith(HISTORY_PREFIX)) {
+      String afterRun = path.substring(HISTORY_PREFIX.length());
+      requireGet(request, callback, () -> callback.accept(diagnosticsEndpoint.history(afterRun)));
+    } else if (path.equals(HEARTBEAT_PATH)) {
+      requirePost(request, callback, () -> heartbeatEndpoint.handle(request.body(), callback));
+    } else if (path.equals(JOBS_PATH)) {
+      requirePost(request, callback, () -> jobEndpoint.submit(request.body(), callback));
+    } else if (path.startsWith(JOB_PREFIX) && path.endsWith(CANCEL_SUFFIX)) {
+      String id = path.substring(JOB_PREFIX.length(), path.length() - CANCEL_SUFFIX.length());
+      requirePost(request, callback, () -> jobEndpoint.cancel(id, callback));
+    } else if (path.startsWith(JOB_PREFIX)) {
+      requireGet(
+          request,
+          callback,
+          () -> jobEndpoint.status(path.substring(JOB_PREFIX.length()), callback));
     } else {
-      answer.accept(Responses.error(404, "no such path"));
+      callback.accept(Responses.error(404, "no such path"));
     }
   }
 
-  private static void get(HttpRequest request, Consumer<HttpResponse> answer, Runnable action) {
-    only("GET", request, answer, action);
+  private static void requireGet(
+      HttpRequest request, Consumer<HttpResponse> callback, Runnable action) {
+    requireMethod("GET", request, callback, action);
   }
 
-  private static void post(HttpRequest request, Consumer<HttpResponse> answer, Runnable action) {
-    only("POST", request, answer, action);
+  private static void requirePost(
+      HttpRequest request, Consumer<HttpResponse> callback, Runnable action) {
+    requireMethod("POST", request, callback, action);
   }
 
-  private static void only(
-      String method, HttpRequest request, Consumer<HttpResponse> answer, Runnable action) {
+  private static void requireMethod(
+      String method, HttpRequest request, Consumer<HttpResponse> callback, Runnable action) {
     if (request.method().equals(method)) {
       action.run();
     } else {
-      answer.accept(Responses.error(405, "only " + method + " here"));
+      callback.accept(Responses.error(405, "only " + method + " here"));
     }
   }
 }
--- a/src/main/java/madderrudder/service/WorkerRedirects.java
+++ b/src/main/java/madderrudder/service/WorkerRedirects.java
@@ -7,94 +7,107 @@
 import madderrudder.util.BoundedMap;
 
 /**
- * Which workers come here because they can't reach the leader. A worker that is redirected to the
- * leader and is soon back has tried in vain; it is served here for a while, and then redirected
- * again, each worker at another time, so that most find the leader soon after it can be reached,
- * and few lose time on it before. Where several of a zone were back lately, others of the zone are
- * not redirected in vain first.
+ * Decides which workers this controller redirects to the leader and which it serves locally. A
+ * worker that returns soon after a redirect could not reach the leader. It is served locally for a
+ * random time and then redirected again. The random times spread the redirects, so that most
+ * workers find the leader soon after it becomes reachable, and few lose time before that. If
+ * several workers of a zone have returned recently, the zone counts as cut off from the leader, and
+ * its other workers are served locally without a first redirect.
  *
  * <p>Confined to the event loop thread; times are microseconds of the steady clock.
  */
 final class WorkerRedirects {
   /**
-   * A worker waits four seconds for an answer and one more before it tries the next node, of which
-   * there may be two.
+   * A worker that returns within this time after a redirect did not reach the leader. At each
+   * controller it waits 4 s for a response and 1 s before it tries the next one, and it may try two
+   * others before it returns.
    */
-  private static final long BACK_MICROS = 15_000_000;
+  private static final long RETURN_WINDOW_MICROS = 15_000_000;
 
-  private static final long MIN_SERVED_MICROS = 20_000_000;
+  /** The shortest time for which a worker is served locally; the longest is almost twice that. */
+  private static final long MIN_LOCAL_SERVICE_MICROS = 20_000_000;
 
-  /** So many workers of a zone that came back lately show that the zone is cut off. */
-  private static final int RETURNS_OF_CUT_ZONE = 3;
+  /** A zone counts as cut off after this many recent returns of its workers. */
+  private static final int CUT_OFF_ZONE_RETURNS = 3;
 
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   private final RandomGenerator random;
   private final Map<String, Decision> decisions;
 
-  /** When workers of each zone came back the last three times; there are few zones. */
-  private final Map<String, long[]> returns = new HashMap<>();
+  /** The times of the latest {@link #CUT_OFF_ZONE_RETURNS} returns in each zone; zones are few. */
+  private final Map<String, long[]> returnTimesByZone = new HashMap<>();
 
   /**
-   * What was last decided of a worker.
+   * The latest decision for a worker.
    *
-   * @param served whether it is served here, rather than was redirected
-   * @param untilMicros until when it is served; or until when its return means that it was
-   *     redirected in vain
+   * @param servedLocally whether the worker is served locally; otherwise it was redirected
+   * @param untilMicros the end of local service; or, after a redirect, the time before which a
+   *     return of the worker means that it did not reach the leader
    */
-  private record Decision(boolean served, long untilMicros) {}
+  private record Decision(boolean servedLocally, long untilMicros) {}
 
-  /** {@code maxWorkers} are remembered: as many as can be connected. */
+  /**
+   * Creates an instance without decisions.
+   *
+   * @param random draws the times of local service
+   * @param maxWorkers the most workers whose decisions are kept, as many as can be connected
+   */
   WorkerRedirects(RandomGenerator random, int maxWorkers) {
     this.random = random;
     decisions = BoundedMap.evictingOldest(maxWorkers);
   }
 
-  /** Whether the worker is to be served here; otherwise it is to be redirected to the leader. */
-  boolean isServedHere(String machine, String zone, long nowMicros) {
+  /**
+   * Decides on a heartbeat: true to serve the worker locally, false to redirect it to the leader.
+   */
+  boolean decideToServeLocally(String machine, String zone, long nowMicros) {
     Decision last = decisions.remove(machine);
-    boolean lasting = last != null && nowMicros < last.untilMicros();
-    if (lasting && last.served()) {
+    boolean inForce = last != null && nowMicros < last.untilMicros();
+    if (inForce && last.servedLocally()) {
       decisions.put(machine, last);
       return true;
     }
-    if (lasting) {
+    if (inForce) {
       recordReturn(zone, nowMicros);
     }
-    boolean wasServed = last != null && last.served();
-    boolean serve = lasting || (!wasServed && isCutOff(zone, nowMicros));
+    boolean wasServedLocally = last != null && last.servedLocally();
+    boolean serveLocally = inForce || (!wasServedLocally && isZoneCutOff(zone, nowMicros));
     decisions.put(
-        machine, serve ? served(nowMicros) : new Decision(false, nowMicros + BACK_MICROS));
-    return serve;
+        machine,
+        serveLocally
+            ? newLocalService(nowMicros)
+            : new Decision(false, nowMicros + RETURN_WINDOW_MICROS));
+    return serveLocally;
   }
 
-  private Decision served(long nowMicros) {
-    long forMicros = MIN_SERVED_MICROS + random.nextLong(MIN_SERVED_MICROS);
-    return new Decision(true, nowMicros + forMicros);
+  private Decision newLocalService(long nowMicros) {
+    long durationMicros = MIN_LOCAL_SERVICE_MICROS + random.nextLong(MIN_LOCAL_SERVICE_MICROS);
+    return new Decision(true, nowMicros + durationMicros);
   }
 
   private void recordReturn(String zone, long nowMicros) {
-    long[] times = returns.computeIfAbsent(zone, name -> neverReturned());
-    times[oldest(times)] = nowMicros;
+    long[] times = returnTimesByZone.computeIfAbsent(zone, name -> emptyReturnTimes());
+    times[indexOfOldest(times)] = nowMicros;
   }
 
-  private static long[] neverReturned() {
-    long[] times = new long[RETURNS_OF_CUT_ZONE];
+  private static long[] emptyReturnTimes() {
+    long[] times = new long[CUT_OFF_ZONE_RETURNS];
     Arrays.fill(times, NEVER);
     return times;
   }
 
-  private boolean isCutOff(String zone, long nowMicros) {
-    long[] times = returns.get(zone);
-    long oldestMicros = times == null ? NEVER : times[oldest(times)];
-    return nowMicros - oldestMicros < 2 * MIN_SERVED_MICROS;
+  private boolean isZoneCutOff(String zone, long nowMicros) {
+    long[] times = returnTimesByZone.get(zone);
+    long oldestMicros = times == null ? NEVER : times[indexOfOldest(times)];
+    return nowMicros - oldestMicros < 2 * MIN_LOCAL_SERVICE_MICROS;
   }
 
-  private static int oldest(long[] times) {
-    int oldest = 0;
+  private static int indexOfOldest(long[] times) {
+    int oldestIndex = 0;
     for (int i = 1; i < times.length; i++) {
-      oldest = times[i] < times[oldest] ? i : oldest;
+      oldestIndex = times[i] < times[oldestIndex] ? i : oldestIndex;
     }
-    return oldest;
+    return oldestIndex;
   }
 }
--- a/src/main/java/madderrudder/service/WriteRateAllocator.java
+++ b/src/main/java/madderrudder/service/WriteRateAllocator.java
@@ -4,75 +4,83 @@
 import java.util.Map;
 
 /**
- * Shares the store's write rate that is meant for users out among the controllers, by the demand of
- * their users: a load balancer that finds one controller healthy first sends everybody there, and
- * they stay. Each controller works out its own share from what it has heard lately; one that is not
- * heard keeps an equal share, so that together they never exceed the rate.
+ * Divides the part of the store's write rate that users get among the controllers, in proportion to
+ * the demand of their users. Demand may be uneven: a load balancer that finds one controller
+ * healthy first sends all users there, and they stay. Each controller computes its own share from
+ * the recent reports of its peers. For each peer without a recent report, an equal share stays
+ * reserved, so that the shares together never exceed the rate.
  *
- * <p>Confined to the event loop thread; rates are writes a second, times microseconds of the steady
- * clock.
+ * <p>Confined to the event loop thread. Rates are writes per second; times are microseconds of the
+ * steady clock.
  */
 final class WriteRateAllocator {
-  private static final long FRESH_MICROS = 2_000_000;
-  private static final double RECENT_WEIGHT = 0.5;
+  private static final long MAX_REPORT_AGE_MICROS = 2_000_000;
 
-  /** Each controller counts as wanting this at least: the next user may come to any of them. */
-  private static final double MIN_DEMAND = 1;
+  /** The weight of the latest period in the moving average of the local demand. */
+  private static final double LATEST_DEMAND_WEIGHT = 0.5;
 
-  private final double usersPerSecond;
-  private final int members;
-  private final Map<String, PeerDemand> peers = new HashMap<>();
-  private double demandPerSecond;
+  /** Added to the demand of each controller, since the next user may connect to any of them. */
+  private static final double MIN_DEMAND_PER_SECOND = 1;
+
+  private final double userWritesPerSecond;
+  private final int memberCount;
+  private final Map<String, PeerDemand> peerDemands = new HashMap<>();
+  private double localDemandPerSecond;
   private double sparePerSecond;
-  private long spareMicros;
+  private long spareReceivedMicros;
 
-  private record PeerDemand(double perSecond, long heardMicros) {}
+  /** A peer's latest report of its demand. */
+  private record PeerDemand(double perSecond, long receivedMicros) {}
 
   /**
-   * Creates an allocator that knows of no demand.
+   * Creates an allocator without demand.
    *
-   * @param usersPerSecond the rate to be shared out
-   * @param members the number of controllers
+   * @param userWritesPerSecond the rate to be divided among the controllers
+   * @param memberCount the number of controllers
    */
-  WriteRateAllocator(double usersPerSecond, int members) {
-    this.usersPerSecond = usersPerSecond;
-    this.members = members;
+  WriteRateAllocator(double userWritesPerSecond, int memberCount) {
+    this.userWritesPerSecond = userWritesPerSecond;
+    this.memberCount = memberCount;
   }
 
-  /** Notes what users have wanted here since the last time. */
-  void recordDemand(double perSecond) {
-    demandPerSecond += RECENT_WEIGHT * (perSecond - demandPerSecond);
+  /** Records the rate that users of this controller have requested since the previous call. */
+  void recordLocalDemand(double perSecond) {
+    localDemandPerSecond += LATEST_DEMAND_WEIGHT * (perSecond - localDemandPerSecond);
   }
 
-  /** The recent demand of the users here. */
-  double demandPerSecond() {
-    return demandPerSecond;
+  /** The moving average of the demand of this controller's users. */
+  double localDemandPerSecond() {
+    return localDemandPerSecond;
   }
 
-  /** Notes the demand of the users of another controller. */
+  /** Records the demand that a peer reports for its users. */
   void recordPeerDemand(String member, double perSecond, long nowMicros) {
-    peers.put(member, new PeerDemand(perSecond, nowMicros));
+    peerDemands.put(member, new PeerDemand(perSecond, nowMicros));
   }
 
-  /** Notes how much of its own rate the leader leaves over. */
+  /** Records the part of its own write rate that the leader currently leaves to users. */
   void recordSpare(double perSecond, long nowMicros) {
     sparePerSecond = perSecond;
-    spareMicros = nowMicros;
+    spareReceivedMicros = nowMicros;
   }
 
-  /** The rate that users may have here at this moment. */
-  double sharePerSecond(long nowMicros) {
-    boolean spareFresh = nowMicros - spareMicros < FRESH_MICROS;
-    double total = usersPerSecond + (spareFresh ? sparePerSecond : 0);
-    double own = demandPerSecond + MIN_DEMAND;
-    double sum = own;
-    int heard = 1;
-    for (PeerDemand peer : peers.values()) {
-      if (nowMicros - peer.heardMicros() < FRESH_MICROS) {
-        sum += peer.perSecond() + MIN_DEMAND;
-        heard++;
+  /** The current share of this controller's users. */
+  double localSharePerSecond(long nowMicros) {
+    boolean isSpareFresh = nowMicros - spareReceivedMicros < MAX_REPORT_AGE_MICROS;
+    double totalPerSecond = userWritesPerSecond + (isSpareFresh ? sparePerSecond : 0);
+    double localDemand = localDemandPerSecond + MIN_DEMAND_PER_SECOND;
+    double totalDemand = localDemand;
+    int reportingMembers = 1;
+    for (PeerDemand peer : peerDemands.values()) {
+      if (nowMicros - peer.receivedMicros() < MAX_REPORT_AGE_MICROS) {
+        totalDemand += peer.perSecond() + MIN_DEMAND_PER_SECOND;
+        reportingMembers++;
       }
     }
-    return total * Math.min(heard, members) / members * own / sum;
+    return totalPerSecond
+        * Math.min(reportingMembers, memberCount)
+        / memberCount
+        * localDemand
+        / totalDemand;
   }
 }
--- a/src/test/java/madderrudder/service/HealthCheckTest.java
+++ b/src/test/java/madderrudder/service/HealthCheckTest.java
@@ -10,11 +10,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against a controller that reports itself healthy while another one could serve its users,
+ * and against all controllers reporting themselves unhealthy during an outage of the store, which
+ * would keep users away after it.
+ */
 class HealthCheckTest {
   private static final long NOW_MICROS = 100_000_000;
   private static final Scheduler CLOCK = new ManualClock(NOW_MICROS);
 
-  /** Peers are given as how long ago each was heard in ms, with + if the store answered it. */
+  /**
+   * Each peer is given as the age of its latest status in ms, followed by + if the store responds
+   * to that peer.
+   */
   @ParameterizedTest
   @CsvSource(
       nullValues = "-",
@@ -30,14 +38,16 @@
         "true, false, 9000+, false",
         "true, false, 100 9000+, true"
       })
-  void usersAreSentElsewhereOnlyIfThatHelpsThem(
-      boolean catalogKnown, boolean storeAnswers, String heardPeers, boolean healthy) {
-    Map<String, PeerStatus> peers = new HashMap<>();
-    for (String peer : heardPeers == null ? new String[0] : heardPeers.split(" ")) {
-      long agoMicros = 1000 * Long.parseLong(peer.replace("+", ""));
-      peers.put("n-" + peers.size(), new PeerStatus(peer.endsWith("+"), NOW_MICROS - agoMicros));
+  void reportsUnhealthyOnlyIfPeersMayServeUsersBetter(
+      boolean catalogKnown, boolean storeResponsive, String peerList, boolean healthy) {
+    Map<String, PeerStatus> peerStatuses = new HashMap<>();
+    for (String peer : peerList == null ? new String[0] : peerList.split(" ")) {
+      long ageMicros = 1000 * Long.parseLong(peer.replace("+", ""));
+      peerStatuses.put(
+          "n-" + peerStatuses.size(), new PeerStatus(peer.endsWith("+"), NOW_MICROS - ageMicros));
     }
-    HealthCheck check = new HealthCheck(CLOCK, () -> catalogKnown, () -> storeAnswers, peers);
-    assertEquals(healthy, check.healthy());
+    HealthCheck check =
+        new HealthCheck(CLOCK, () -> catalogKnown, () -> storeResponsive, peerStatuses);
+    assertEquals(healthy, check.isHealthy());
   }
 }
--- a/src/test/java/madderrudder/service/WorkerRedirectsTest.java
+++ b/src/test/java/madderrudder/service/WorkerRedirectsTest.java
@@ -6,69 +6,77 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against the loss of workers' leases through redirects to a leader that they can't reach,
+ * and against workers that are served locally for good although the leader is reachable again.
+ */
 class WorkerRedirectsTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
   private final WorkerRedirects redirects = new WorkerRedirects(new SplittableRandom(1), 100);
 
-  private boolean isServedHere(String machine, String zone, long seconds) {
-    return redirects.isServedHere(machine, zone, seconds * SECOND);
+  private boolean decideToServeLocally(String machine, String zone, long seconds) {
+    return redirects.decideToServeLocally(machine, zone, seconds * SECOND_MICROS);
   }
 
-  private void threeWorkersReturnFrom(String zone) {
+  private void returnThreeWorkersOf(String zone) {
     for (String machine : new String[] {"m-1", "m-2", "m-3"}) {
-      assertFalse(isServedHere(machine, zone, 0));
-      assertTrue(isServedHere(machine, zone, 5));
+      assertFalse(decideToServeLocally(machine, zone, 0));
+      assertTrue(decideToServeLocally(machine, zone, 5));
     }
   }
 
   @Test
-  void aWorkerThatReturnsSoonIsServedForAWhileAndThenRedirectedAgain() {
-    assertFalse(isServedHere("m-1", "east", 0));
-    assertTrue(isServedHere("m-1", "east", 6));
-    assertTrue(isServedHere("m-1", "east", 25));
-    assertFalse(isServedHere("m-1", "east", 60));
-    assertTrue(isServedHere("m-1", "east", 66));
+  void workerThatReturnsSoonIsServedLocallyAndLaterRedirectedAgain() {
+    assertFalse(decideToServeLocally("m-1", "east", 0));
+    assertTrue(decideToServeLocally("m-1", "east", 6));
+    assertTrue(decideToServeLocally("m-1", "east", 25));
+    assertFalse(decideToServeLocally("m-1", "east", 60));
+    assertTrue(decideToServeLocally("m-1", "east", 66));
   }
 
   @Test
-  void aWorkerThatReturnsMuchLaterHadReachedTheLeader() {
-    assertFalse(isServedHere("m-1", "east", 0));
-    assertFalse(isServedHere("m-1", "east", 20));
+  void workerThatReturnsAfterReturnWindowIsRedirected() {
+    assertFalse(decideToServeLocally("m-1", "east", 0));
+    assertFalse(decideToServeLocally("m-1", "east", 20));
   }
 
-  /** Redirected in vain first, each worker of the zone would lose ten seconds of its lease. */
+  /**
+   * A first redirect to an unreachable leader would cost each worker of the zone 10 s of its lease.
+   */
   @Test
-  void othersOfAZoneThatIsCutOffAreServedAtOnce() {
-    threeWorkersReturnFrom("east");
-    assertTrue(isServedHere("m-4", "east", 6));
+  void otherWorkersOfCutOffZoneAreServedWithoutRedirect() {
+    returnThreeWorkersOf("east");
+    assertTrue(decideToServeLocally("m-4", "east", 6));
   }
 
   @Test
-  void otherZonesThanTheOneCutOffAreRedirected() {
-    threeWorkersReturnFrom("east");
-    assertTrue(isServedHere("m-4", "east", 6));
-    assertFalse(isServedHere("m-5", "west", 6));
+  void workersOfOtherZonesAreRedirected() {
+    returnThreeWorkersOf("east");
+    assertTrue(decideToServeLocally("m-4", "east", 6));
+    assertFalse(decideToServeLocally("m-5", "west", 6));
   }
 
   @Test
-  void aZoneIsNoLongerTakenForCutOffOnceNobodyReturnedForLong() {
-    threeWorkersReturnFrom("east");
-    assertTrue(isServedHere("m-4", "east", 6));
-    assertFalse(isServedHere("m-6", "east", 60), "nobody returned for long");
+  void zoneIsNotCutOffAfterLongTimeWithoutReturns() {
+    returnThreeWorkersOf("east");
+    assertTrue(decideToServeLocally("m-4", "east", 6));
+    assertFalse(
+        decideToServeLocally("m-6", "east", 60),
+        "zone still counts as cut off 55 s after the latest return");
   }
 
-  /** All redirected again at the same moment, they would lose time together. */
+  /** If all workers were redirected again at the same moment, they would all lose time together. */
   @Test
   void workersAreRedirectedAgainAtDifferentTimes() {
     int redirected = 0;
     for (int i = 0; i < 50; i++) {
-      isServedHere("m-" + i, "east", 0);
-      isServedHere("m-" + i, "east", 5);
+      decideToServeLocally("m-" + i, "east", 0);
+      decideToServeLocally("m-" + i, "east", 5);
     }
     for (int i = 0; i < 50; i++) {
-      redirected += isServedHere("m-" + i, "east", 30) ? 0 : 1;
+      redirected += decideToServeLocally("m-" + i, "east", 30) ? 0 : 1;
     }
-    assertTrue(redirected > 5 && redirected < 45, redirected + " of 50");
+    assertTrue(redirected > 5 && redirected < 45, redirected + " of 50 workers redirected");
   }
 }
--- a/src/test/java/madderrudder/service/WriteRateAllocatorTest.java
+++ b/src/test/java/madderrudder/service/WriteRateAllocatorTest.java
@@ -7,80 +7,89 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against write rate that lies idle on controllers without users while the users of another
+ * controller are refused, and against shares that together exceed the store's rate.
+ */
 class WriteRateAllocatorTest {
-  private static final long SECOND = 1_000_000;
-  private static final double RATE = 9;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final double USER_WRITES_PER_SECOND = 9;
   private static final int MEMBERS = 3;
 
-  private final WriteRateAllocator busy = new WriteRateAllocator(RATE, MEMBERS);
+  private final WriteRateAllocator allocator =
+      new WriteRateAllocator(USER_WRITES_PER_SECOND, MEMBERS);
 
   @BeforeEach
-  void usersWantMuchHere() {
+  void recordHighLocalDemand() {
     for (int i = 0; i < 20; i++) {
-      busy.recordDemand(100);
+      allocator.recordLocalDemand(100);
     }
   }
 
-  private void peersHaveNoDemand() {
-    busy.recordPeerDemand("n-1", 0, SECOND);
-    busy.recordPeerDemand("n-2", 0, SECOND);
+  private void recordIdlePeers() {
+    allocator.recordPeerDemand("n-1", 0, SECOND_MICROS);
+    allocator.recordPeerDemand("n-2", 0, SECOND_MICROS);
   }
 
   @Test
-  void withoutNewsOfThePeersTheShareIsEqual() {
-    assertEquals(3, busy.sharePerSecond(SECOND), 0.01);
+  void shareIsEqualWithoutReportsOfPeers() {
+    assertEquals(3, allocator.localSharePerSecond(SECOND_MICROS), 0.01);
   }
 
   /**
-   * Everybody came to one controller, which had a third of the writes, and the others' went unused.
+   * With equal shares, a controller that all users connected to had a third of the write rate, and
+   * the shares of the others were unused.
    */
   @Test
-  void aControllerWhoseUsersWantMoreGetsMore() {
-    assertEquals(3, busy.sharePerSecond(SECOND), 0.01);
-    peersHaveNoDemand();
-    assertTrue(busy.sharePerSecond(SECOND) > 8.5);
+  void controllerWithMoreDemandGetsLargerShare() {
+    assertEquals(3, allocator.localSharePerSecond(SECOND_MICROS), 0.01);
+    recordIdlePeers();
+    assertTrue(allocator.localSharePerSecond(SECOND_MICROS) > 8.5);
   }
 
   @Test
-  void whatTheLeaderLeavesOverIsSharedToo() {
-    peersHaveNoDemand();
-    busy.recordSpare(12, SECOND);
-    assertTrue(busy.sharePerSecond(SECOND) > 20);
+  void spareRateOfLeaderIsShared() {
+    recordIdlePeers();
+    allocator.recordSpare(12, SECOND_MICROS);
+    assertTrue(allocator.localSharePerSecond(SECOND_MICROS) > 20);
   }
 
   @Test
-  void newsIsForgottenAfterAWhile() {
-    peersHaveNoDemand();
-    busy.recordSpare(12, SECOND);
-    assertEquals(3, busy.sharePerSecond(10 * SECOND), 0.01);
+  void staleReportsAreIgnored() {
+    recordIdlePeers();
+    allocator.recordSpare(12, SECOND_MICROS);
+    assertEquals(3, allocator.localSharePerSecond(10 * SECOND_MICROS), 0.01);
   }
 
-  /** Whatever is wanted and whoever is heard. */
+  /** Holds for any demand and any set of peers whose reports arrive. */
   @Test
-  void sharesNeverExceedTheRateTogether() {
+  void sumOfSharesNeverExceedsRate() {
     SplittableRandom random = new SplittableRandom(3);
     for (int round = 0; round < 200; round++) {
       double sum = sumOfShares(random);
-      assertTrue(sum <= RATE + 0.0001, sum + " of " + RATE);
+      assertTrue(
+          sum <= USER_WRITES_PER_SECOND + 0.0001,
+          "sum of shares is " + sum + ", rate is " + USER_WRITES_PER_SECOND);
     }
   }
 
-  /** The shares of three controllers with random demands, the third of which may be cut off. */
+  /** The sum of the shares of three controllers with random demands, the third perhaps isolated. */
   private static double sumOfShares(SplittableRandom random) {
-    WriteRateAllocator[] nodes = new WriteRateAllocator[MEMBERS];
+    WriteRateAllocator[] allocators = new WriteRateAllocator[MEMBERS];
     for (int i = 0; i < MEMBERS; i++) {
-      nodes[i] = new WriteRateAllocator(RATE, MEMBERS);
-      nodes[i].recordDemand(random.nextDouble(50));
+      allocators[i] = new WriteRateAllocator(USER_WRITES_PER_SECOND, MEMBERS);
+      allocators[i].recordLocalDemand(random.nextDouble(50));
     }
-    boolean cut = random.nextBoolean();
+    boolean thirdIsolated = random.nextBoolean();
     double sum = 0;
     for (int i = 0; i < MEMBERS; i++) {
       for (int j = 0; j < MEMBERS; j++) {
-        if (i != j && !(cut && (i == 2 || j == 2))) {
-          nodes[i].recordPeerDemand("n-" + j, nodes[j].demandPerSecond(), SECOND);
+        if (i != j && !(thirdIsolated && (i == 2 || j == 2))) {
+          allocators[i].recordPeerDemand(
+              "n-" + j, allocators[j].localDemandPerSecond(), SECOND_MICROS);
         }
       }
-      sum += nodes[i].sharePerSecond(SECOND);
+      sum += allocators[i].localSharePerSecond(SECOND_MICROS);
     }
     return sum;
   }
