--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and writes the messages exchanged with the cloud. */
+/** Encodes requests to the cloud and decodes its responses. */
 public final class CloudCodec {
   private static final EnumNames<MachineState> STATES =
       new EnumNames<>(MachineState.class)
@@ -13,16 +13,16 @@
 
   /** The state of a machine in the cloud's list. */
   public enum MachineState {
-    /** Rented, but its worker does not run yet as far as the cloud knows. */
+    /** Rented; according to the cloud, its worker does not run yet. */
     BOOTING,
-    /** Up, or died a short while ago. */
+    /** Running, or failed so recently that the list does not show it yet. */
     RUNNING,
-    /** Stopped by itself; it costs nothing any more and stays listed until it is deleted. */
+    /** Failed; the cloud no longer charges for it and lists it until it is deleted. */
     FAILED
   }
 
   /**
-   * A machine in the cloud's list, which lags behind.
+   * A machine in the cloud's list, which the cloud updates with a delay.
    *
    * @param id the machine's id
    * @param address the address of its worker; empty if it is not known yet
@@ -30,7 +30,7 @@
    * @param zone its zone
    * @param spot whether it is a spot machine
    * @param state its state
-   * @param ageMicros the time since it was rented, when the list was made
+   * @param ageMicros the time from its rental to the creation of the list
    */
   public record ListedMachine(
       String id,
@@ -44,8 +44,8 @@
   /**
    * A page of the machine list.
    *
-   * @param machines the machines, in the order of their ids
-   * @param more whether the list goes on behind them
+   * @param machines the machines, ordered by id
+   * @param more whether further pages follow
    */
   public record Page(List<ListedMachine> machines, boolean more) {}
 
@@ -80,14 +80,16 @@
   }
 
   /**
-   * The body of a request to rent machines.
+   * Encodes the body of a request to rent machines.
    *
-   * @param request the idempotency key; a repeated request rents nothing more
+   * @param idempotencyKey the key of the request; the cloud rents no further machines when a
+   *     request with the same key is repeated
    */
-  public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
+  public static byte[] rent(
+      String idempotencyKey, String type, String zone, boolean spot, int count) {
     return Json.object(
         out -> {
-          out.writeStringField(CloudFields.REQUEST, request);
+          out.writeStringField(CloudFields.IDEMPOTENCY_KEY, idempotencyKey);
           out.writeStringField(CloudFields.MACHINE_TYPE, type);
           out.writeStringField(CloudFields.ZONE, zone);
           out.writeBooleanField(CloudFields.SPOT, spot);
@@ -98,13 +100,17 @@
   /**
    * Reads the ids of the machines that were rented.
    *
-   * @throws MalformedMessageException if the body is not such an answer
+   * @throws MalformedMessageException if the body is not a list of ids
    */
   public static List<String> readRented(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).texts(CloudFields.MACHINES);
   }
 
-  /** The body of a request to delete machines. */
+  /**
+   * Encodes the body of a request to delete machines.
+   *
+   * @param machines the ids of the machines
+   */
   public static byte[] delete(List<String> machines) {
     return Json.object(
         out -> {
@@ -119,7 +125,7 @@
   /**
    * Reads a page of the machine list.
    *
-   * @throws MalformedMessageException if the body is not such a page
+   * @throws MalformedMessageException if a field is missing or invalid
    */
   public static Page readPage(byte[] body) throws MalformedMessageException {
     JsonFields in = Json.readObject(body);
--- a/src/main/java/madderrudder/protocol/CloudFields.java
+++ b/src/main/java/madderrudder/protocol/CloudFields.java
@@ -1,8 +1,8 @@
 package madderrudder.protocol;
 
 /**
- * The names of the fields of messages to and from the cloud. The protocol gives them themed names;
- * each constant is named for the standard term that the rest of the program uses.
+ * Field names of messages to and from the cloud. The wire protocol uses nautical names; each
+ * constant is named after the standard term that the rest of the program uses.
  */
 final class CloudFields {
   /** The machine types of the catalog. */
@@ -11,19 +11,22 @@
   /** The name of a machine type: {@link MachineType#name()}. */
   static final String TYPE_NAME = "label";
 
-  /** The processors of a machine of the type. */
+  /** The number of CPUs of a machine of the type. */
   static final String CPUS = "cores";
 
-  /** The GPUs of a machine of the type. */
+  /** The number of GPUs of a machine of the type. */
   static final String GPUS = "accelerators";
 
   /** The memory of a machine of the type in GB. */
   static final String MEMORY_GB = "mem_gb";
 
-  /** The size of the image cache in GB: {@link MachineType#cacheGb()}. */
+  /** The size of a machine's image cache in GB: {@link MachineType#cacheGb()}. */
   static final String IMAGE_CACHE_GB = "local_gb";
 
-  /** The rate at which images are fetched, in GB per second: {@link MachineType#fetchGbPerS()}. */
+  /**
+   * The rate at which a machine fetches images, in GB per second: {@link
+   * MachineType#fetchGbPerS()}.
+   */
   static final String FETCH_GB_PER_SECOND = "fetch_gb_per_s";
 
   /** The price per hour of an ordinary machine: {@link MachineType#price()}. */
@@ -32,28 +35,28 @@
   /** The price per hour of a spot machine: {@link MachineType#spotPrice()}. */
   static final String SPOT_PRICE = "spot_price";
 
-  /** The usual time in seconds that a machine takes to boot: {@link MachineType#bootMicros()}. */
+  /** The usual boot time of a machine in seconds: {@link MachineType#bootMicros()}. */
   static final String BOOT_SECONDS = "startup_s";
 
-  /** The zones where the type is offered: {@link MachineType#zones()}. */
+  /** The zones in which the type is offered: {@link MachineType#zones()}. */
   static final String ZONES = "berths";
 
   /** The idempotency key of a rental request. */
-  static final String REQUEST = "charter";
+  static final String IDEMPOTENCY_KEY = "charter";
 
-  /** The type of a machine, or the one to rent. */
+  /** The type of a listed machine, or of the machines to rent. */
   static final String MACHINE_TYPE = "build";
 
-  /** The zone of a machine, or the one to rent in. */
+  /** The zone of a listed machine, or of the machines to rent. */
   static final String ZONE = "berth";
 
-  /** Whether a machine is a spot machine, or a spot machine is to be rented. */
+  /** Whether a listed machine is a spot machine, or whether to rent spot machines. */
   static final String SPOT = "driftwood";
 
   /** The number of machines to rent. */
   static final String COUNT = "how_many";
 
-  /** The machines of the list, or the names of those rented or to be deleted. */
+  /** The listed machines, or the ids of the machines that were rented or are to be deleted. */
   static final String MACHINES = "fleet";
 
   /** The id of a listed machine. */
@@ -62,13 +65,13 @@
   /** The address of a listed machine's worker. */
   static final String ADDRESS = "addr";
 
-  /** The state of a listed machine. */
+  /** The state of a listed machine: {@link CloudCodec.MachineState}. */
   static final String STATE = "trim";
 
   /** The time in seconds since the rental request of a listed machine. */
   static final String AGE_SECONDS = "held_s";
 
-  /** Whether the list goes on after this page. */
+  /** Whether further pages of the list follow. */
   static final String MORE = "more";
 
   private CloudFields() {}
--- a/src/main/java/madderrudder/protocol/EnumNames.java
+++ b/src/main/java/madderrudder/protocol/EnumNames.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The names that the values of an enum have on the wire, each written down once for reading and
- * writing.
+ * The mapping between the constants of an enum and their names on the wire, used for both reading
+ * and writing.
  */
 final class EnumNames<E extends Enum<E>> {
   private final Map<E, String> names;
@@ -16,24 +16,30 @@
     names = new EnumMap<>(type);
   }
 
-  /** Adds a value with its name; both are used once. */
+  /**
+   * Adds a constant with its wire name, neither of which was added before; returns this mapping.
+   */
   EnumNames<E> with(String name, E value) {
     names.put(value, name);
     values.put(name, value);
     return this;
   }
 
-  /** The value's name on the wire; null if it has none. */
+  /** The constant's name on the wire; null if it has none. */
   String nameOf(E value) {
     return names.get(value);
   }
 
-  /** The value with that name, or the default if no value has it. */
+  /** The constant with the wire name, or the default if no constant has it. */
   E valueOf(String name, E defaultValue) {
     return values.getOrDefault(name, defaultValue);
   }
 
-  /** The value that the object's field names; the message is malformed if there is none. */
+  /**
+   * The constant that is named by a text field of the object.
+   *
+   * @throws MalformedMessageException if the field is missing, not a string, or names no constant
+   */
   E read(JsonFields in, String field) throws MalformedMessageException {
     String name = in.text(field);
     E value = values.get(name);
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -7,15 +7,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads and writes jobs, as users submit them and as they are stored, and the answers to users. A
- * stored job has the fields of a submitted one.
+ * Reads jobs that users submit, reads and writes the same fields in stored jobs, and encodes the
+ * responses to users.
  */
 public final class JobCodec {
   /** The largest number of tasks that a job may have. */
   public static final int MAX_TASKS = 100_000;
 
-  private static final Pattern ID = Pattern.compile("req-[0-9]{1,18}");
-  private static final int MAX_NAME = 200;
+  private static final Pattern ID_PATTERN = Pattern.compile("req-[0-9]{1,18}");
+  private static final int MAX_NAME_LENGTH = 200;
 
   private static final EnumNames<JobKind> KINDS =
       new EnumNames<>(JobKind.class)
@@ -39,16 +39,16 @@
 
   private JobCodec() {}
 
-  /** Whether the text has the form of a job id. */
+  /** Whether the text is a well-formed job id: {@code req-} and 1 to 18 digits. */
   public static boolean validId(String id) {
-    return ID.matcher(id).matches();
+    return ID_PATTERN.matcher(id).matches();
   }
 
   /**
-   * Reads the id alone, so that a known job is recognised before anything else of a repeated
-   * submission is judged.
+   * Reads only the id, so that a repeated submission of a known job is recognized before its other
+   * fields are validated.
    *
-   * @throws MalformedMessageException if there is no valid id
+   * @throws MalformedMessageException if the id is missing or invalid
    */
   public static String readId(JsonFields in) throws MalformedMessageException {
     String id = in.text(JobFields.ID);
@@ -59,13 +59,12 @@
   }
 
   /**
-   * Reads a job. Only the machine types, the zone and the deadline may be null, and so may be left
-   * out.
+   * Reads a job. Only the machine types, the zone and the deadline may be null or absent.
    *
-   * @throws MalformedMessageException with the name of a field that is missing or invalid
+   * @throws MalformedMessageException if a field is missing or invalid; it names the field
    */
   public static JobSpec read(JsonFields in) throws MalformedMessageException {
-    // Which of several invalid fields is named depends on this order.
+    // The order of the reads determines which of several invalid fields the exception names.
     JobKind kind = KINDS.read(in, JobFields.KIND);
     Priority priority = PRIORITIES.read(in, JobFields.PRIORITY);
     int tasks = readTaskCount(in);
@@ -94,9 +93,9 @@
   }
 
   private static int readTaskCount(JsonFields in) throws MalformedMessageException {
-    long tasks = in.count(JobFields.TASKS);
+    long tasks = in.count(JobFields.TASK_COUNT);
     if (tasks < 1 || tasks > MAX_TASKS) {
-      throw MalformedMessageException.ofField(JobFields.TASKS, "is out of range", tasks);
+      throw MalformedMessageException.ofField(JobFields.TASK_COUNT, "is out of range", tasks);
     }
     return (int) tasks;
   }
@@ -112,7 +111,7 @@
     return perTask;
   }
 
-  /** The allowed machine types; null if any is. */
+  /** Reads the allowed machine types; null if the job may use any type. */
   private static Set<String> readMachineTypes(JsonFields in) throws MalformedMessageException {
     if (!in.has(JobFields.MACHINE_TYPES)) {
       return null;
@@ -126,20 +125,20 @@
 
   private static String readName(JsonFields in, String field) throws MalformedMessageException {
     String text = in.text(field);
-    if (text.isEmpty() || text.length() > MAX_NAME) {
+    if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
       throw MalformedMessageException.missingOrInvalid(field, text);
     }
     return text;
   }
 
-  /** Writes the job's fields into an open object. */
+  /** Writes the job's fields into the JSON object that is open in the generator. */
   public static void write(JsonGenerator out, JobSpec job) throws IOException {
     out.writeStringField(JobFields.ID, job.id());
     out.writeStringField(JobFields.JOB_CLASS, job.jobClass());
     out.writeStringField(JobFields.TEAM, job.team());
     out.writeStringField(JobFields.KIND, KINDS.nameOf(job.kind()));
     out.writeStringField(JobFields.PRIORITY, PRIORITIES.nameOf(job.priority()));
-    out.writeNumberField(JobFields.TASKS, job.tasks());
+    out.writeNumberField(JobFields.TASK_COUNT, job.tasks());
     out.writeNumberField(JobFields.CPUS, job.perTask().milliCpus() / 1000.0);
     out.writeNumberField(JobFields.GPUS, job.perTask().milliGpus() / 1000.0);
     out.writeNumberField(JobFields.MEMORY_GB, job.perTask().memoryMb() / 1000.0);
@@ -171,7 +170,7 @@
     out.writeBooleanField(JobFields.SPOT_ALLOWED, job.spotAllowed());
   }
 
-  /** The answer to a submission or a cancellation. */
+  /** Encodes the response to a submission or a cancellation. */
   public static byte[] state(String id, JobState state) {
     return Json.object(
         out -> {
@@ -181,10 +180,10 @@
   }
 
   /**
-   * The answer to a poll.
+   * Encodes the response to a poll of a job's status.
    *
-   * @param done how many of its tasks are completed
-   * @param running how many of its tasks run
+   * @param done the number of completed tasks
+   * @param running the number of running tasks
    */
   public static byte[] status(String id, JobState state, int done, int running) {
     return Json.object(
--- a/src/main/java/madderrudder/protocol/JobFields.java
+++ b/src/main/java/madderrudder/protocol/JobFields.java
@@ -1,8 +1,8 @@
 package madderrudder.protocol;
 
 /**
- * The names of a job's fields on the wire and in the store. The protocol gives them themed names;
- * each constant is named for the standard term that the rest of the program uses.
+ * Field names of a job on the wire and in the store. The wire protocol uses nautical names; each
+ * constant is named after the standard term that the rest of the program uses.
  */
 final class JobFields {
   /** The job's id, for example {@code req-000412}: {@link JobSpec#id()}. */
@@ -14,19 +14,19 @@
   /** The team whose quota applies: {@link JobSpec#team()}. */
   static final String TEAM = "crew";
 
-  /** The kind of job, array, gang or service: {@link JobSpec#kind()}. */
+  /** The kind of job (array, gang or service): {@link JobSpec#kind()}. */
   static final String KIND = "cut";
 
   /** The job's priority: {@link JobSpec#priority()}. */
   static final String PRIORITY = "rank";
 
   /** The number of tasks: {@link JobSpec#tasks()}. */
-  static final String TASKS = "strokes";
+  static final String TASK_COUNT = "strokes";
 
-  /** The processors that one task needs: {@link Resources#milliCpus()} of a task. */
+  /** The number of CPUs that one task needs: {@link Resources#milliCpus()} of a task. */
   static final String CPUS = "cores";
 
-  /** The GPUs that one task needs: {@link Resources#milliGpus()} of a task. */
+  /** The number of GPUs that one task needs: {@link Resources#milliGpus()} of a task. */
   static final String GPUS = "accelerators";
 
   /** The memory in GB that one task needs: {@link Resources#memoryMb()} of a task. */
@@ -44,10 +44,10 @@
   /** The only zone that the job may use: {@link JobSpec#zone()}. */
   static final String ZONE = "berth";
 
-  /** Whether all tasks have to be in the same zone: {@link JobSpec#oneZone()}. */
+  /** Whether all tasks must run in the same zone: {@link JobSpec#oneZone()}. */
   static final String ONE_ZONE = "one_zone";
 
-  /** Whether the tasks have to be spread over zones: {@link JobSpec#spread()}. */
+  /** Whether the tasks must be spread over zones: {@link JobSpec#spread()}. */
   static final String SPREAD = "apart";
 
   /** Whether the job may use spot machines: {@link JobSpec#spotAllowed()}. */
@@ -56,7 +56,9 @@
   /** The owner's estimate of a task's run time in seconds: {@link JobSpec#estimateMicros()}. */
   static final String ESTIMATE_SECONDS = "reckon_s";
 
-  /** The interval between checkpoints in seconds: {@link JobSpec#checkpointIntervalMicros()}. */
+  /**
+   * The progress between two checkpoints in seconds: {@link JobSpec#checkpointIntervalMicros()}.
+   */
   static final String CHECKPOINT_INTERVAL_SECONDS = "mark_s";
 
   /** The time in seconds that a task needs to save a checkpoint when it is stopped. */
@@ -65,13 +67,13 @@
   /** The deadline in seconds after submission: {@link JobSpec#deadlineMicros()}. */
   static final String DEADLINE_SECONDS = "tide_s";
 
-  /** The state of the job in an answer to its user: {@link JobState}. */
+  /** The state of the job in a response to its user: {@link JobState}. */
   static final String STATE = "trim";
 
-  /** The number of completed tasks in the answer to a poll. */
+  /** The number of completed tasks in the response to a poll. */
   static final String TASKS_DONE = "done";
 
-  /** The number of running tasks in the answer to a poll. */
+  /** The number of running tasks in the response to a poll. */
   static final String TASKS_RUNNING = "running";
 
   private JobFields() {}
--- a/src/main/java/madderrudder/protocol/JobKind.java
+++ b/src/main/java/madderrudder/protocol/JobKind.java
@@ -1,10 +1,10 @@
 package madderrudder.protocol;
 
-/** How the tasks of a job belong together; the wire's field is {@code cut}. */
+/** Whether the tasks of a job are independent, run together as a gang, or are service replicas. */
 public enum JobKind {
-  /** A job array: independent tasks, each runs to completion. */
+  /** A job array: independent tasks, each of which runs to completion. */
   ARRAY,
-  /** Gang scheduling: all tasks run at the same time or none does. */
+  /** Gang scheduling: all tasks run at the same time, or none runs. */
   GANG,
   /** Replicas that run until the job is cancelled. */
   SERVICE
--- a/src/main/java/madderrudder/protocol/JobSpec.java
+++ b/src/main/java/madderrudder/protocol/JobSpec.java
@@ -8,22 +8,23 @@
  * @param id the job's id, which the user chose
  * @param jobClass the class of jobs that it belongs to
  * @param team the team whose quota applies
- * @param kind how its tasks belong together
+ * @param kind whether it is an array, a gang or a service
  * @param priority its priority
  * @param tasks the number of tasks
- * @param perTask what each task takes of its machine
+ * @param perTask the resources that each task needs
  * @param image the container image
  * @param imageGb the size of the image in GB
  * @param types the allowed machine types; null if all are
  * @param zone the only allowed zone; null if all are
- * @param oneZone whether all tasks must be in the same zone
- * @param spread whether the tasks must be spread over zones, see {@link #mostPerZone()}
+ * @param oneZone whether all tasks must run in the same zone
+ * @param spread whether the tasks must be spread over zones; see {@link #mostPerZone()}
  * @param spotAllowed whether the job may use spot machines
  * @param estimateMicros the owner's estimate of a task's run time; 0 for services
- * @param checkpointIntervalMicros the interval of progress between checkpoints; 0 if tasks never
- *     save
- * @param checkpointSaveMicros the time that a task needs to save when it is stopped
- * @param deadlineMicros when the job should be complete, from its submission; 0 without a deadline
+ * @param checkpointIntervalMicros the progress of a task between two checkpoints; 0 if tasks save
+ *     no checkpoints
+ * @param checkpointSaveMicros the time that a task needs to save a checkpoint when it is stopped
+ * @param deadlineMicros the time from submission within which the job should complete; 0 if it has
+ *     no deadline
  */
 public record JobSpec(
     String id,
@@ -45,7 +46,10 @@
     long checkpointSaveMicros,
     long deadlineMicros) {
 
-  /** The largest number of its tasks that may be in the same zone. */
+  /**
+   * The largest number of the job's tasks that may run in the same zone: half of them, rounded up,
+   * if the tasks must be spread over zones.
+   */
   public int mostPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/madderrudder/protocol/JobState.java
+++ b/src/main/java/madderrudder/protocol/JobState.java
@@ -1,17 +1,17 @@
 package madderrudder.protocol;
 
-/** The state of a job as its user sees it. */
+/** The state of a job in the responses to its user. */
 public enum JobState {
-  /** Accepted, and no task runs. */
+  /** Accepted; no task runs. */
   PENDING,
   /** At least one task runs. */
   RUNNING,
-  /** All tasks are completed. */
+  /** All tasks have completed. */
   DONE,
   /** Cancelled by its user. */
   CANCELLED;
 
-  /** Whether the job stays in this state for ever. */
+  /** Whether the job can't leave this state. */
   public boolean isFinal() {
     return this == DONE || this == CANCELLED;
   }
--- a/src/main/java/madderrudder/protocol/Json.java
+++ b/src/main/java/madderrudder/protocol/Json.java
@@ -15,25 +15,27 @@
 import java.util.Map;
 
 /**
- * Reads and writes JSON texts. Nesting and the length of numbers are bounded, so that a text costs
- * memory in proportion to its size. Which fields a message has is known to the codecs alone.
+ * Parses and writes JSON text. The nesting depth and the length of numbers are limited, so that a
+ * parsed text takes memory in proportion to its size. The fields of each message are defined in the
+ * codecs.
  */
 public final class Json {
-  private static final int MAX_DEPTH = 64;
+  private static final int MAX_NESTING_DEPTH = 64;
   private static final int MAX_NUMBER_LENGTH = 64;
 
   private static final JsonFactory FACTORY =
       JsonFactory.builder()
           .streamReadConstraints(
               StreamReadConstraints.builder()
-                  .maxNestingDepth(MAX_DEPTH)
+                  .maxNestingDepth(MAX_NESTING_DEPTH)
                   .maxNumberLength(MAX_NUMBER_LENGTH)
                   .build())
           .build();
 
   /**
-   * A number beyond a double's range, with the digits that were read. No field takes one, but
-   * unknown fields are to be ignored; kept as infinite, it would be written again as a string.
+   * A number beyond the range of a double, as it was written. No field accepts such a number, but
+   * it may occur in an unknown field, which is ignored and written back. An infinite double would
+   * be written back as a string.
    */
   private record OutOfRangeNumber(String digits) {
     @Override
@@ -44,13 +46,13 @@
 
   private Json() {}
 
-  /** Writes the content of a JSON text. */
+  /** A callback that writes the content of a JSON text. */
   public interface Body {
-    /** Writes into the generator, which the caller opens and closes. */
+    /** Writes to the generator, which the caller opens and closes. */
     void write(JsonGenerator out) throws IOException;
   }
 
-  /** The JSON text that the body writes. */
+  /** Returns the JSON text that the body writes, in UTF-8. */
   public static byte[] render(Body body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
     try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
@@ -61,7 +63,7 @@
     return bytes.toByteArray();
   }
 
-  /** The JSON text of one object whose fields the body writes. */
+  /** Returns a JSON object whose fields are written by the callback, in UTF-8. */
   public static byte[] object(Body fields) {
     return render(
         out -> {
@@ -71,15 +73,15 @@
         });
   }
 
-  /** The body of an answer that says what went wrong. */
+  /** Encodes the body of an error response. */
   public static byte[] error(String message) {
     return object(out -> out.writeStringField("error", message));
   }
 
   /**
-   * Reads one whole text as an object.
+   * Parses a text that consists of exactly one JSON object.
    *
-   * @throws MalformedMessageException if the text is not JSON, or anything but one object
+   * @throws MalformedMessageException if the text is not JSON, or not exactly one object
    */
   public static JsonFields readObject(byte[] bytes) throws MalformedMessageException {
     Object value = read(bytes);
@@ -94,7 +96,7 @@
       if (in.nextToken() == null) {
         throw new MalformedMessageException("empty");
       }
-      Object value = value(in);
+      Object value = readValue(in);
       if (in.nextToken() != null) {
         throw new MalformedMessageException("text after the JSON value");
       }
@@ -104,46 +106,46 @@
     }
   }
 
-  /** The value at the parser's current token; null for JSON's null. */
-  private static Object value(JsonParser in) throws IOException {
+  /** Reads the value that starts at the parser's current token; JSON null becomes Java null. */
+  private static Object readValue(JsonParser in) throws IOException {
     return switch (in.currentToken()) {
-      case START_OBJECT -> objectValue(in);
-      case START_ARRAY -> arrayValue(in);
+      case START_OBJECT -> readMap(in);
+      case START_ARRAY -> readList(in);
       case VALUE_STRING -> in.getText();
-      case VALUE_NUMBER_INT -> integerValue(in);
-      case VALUE_NUMBER_FLOAT -> decimalValue(in);
+      case VALUE_NUMBER_INT -> readInteger(in);
+      case VALUE_NUMBER_FLOAT -> readDecimal(in);
       case VALUE_TRUE -> true;
       case VALUE_FALSE -> false;
       default -> null;
     };
   }
 
-  private static Map<String, Object> objectValue(JsonParser in) throws IOException {
+  private static Map<String, Object> readMap(JsonParser in) throws IOException {
     Map<String, Object> map = new LinkedHashMap<>();
     while (in.nextToken() != JsonToken.END_OBJECT) {
       String name = in.currentName();
       in.nextToken();
-      map.put(name, value(in));
+      map.put(name, readValue(in));
     }
     return map;
   }
 
-  private static List<Object> arrayValue(JsonParser in) throws IOException {
+  private static List<Object> readList(JsonParser in) throws IOException {
     List<Object> list = new ArrayList<>();
     while (in.nextToken() != JsonToken.END_ARRAY) {
-      list.add(value(in));
+      list.add(readValue(in));
     }
     return list;
   }
 
-  private static Object integerValue(JsonParser in) throws IOException {
+  private static Object readInteger(JsonParser in) throws IOException {
     if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
       return in.getBigIntegerValue();
     }
     return in.getLongValue();
   }
 
-  private static Object decimalValue(JsonParser in) throws IOException {
+  private static Object readDecimal(JsonParser in) throws IOException {
     double number = in.getDoubleValue();
     if (Double.isInfinite(number)) {
       return new OutOfRangeNumber(in.getText());
@@ -151,8 +153,8 @@
     return number;
   }
 
-  /** Writes a value that was read here. */
-  static void writeTree(JsonGenerator out, Object value) throws IOException {
+  /** Writes a value of one of the types that {@link #readValue} returns. */
+  static void writeValue(JsonGenerator out, Object value) throws IOException {
     if (value instanceof Map<?, ?> map) {
       writeMap(out, map);
     } else if (value instanceof List<?> list) {
@@ -178,7 +180,7 @@
     out.writeStartObject();
     for (Map.Entry<?, ?> entry : map.entrySet()) {
       out.writeFieldName((String) entry.getKey());
-      writeTree(out, entry.getValue());
+      writeValue(out, entry.getValue());
     }
     out.writeEndObject();
   }
@@ -186,7 +188,7 @@
   private static void writeList(JsonGenerator out, List<?> list) throws IOException {
     out.writeStartArray();
     for (Object element : list) {
-      writeTree(out, element);
+      writeValue(out, element);
     }
     out.writeEndArray();
   }
--- a/src/main/java/madderrudder/protocol/JsonFields.java
+++ b/src/main/java/madderrudder/protocol/JsonFields.java
@@ -6,59 +6,60 @@
 import java.util.Map;
 
 /**
- * Checked access to the fields of one JSON object; a null field counts as an absent one.
+ * Type-checked access to the fields of one JSON object. A field whose value is null counts as
+ * absent.
  *
- * <p>Each reading method throws {@link MalformedMessageException}, with the field's name, if the
- * field is absent or not what the method reads. Those that take a default return it if the field is
- * absent, and throw if it is there and invalid.
+ * <p>Each method that reads a required field throws a {@link MalformedMessageException} that names
+ * the field if the field is absent, has another type or is out of range. Each method with a default
+ * value returns it if the field is absent, and throws if the field is present and invalid.
  */
 public final class JsonFields {
   private static final double MAX_AMOUNT = 1e15;
   private static final double MAX_SECONDS = 1e9;
 
-  /** Integers below this are exact as doubles. */
-  private static final long MAX_EXACT_DOUBLE = 1L << 53;
+  /** All integers below this limit are exact as doubles. */
+  private static final long EXACT_DOUBLE_LIMIT = 1L << 53;
 
-  private final Map<?, ?> map;
+  private final Map<?, ?> fields;
 
-  JsonFields(Map<?, ?> map) {
-    this.map = map;
+  JsonFields(Map<?, ?> fields) {
+    this.fields = fields;
   }
 
-  /** The names of the fields that are there. */
+  /** The names of all fields, including those whose value is null. */
   public List<String> names() {
-    return map.keySet().stream().map(Object::toString).toList();
+    return fields.keySet().stream().map(Object::toString).toList();
   }
 
-  /** Whether the field is there and not null. */
+  /** Whether the field is present and not null. */
   public boolean has(String name) {
-    return map.get(name) != null;
+    return fields.get(name) != null;
   }
 
-  /** A string. */
+  /** Returns a string field. */
   public String text(String name) throws MalformedMessageException {
-    if (map.get(name) instanceof String text) {
+    if (fields.get(name) instanceof String text) {
       return text;
     }
     throw invalid(name);
   }
 
-  /** A string, or the default. */
+  /** Returns a string field, or the default. */
   public String text(String name, String defaultValue) throws MalformedMessageException {
     return has(name) ? text(name) : defaultValue;
   }
 
-  /** An integer from 0 to 2^63 - 1. */
+  /** Returns an integer field from 0 to 2^63 - 1. */
   public long count(String name) throws MalformedMessageException {
-    return count(map.get(name), name);
+    return count(fields.get(name), name);
   }
 
-  /** An integer from 0 to 2^63 - 1, or the default. */
+  /** Returns an integer field from 0 to 2^63 - 1, or the default. */
   public long count(String name, long defaultValue) throws MalformedMessageException {
     return has(name) ? count(name) : defaultValue;
   }
 
-  /** An integer from 0 to 2^31 - 1. */
+  /** Returns an integer field from 0 to 2^31 - 1. */
   public int smallCount(String name) throws MalformedMessageException {
     long value = count(name);
     if (value > Integer.MAX_VALUE) {
@@ -71,32 +72,32 @@
     if (value instanceof Long number && number >= 0) {
       return number;
     }
-    // A count may also come written as 4.0 or 4e0; a fraction may not.
+    // An integer may also be written as 4.0 or 4e0; a fraction is refused.
     if (value instanceof Double number
         && number >= 0
-        && number < MAX_EXACT_DOUBLE
+        && number < EXACT_DOUBLE_LIMIT
         && number == Math.rint(number)) {
       return number.longValue();
     }
     throw MalformedMessageException.missingOrInvalid(name, value);
   }
 
-  /** A decimal from 0 to 10^15. */
+  /** Returns a decimal field from 0 to 10^15. */
   public double amount(String name) throws MalformedMessageException {
-    double number = number(map.get(name));
+    double number = toDouble(fields.get(name));
     if (!(number >= 0) || number > MAX_AMOUNT) {
       throw invalid(name);
     }
     return number;
   }
 
-  /** A decimal from 0 to 10^15, or the default. */
+  /** Returns a decimal field from 0 to 10^15, or the default. */
   public double amount(String name, double defaultValue) throws MalformedMessageException {
     return has(name) ? amount(name) : defaultValue;
   }
 
-  /** The value as a double; not a number if it is none. */
-  private static double number(Object value) {
+  /** Converts the value to a double; NaN if it is not a number or is beyond a double's range. */
+  private static double toDouble(Object value) {
     if (value instanceof Long whole) {
       return whole;
     }
@@ -109,7 +110,7 @@
     return Double.NaN;
   }
 
-  /** A duration in seconds, at most 10^9, as whole microseconds. */
+  /** Returns a duration field, in seconds from 0 to 10^9, rounded to whole microseconds. */
   public long secondsAsMicros(String name) throws MalformedMessageException {
     double seconds = amount(name);
     if (seconds > MAX_SECONDS) {
@@ -118,33 +119,33 @@
     return Math.round(seconds * 1e6);
   }
 
-  /** A duration in seconds as whole microseconds, or the default in microseconds. */
+  /** Returns a duration field in seconds as microseconds, or the default, in microseconds. */
   public long secondsAsMicros(String name, long defaultMicros) throws MalformedMessageException {
     return has(name) ? secondsAsMicros(name) : defaultMicros;
   }
 
-  /** A truth value. */
+  /** Returns a boolean field. */
   public boolean flag(String name) throws MalformedMessageException {
-    if (map.get(name) instanceof Boolean flag) {
+    if (fields.get(name) instanceof Boolean flag) {
       return flag;
     }
     throw invalid(name);
   }
 
-  /** A truth value, or the default. */
+  /** Returns a boolean field, or the default. */
   public boolean flag(String name, boolean defaultValue) throws MalformedMessageException {
     return has(name) ? flag(name) : defaultValue;
   }
 
-  /** An object. */
+  /** Returns a field that is an object. */
   public JsonFields object(String name) throws MalformedMessageException {
-    if (map.get(name) instanceof Map<?, ?> object) {
+    if (fields.get(name) instanceof Map<?, ?> object) {
       return new JsonFields(object);
     }
     throw invalid(name);
   }
 
-  /** An array of objects. */
+  /** Returns a field that is an array of objects. */
   public List<JsonFields> objects(String name) throws MalformedMessageException {
     List<JsonFields> objects = new ArrayList<>();
     for (Object element : list(name)) {
@@ -156,7 +157,7 @@
     return objects;
   }
 
-  /** An array of strings. */
+  /** Returns a field that is an array of strings. */
   public List<String> texts(String name) throws MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (Object element : list(name)) {
@@ -168,7 +169,7 @@
     return texts;
   }
 
-  /** An array of integers from 0 to 2^63 - 1. */
+  /** Returns a field that is an array of integers from 0 to 2^63 - 1. */
   public List<Long> counts(String name) throws MalformedMessageException {
     List<Long> counts = new ArrayList<>();
     for (Object element : list(name)) {
@@ -178,24 +179,24 @@
   }
 
   private List<?> list(String name) throws MalformedMessageException {
-    if (map.get(name) instanceof List<?> list) {
+    if (fields.get(name) instanceof List<?> list) {
       return list;
     }
     throw invalid(name);
   }
 
-  /** The field's string or number as text, for tables; empty if the field is absent. */
+  /** Returns the field's string or number as text for a table cell; empty if it is absent. */
   public String plain(String name) {
-    Object value = map.get(name);
+    Object value = fields.get(name);
     return value == null ? "" : value.toString();
   }
 
-  /** This object as JSON text again. */
+  /** Returns this object as JSON text, with all its fields, in UTF-8. */
   public byte[] render() {
-    return Json.render(out -> Json.writeTree(out, map));
+    return Json.render(out -> Json.writeValue(out, fields));
   }
 
   private MalformedMessageException invalid(String name) {
-    return MalformedMessageException.missingOrInvalid(name, map.get(name));
+    return MalformedMessageException.missingOrInvalid(name, fields.get(name));
   }
 }
--- a/src/main/java/madderrudder/protocol/MalformedMessageException.java
+++ b/src/main/java/madderrudder/protocol/MalformedMessageException.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * A message whose text or fields are not what the protocol says.
+ * Thrown when the text or a field of a message does not conform to the protocol.
  *
- * <p>{@link #getMessage()} names the field and goes into answers as it is; {@link #detail()} adds
- * the value that was wrong, for logs. There is no stack trace: malformed messages come from outside
- * and may be many.
+ * <p>{@link #getMessage()} names the field and is copied into error responses; {@link #detail()}
+ * also includes the invalid value. The exception has no stack trace, because malformed messages
+ * come from outside and may arrive in large numbers.
  */
 public final class MalformedMessageException extends Exception {
   private static final int MAX_VALUE_LENGTH = 80;
@@ -15,7 +15,7 @@
   private final String field;
   private final String value;
 
-  /** A message that is malformed as a whole. */
+  /** Creates an exception for a message that is malformed as a whole. */
   public MalformedMessageException(String message) {
     this(message, null, null);
   }
@@ -27,37 +27,37 @@
   }
 
   /**
-   * One field is wrong.
+   * Creates an exception for one invalid field.
    *
    * @param field the field's name on the wire
-   * @param problem what is wrong with it, for example {@code is out of range}
-   * @param value what was in its place; null if the field was absent or null
+   * @param problem the problem, worded to follow the field's name, such as {@code is out of range}
+   * @param value the field's value; null if the field was absent or null
    */
   public static MalformedMessageException ofField(String field, String problem, Object value) {
-    String text = value == null ? null : shortened(value.toString());
+    String text = value == null ? null : truncate(value.toString());
     return new MalformedMessageException("field " + field + " " + problem, field, text);
   }
 
-  /** One field is absent, or has a value of the wrong type or out of its range. */
+  /** Creates an exception for a field that is absent, has the wrong type or is out of range. */
   static MalformedMessageException missingOrInvalid(String field, Object value) {
     return ofField(field, "is missing or invalid", value);
   }
 
-  private static String shortened(String text) {
+  private static String truncate(String text) {
     return text.length() <= MAX_VALUE_LENGTH ? text : text.substring(0, MAX_VALUE_LENGTH) + "...";
   }
 
-  /** The wire name of the field that is wrong; empty if the message is malformed as a whole. */
+  /** The wire name of the invalid field; empty if the message is malformed as a whole. */
   public Optional<String> field() {
     return Optional.ofNullable(field);
   }
 
-  /** The value that was wrong, at most 80 characters of it; empty if there was none. */
+  /** The invalid value, truncated after 80 characters; empty if the field was absent or null. */
   public Optional<String> value() {
     return Optional.ofNullable(value);
   }
 
-  /** The message with the value that was wrong. */
+  /** The message followed by the invalid value, if there is one. */
   public String detail() {
     return value == null ? getMessage() : getMessage() + ": " + value;
   }
--- a/src/main/java/madderrudder/protocol/PeerMessage.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * A message between controllers. {@link PeerMessageCodec} gives them their byte form; a new kind of
- * message needs a type there.
+ * A message between controllers. {@link PeerMessageCodec} defines the encoding; each kind of
+ * message has a type number there.
  */
 public sealed interface PeerMessage {
   /**
-   * A sign of life.
+   * The periodic status of a controller.
    *
    * @param member the sender's name
    * @param term the highest term that the sender knows of
    * @param leader the name of the leader of that term; empty if the sender knows none
-   * @param storeAnswers whether the state service answers the sender
-   * @param spareMilliWrites if the sender leads, the thousandths of writes per second that it
-   *     leaves to the members for their users
-   * @param wantedMilliWrites the thousandths of writes per second that the sender's own users want
+   * @param storeAnswers whether the state service responds to the sender
+   * @param spareMilliWrites if the sender leads, the write rate that it leaves to the controllers
+   *     for their users' requests, in thousandths of writes per second
+   * @param wantedMilliWrites the write rate that the sender's own users request, in thousandths of
+   *     writes per second
    */
   record NodeStatus(
       String member,
@@ -28,10 +29,10 @@
       implements PeerMessage {}
 
   /**
-   * The progress of some jobs, for display by controllers that don't lead.
+   * The progress of some jobs, sent by the leader so that other controllers can report it to users.
    *
    * @param term the leader's term
-   * @param jobs the jobs with their progress
+   * @param jobs the progress of each job
    */
   record ProgressUpdate(long term, List<JobProgress> jobs) implements PeerMessage {}
 
@@ -39,24 +40,25 @@
    * The progress of one job.
    *
    * @param job the job's id
-   * @param done how many of its tasks are completed
-   * @param running how many of its tasks run
+   * @param done the number of completed tasks
+   * @param running the number of running tasks
    */
   record JobProgress(String job, int done, int running) {}
 
   /**
-   * How the sender stands with its peers. Several processes may have lived under the sender's name;
-   * each is an incarnation.
+   * The sender's contact with its peers and the delegation that it grants them. A restarted
+   * controller keeps its name, so each process is told apart by its incarnation.
    *
    * @param member the sender's name
-   * @param incarnation the sender's process
-   * @param stampMicros the sender's steady clock, which peers send back
-   * @param ageMicros how long the process has lived
+   * @param incarnation the incarnation of the sending process
+   * @param stampMicros the sender's monotonic clock at the time of sending, which peers echo
+   * @param ageMicros the uptime of the sending process
    * @param term the highest term that the sender knows of
-   * @param grantMicros if the sender leads in the term, for how long from the stamp on a peer may
-   *     answer workers on its behalf; otherwise 0
-   * @param answeredParts how many {@link DelegatedRenewals} of the same stamp were sent before
-   * @param echoes the stamps that the sender heard last of its peers
+   * @param grantMicros if the sender leads in the term, how long a peer may answer workers on its
+   *     behalf, counted from the peer's stamp in {@code echoes}; otherwise 0
+   * @param answeredParts the number of {@link DelegatedRenewals} messages with the same stamp that
+   *     precede this message
+   * @param echoes the stamp that the sender last received from each peer
    */
   record MembershipStatus(
       String member,
@@ -70,21 +72,21 @@
       implements PeerMessage {}
 
   /**
-   * The stamp that was heard last of one process of a peer.
+   * The stamp last received from one process of a peer, sent back to that peer.
    *
    * @param member the peer's name
-   * @param incarnation the peer's process
-   * @param stampMicros the stamp, of the peer's steady clock
+   * @param incarnation the incarnation of the peer's process
+   * @param stampMicros the stamp, which is a reading of the peer's monotonic clock
    */
   record StampEcho(String member, long incarnation, long stampMicros) {}
 
   /**
-   * Machines whose leases the sender has lately renewed on a leader's behalf.
+   * The recent lease renewals that the sender made on a leader's behalf.
    *
    * @param member the sender's name
-   * @param incarnation the sender's process
+   * @param incarnation the incarnation of the sending process
    * @param stampMicros the stamp of the {@link MembershipStatus} that follows
-   * @param answers the renewals
+   * @param answers the renewals, one per machine
    */
   record DelegatedRenewals(
       String member, long incarnation, long stampMicros, List<LeaseRenewal> answers)
@@ -94,16 +96,16 @@
    * The renewal of one machine's lease.
    *
    * @param machine the machine's id
-   * @param agoMillis how long before the message was sent
+   * @param agoMillis the time between the renewal and the sending of the message
    */
   record LeaseRenewal(String machine, int agoMillis) {}
 
   /**
-   * A heartbeat from a controller to the leader that the worker can't reach.
+   * A heartbeat that a controller forwards to the leader because the worker can't reach the leader.
    *
    * @param member the name of the forwarding controller
-   * @param number its number for the heartbeat, which the response repeats
-   * @param report the heartbeat as the worker sent it
+   * @param number the number that the forwarding controller assigns; the response repeats it
+   * @param report the body of the heartbeat as the worker sent it
    */
   record ForwardedHeartbeat(String member, long number, String report) implements PeerMessage {}
 
@@ -111,7 +113,7 @@
    * The leader's response to a forwarded heartbeat.
    *
    * @param number the number of the forwarded heartbeat
-   * @param answer the response as the worker is to get it
+   * @param answer the body of the response to the worker
    */
   record ForwardedResponse(long number, String answer) implements PeerMessage {}
 }
--- a/src/main/java/madderrudder/protocol/PeerMessageCodec.java
+++ b/src/main/java/madderrudder/protocol/PeerMessageCodec.java
@@ -22,21 +22,25 @@
 import madderrudder.protocol.PeerMessage.StampEcho;
 
 /**
- * The byte form of messages between controllers: a length (4 bytes, without itself), a type number
- * (1 byte) and the message's fields, big-endian. Strings are a length (2 bytes) and UTF-8; lists
- * are a count (4 bytes) and their items.
+ * Encodes and decodes messages between controllers. An encoded message consists of the length of
+ * what follows (4 bytes), a type number (1 byte) and the message's fields, all big-endian. A string
+ * is encoded as its length in bytes (2 bytes) and its UTF-8 bytes, a list as its item count (4
+ * bytes) and its items.
  */
 public final class PeerMessageCodec {
-  /** The largest encoded message, with its length. */
+  /** The largest size of an encoded message in bytes, including the length prefix. */
   public static final int MAX_BYTES = 64 * 1024;
 
-  /** The size of the length in front of each message. */
-  static final int PREFIX_BYTES = 4;
+  /** The size of the length prefix of each message. */
+  static final int LENGTH_PREFIX_BYTES = 4;
 
-  /** What a forwarded heartbeat or response takes beside its text, at most. */
-  private static final int FORWARDING_BYTES = 1024;
+  /** The largest number of bytes that forwarding adds to the body of a heartbeat or response. */
+  private static final int MAX_FORWARDING_OVERHEAD_BYTES = 1024;
 
-  /** A list has no item that takes fewer bytes; so a bad count can't make it allocate much. */
+  /**
+   * The smallest encoded size of one list item. The decoder checks a list's count against the
+   * remaining bytes, so that a corrupt count can't cause a large allocation.
+   */
   private static final int MIN_JOB_PROGRESS_BYTES = 10;
 
   private static final int MIN_STAMP_ECHO_BYTES = 18;
@@ -75,55 +79,56 @@
               PeerMessageCodec::writeForwardedResponse,
               PeerMessageCodec::readForwardedResponse));
 
-  private static final Map<Class<?>, MessageType<?>> BY_CLASS =
-      TYPES.stream().collect(Collectors.toMap(MessageType::messages, Function.identity()));
+  private static final Map<Class<?>, MessageType<?>> TYPES_BY_CLASS =
+      TYPES.stream().collect(Collectors.toMap(MessageType::messageClass, Function.identity()));
 
-  private static final Map<Byte, MessageType<?>> BY_NUMBER =
+  private static final Map<Byte, MessageType<?>> TYPES_BY_NUMBER =
       TYPES.stream().collect(Collectors.toMap(MessageType::number, Function.identity()));
 
-  /** Reads the fields of one message. */
+  /** Decodes the fields of one message. */
   private interface Reader<M> {
     M read(ByteBuffer in) throws MalformedMessageException;
   }
 
-  /** One type of message: its number on the wire, and how its fields are written and read. */
+  /** A type of message: its number on the wire and the functions that write and read its fields. */
   private record MessageType<M extends PeerMessage>(
-      byte number, Class<M> messages, BiConsumer<ByteBuffer, M> writer, Reader<M> reader) {
-    MessageType(int number, Class<M> messages, BiConsumer<ByteBuffer, M> writer, Reader<M> reader) {
-      this((byte) number, messages, writer, reader);
+      byte number, Class<M> messageClass, BiConsumer<ByteBuffer, M> writer, Reader<M> reader) {
+    MessageType(
+        int number, Class<M> messageClass, BiConsumer<ByteBuffer, M> writer, Reader<M> reader) {
+      this((byte) number, messageClass, writer, reader);
     }
 
     void write(ByteBuffer out, PeerMessage message) {
-      writer.accept(out.put(number), messages.cast(message));
+      writer.accept(out.put(number), messageClass.cast(message));
     }
   }
 
   private PeerMessageCodec() {}
 
-  /** Whether a heartbeat, or the response to one, of so many bytes can be forwarded. */
-  public static boolean canForward(int bytes) {
-    return bytes <= MAX_BYTES - FORWARDING_BYTES;
+  /** Whether the body of a heartbeat, or of the response to one, is small enough to forward. */
+  public static boolean canForward(int bodyBytes) {
+    return bodyBytes <= MAX_BYTES - MAX_FORWARDING_OVERHEAD_BYTES;
   }
 
-  /** The message with its length in front, ready to be sent. */
+  /** Encodes a message with its length prefix; the result is positioned at its start. */
   public static ByteBuffer encode(PeerMessage message) {
     ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
     out.putInt(0);
-    BY_CLASS.get(message.getClass()).write(out, message);
-    out.putInt(0, out.position() - PREFIX_BYTES);
-    // A copy of the size needed: many messages may wait to be sent.
+    TYPES_BY_CLASS.get(message.getClass()).write(out, message);
+    out.putInt(0, out.position() - LENGTH_PREFIX_BYTES);
+    // Copies into an array of the exact size, because many messages may be queued for sending.
     return ByteBuffer.wrap(Arrays.copyOf(out.array(), out.position()));
   }
 
   /**
-   * Reads the message that fills the buffer, without the length.
+   * Decodes the one message that the buffer contains, without its length prefix.
    *
-   * @throws MalformedMessageException if the bytes are no message, or more than one
+   * @throws MalformedMessageException if the buffer does not contain exactly one valid message
    */
   public static PeerMessage decode(ByteBuffer in) throws MalformedMessageException {
     try {
       byte number = in.get();
-      MessageType<?> type = BY_NUMBER.get(number);
+      MessageType<?> type = TYPES_BY_NUMBER.get(number);
       if (type == null) {
         throw new MalformedMessageException("unknown type of peer message: " + number);
       }
--- a/src/main/java/madderrudder/protocol/Priority.java
+++ b/src/main/java/madderrudder/protocol/Priority.java
@@ -1,14 +1,14 @@
 package madderrudder.protocol;
 
-/** The priority of a job, in falling order, so that a smaller ordinal goes first. */
+/** The priority of a job. The constants are declared from highest to lowest for comparisons. */
 public enum Priority {
-  /** The wire's {@code production}. */
+  /** {@code production} on the wire. */
   PRODUCTION,
-  /** The wire's {@code urgent}. */
+  /** {@code urgent} on the wire. */
   HIGH,
-  /** The wire's {@code standard}. */
+  /** {@code standard} on the wire. */
   NORMAL,
-  /** The wire's {@code idle}. */
+  /** {@code idle} on the wire. */
   LOW;
 
   /** Whether this priority is higher than the other. */
--- a/src/main/java/madderrudder/protocol/Resources.java
+++ b/src/main/java/madderrudder/protocol/Resources.java
@@ -1,47 +1,47 @@
 package madderrudder.protocol;
 
 /**
- * An amount of processors, GPUs and memory, in thousandths so that sums stay exact.
+ * An amount of CPUs, GPUs and memory, in integer thousandths so that sums of fractions are exact.
  *
- * @param milliCpus thousandths of a processor
- * @param milliGpus thousandths of a GPU
- * @param memoryMb MB of memory, thousandths of a GB
+ * @param milliCpus the CPUs in thousandths
+ * @param milliGpus the GPUs in thousandths
+ * @param memoryMb the memory in MB, which are thousandths of a GB
  */
 public record Resources(long milliCpus, long milliGpus, long memoryMb) {
-  /** Nothing at all. */
+  /** The amount of zero of each resource. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** The amount, rounded to thousandths. */
+  /** Returns an amount, rounded to thousandths of a CPU, a GPU and a GB. */
   public static Resources of(double cpus, double gpus, double memoryGb) {
     return new Resources(
         Math.round(cpus * 1000), Math.round(gpus * 1000), Math.round(memoryGb * 1000));
   }
 
-  /** The sum. */
+  /** Returns the sum of this amount and the other. */
   public Resources plus(Resources other) {
     return new Resources(
         milliCpus + other.milliCpus, milliGpus + other.milliGpus, memoryMb + other.memoryMb);
   }
 
-  /** The difference, which may be negative. */
+  /** Returns this amount less the other, which may be negative. */
   public Resources minus(Resources other) {
     return new Resources(
         milliCpus - other.milliCpus, milliGpus - other.milliGpus, memoryMb - other.memoryMb);
   }
 
-  /** This amount so many times. */
+  /** Returns this amount multiplied by the count. */
   public Resources times(int count) {
     return new Resources(milliCpus * count, milliGpus * count, memoryMb * count);
   }
 
-  /** Whether there is enough available for this amount. */
+  /** Whether this amount is at most what is available, for each resource. */
   public boolean fits(Resources available) {
     return milliCpus <= available.milliCpus
         && milliGpus <= available.milliGpus
         && memoryMb <= available.memoryMb;
   }
 
-  /** The smaller of both amounts, for each resource. */
+  /** Returns the minimum of both amounts, taken for each resource separately. */
   public static Resources least(Resources a, Resources b) {
     return new Resources(
         Math.min(a.milliCpus, b.milliCpus),
@@ -49,18 +49,23 @@
         Math.min(a.memoryMb, b.memoryMb));
   }
 
-  /** How many times this amount fits into what is available. */
+  /**
+   * Returns how many times this amount fits into what is available. A resource of which this amount
+   * is zero fits {@link Integer#MAX_VALUE} times.
+   */
   public long timesIn(Resources available) {
     return Math.min(
-        times(milliCpus, available.milliCpus),
-        Math.min(times(milliGpus, available.milliGpus), times(memoryMb, available.memoryMb)));
+        countFitting(milliCpus, available.milliCpus),
+        Math.min(
+            countFitting(milliGpus, available.milliGpus),
+            countFitting(memoryMb, available.memoryMb)));
   }
 
-  private static long times(long need, long available) {
+  private static long countFitting(long need, long available) {
     return need == 0 ? Integer.MAX_VALUE : available / need;
   }
 
-  /** Whether this amount is nothing. */
+  /** Whether the amount of each resource is zero. */
   public boolean isNone() {
     return milliCpus == 0 && milliGpus == 0 && memoryMb == 0;
   }
--- a/src/main/java/madderrudder/protocol/StoreCodec.java
+++ b/src/main/java/madderrudder/protocol/StoreCodec.java
@@ -6,40 +6,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and writes the messages exchanged with the state service, the key-value store. */
+/** Encodes requests to the state service, the key-value store, and decodes its responses. */
 public final class StoreCodec {
   /**
-   * A key with its value, or a change of it.
+   * A key with its value, or a change of a key that a watch delivers.
    *
    * @param key the key
-   * @param value the value; null where a watch says that the key was deleted
-   * @param version the revision of the key's last change
+   * @param value the value; null if a watch reports that the key was deleted
+   * @param version the store's revision at the key's last change
    */
   public record KeyValue(String key, JsonFields value, long version) {}
 
   /**
-   * A page of a range, or a batch of changes.
+   * A page of a range of keys, or a batch of changes that a watch delivers.
    *
-   * @param items the items in key order, or the changes in the order in which they were made
-   * @param more whether the range goes on behind them
-   * @param revision the revision of the store that the answer reflects
+   * @param items the items of the range in key order, or the changes in the order of their commits
+   * @param more whether the range continues after these items; false for changes
+   * @param revision the revision of the store that the response reflects
    */
   public record Page(List<KeyValue> items, boolean more, long revision) {}
 
   /**
-   * A write of a transaction.
+   * A put or a deletion in a transaction.
    *
    * @param key the key
    * @param value the value as JSON text; null for a deletion
    * @param lease the lease that the key is attached to; 0 for none
    */
   public record Write(String key, byte[] value, long lease) {
-    /** Puts a value that belongs to no lease. */
+    /** Returns a put of a value that is attached to no lease. */
     public static Write put(String key, byte[] value) {
       return new Write(key, value, 0);
     }
 
-    /** Deletes a key. */
+    /** Returns a deletion of the key. */
     public static Write delete(String key) {
       return new Write(key, null, 0);
     }
@@ -49,13 +49,13 @@
    * A condition of a transaction.
    *
    * @param key the key
-   * @param version the version that the key must have; 0 demands that the key does not exist
+   * @param version the version that the key must have; 0 requires that the key does not exist
    */
   public record Condition(String key, long version) {}
 
   private StoreCodec() {}
 
-  /** The body of a transaction: the writes are made if all the conditions hold. */
+  /** Encodes the body of a transaction: the store applies the writes if all conditions hold. */
   public static byte[] commit(List<Condition> conditions, List<Write> writes) {
     return Json.object(
         out -> {
@@ -88,48 +88,52 @@
       out.writeFieldName(StoreFields.VALUE);
       out.writeRawValue(new String(write.value(), StandardCharsets.UTF_8));
       if (write.lease() != 0) {
-        out.writeNumberField(StoreFields.LEASE, write.lease());
+        out.writeNumberField(StoreFields.LEASE_ID, write.lease());
       }
     }
     out.writeEndObject();
   }
 
-  /** The body of a request for a lease that lives so long unless it is renewed. */
-  public static byte[] leaseRequest(long lifeMicros) {
-    return Json.object(out -> out.writeNumberField(StoreFields.LEASE_MILLIS, lifeMicros / 1000));
+  /**
+   * Encodes the body of a request for a lease.
+   *
+   * @param ttlMicros the time after which the lease expires unless it is renewed
+   */
+  public static byte[] leaseRequest(long ttlMicros) {
+    return Json.object(out -> out.writeNumberField(StoreFields.LEASE_TTL_MILLIS, ttlMicros / 1000));
   }
 
   /**
    * Reads the id of a granted lease.
    *
-   * @throws MalformedMessageException if the body has none
+   * @throws MalformedMessageException if the id is missing or invalid
    */
   public static long readLease(byte[] body) throws MalformedMessageException {
-    return Json.readObject(body).count(StoreFields.LEASE);
+    return Json.readObject(body).count(StoreFields.LEASE_ID);
   }
 
   /**
    * Reads the revision of the store.
    *
-   * @throws MalformedMessageException if the body has none
+   * @throws MalformedMessageException if the revision is missing or invalid
    */
   public static long readRevision(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).count(StoreFields.REVISION);
   }
 
   /**
-   * Reads the keys whose conditions did not hold.
+   * Reads the keys whose conditions did not hold, from the response to a refused transaction.
    *
-   * @throws MalformedMessageException if the body does not list them
+   * @throws MalformedMessageException if the list is missing or invalid
    */
   public static List<String> readFailed(byte[] body) throws MalformedMessageException {
-    return Json.readObject(body).texts(StoreFields.FAILED);
+    return Json.readObject(body).texts(StoreFields.FAILED_KEYS);
   }
 
   /**
    * Reads one key with its value.
    *
-   * @throws MalformedMessageException if the body is not such an answer
+   * @throws MalformedMessageException if a field is missing or invalid
    */
   public static KeyValue readItem(byte[] body) throws MalformedMessageException {
     return readItem(Json.readObject(body));
@@ -143,7 +147,7 @@
   /**
    * Reads a page of a range of keys.
    *
-   * @throws MalformedMessageException if the body is not such a page
+   * @throws MalformedMessageException if a field is missing or invalid
    */
   public static Page readRange(byte[] body) throws MalformedMessageException {
     JsonFields in = Json.readObject(body);
@@ -155,9 +159,9 @@
   }
 
   /**
-   * Reads the changes that a watch delivers; there are none if its time ran out.
+   * Reads the changes that a watch delivers; there are none if the watch timed out.
    *
-   * @throws MalformedMessageException if the body is not such an answer
+   * @throws MalformedMessageException if a field is missing or invalid
    */
   public static Page readEvents(byte[] body) throws MalformedMessageException {
     JsonFields in = Json.readObject(body);
--- a/src/main/java/madderrudder/protocol/TaskStatus.java
+++ b/src/main/java/madderrudder/protocol/TaskStatus.java
@@ -1,47 +1,48 @@
 package madderrudder.protocol;
 
 /**
- * One task as a worker reports it.
+ * The status of one task attempt on a machine, as the worker reports it.
  *
  * @param task the task
- * @param attempt the number of its attempt
+ * @param attempt the number of the attempt
  * @param phase its phase on the machine
- * @param exitReason why it exited, or why its start was refused; null unless it has exited
+ * @param exitReason why it exited or why its start was refused; null unless the phase is {@link
+ *     Phase#EXITED}
  * @param saved whether it saved its progress when it was stopped
  */
 public record TaskStatus(
     TaskId task, long attempt, Phase phase, ExitReason exitReason, boolean saved) {
   /** The phase of a task on its machine. */
   public enum Phase {
-    /** Waits for its image. */
+    /** The worker fetches the task's image. */
     FETCHING,
-    /** A gang's task that waits for the other tasks of its attempt. */
+    /** The task belongs to a gang and waits for the gang's other tasks of the same attempt. */
     WAITING,
-    /** Runs. */
+    /** The task runs. */
     RUNNING,
-    /** Was stopped and saves its progress. */
+    /** The task was stopped and saves its progress. */
     SAVING,
-    /** Has exited, see {@link ExitReason}. */
+    /** The task has exited or its start was refused; see {@link ExitReason}. */
     EXITED
   }
 
   /** Why a task exited, or why its start was refused. */
   public enum ExitReason {
-    /** It is completed. */
+    /** The task completed. */
     DONE,
-    /** It was stopped by a command. */
+    /** A command stopped the task. */
     STOPPED,
-    /** Another task of its running gang disappeared. */
+    /** Another task of the task's running gang disappeared. */
     PEERS_GONE,
-    /** Its gang was not complete in time. */
+    /** The other tasks of the task's gang did not become ready in time. */
     GANG_INCOMPLETE,
-    /** It failed, by a fault of the machine or by a mistake in the job. */
+    /** The task failed because of a machine fault or an error in the job. */
     ERROR,
-    /** Its start was refused: the machine lacks free resources. */
+    /** The worker refused the start: the machine lacks free resources. */
     INSUFFICIENT_RESOURCES,
-    /** Its start was refused: the machine has the task with another attempt. */
+    /** The worker refused the start: the machine has another attempt of the task. */
     OTHER_ATTEMPT,
-    /** Its start was refused: the worker found no such job or task. */
+    /** The worker refused the start: it found no such job or task. */
     UNKNOWN
   }
 }
--- a/src/main/java/madderrudder/protocol/WorkerCodec.java
+++ b/src/main/java/madderrudder/protocol/WorkerCodec.java
@@ -7,7 +7,7 @@
 import madderrudder.protocol.TaskStatus.ExitReason;
 import madderrudder.protocol.TaskStatus.Phase;
 
-/** Reads and writes the messages exchanged with workers. */
+/** Decodes heartbeats of workers and encodes responses and commands to workers. */
 public final class WorkerCodec {
   private static final EnumNames<Phase> PHASES =
       new EnumNames<>(Phase.class)
@@ -37,14 +37,15 @@
   private WorkerCodec() {}
 
   /**
-   * Reads a heartbeat, which also comes as the answer to direct commands.
+   * Reads a heartbeat, which is also the body of a worker's response to direct commands.
    *
-   * @throws MalformedMessageException if the body is no JSON object, or a field is missing or
+   * @throws MalformedMessageException if the body is not a JSON object, or a field is missing or
    *     invalid
    */
   public static Heartbeat readHeartbeat(byte[] body) throws MalformedMessageException {
     JsonFields in = Json.readObject(body);
-    // Read first: which of several invalid fields is named depends on the order.
+    // The tasks are read first: the order determines which of several invalid fields the exception
+    // names.
     List<TaskStatus> tasks = readTasks(in);
     return new Heartbeat(
         in.text(WorkerFields.MACHINE),
@@ -80,12 +81,12 @@
         in.flag(WorkerFields.SAVED, false));
   }
 
-  /** A reason that is unknown here, or absent, counts as an error of the task. */
+  /** Reads the exit reason; an unknown or absent one counts as {@link ExitReason#ERROR}. */
   private static ExitReason readExitReason(JsonFields in) throws MalformedMessageException {
     return EXIT_REASONS.valueOf(in.text(WorkerFields.EXIT_REASON, ""), ExitReason.ERROR);
   }
 
-  /** The answer to a heartbeat: the leader's fencing token and the commands to the worker. */
+  /** Encodes the response to a heartbeat: the leader's fencing token and commands to the worker. */
   public static byte[] heartbeatResponse(long token, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
@@ -94,7 +95,12 @@
         });
   }
 
-  /** The body of direct commands to a worker, which it refuses in another epoch than this. */
+  /**
+   * Encodes the body of direct commands to a worker.
+   *
+   * @param token the leader's fencing token
+   * @param epoch the epoch of the worker; a worker in another epoch refuses the commands
+   */
   public static byte[] directCommands(long token, long epoch, List<WorkerCommand> commands) {
     return Json.object(
         out -> {
@@ -105,7 +111,7 @@
   }
 
   /**
-   * The answer of a controller that is not entitled to give commands.
+   * Encodes a redirect to the leader: the response of a controller that may not give commands.
    *
    * @param leader the name of the leader; null if none is known
    */
--- a/src/main/java/madderrudder/protocol/WorkerFields.java
+++ b/src/main/java/madderrudder/protocol/WorkerFields.java
@@ -1,8 +1,8 @@
 package madderrudder.protocol;
 
 /**
- * The names of the fields of messages to and from workers. The protocol gives them themed names;
- * each constant is named for the standard term that the rest of the program uses.
+ * Field names of messages to and from workers. The wire protocol uses nautical names; each constant
+ * is named after the standard term that the rest of the program uses.
  */
 final class WorkerFields {
   /** The machine's id: {@link Heartbeat#machine()}. */
@@ -20,16 +20,16 @@
   /** Whether the machine is a spot machine: {@link Heartbeat#spot()}. */
   static final String SPOT = "driftwood";
 
-  /** The incarnation of the worker, called its epoch: {@link Heartbeat#epoch()}. */
+  /** The worker's epoch, which is the number of its incarnation: {@link Heartbeat#epoch()}. */
   static final String EPOCH = "watch";
 
-  /** The sequence number of the heartbeat in its epoch: {@link Heartbeat#sequence()}. */
+  /** The sequence number of the heartbeat within its epoch: {@link Heartbeat#sequence()}. */
   static final String SEQUENCE = "knot";
 
   /** The fencing token, which is the leader's term: {@link Heartbeat#token()}. */
   static final String FENCING_TOKEN = "helm";
 
-  /** Seconds until the cloud takes the machine back, if it gave notice. */
+  /** The time in seconds until the cloud reclaims a spot machine; absent without a notice. */
   static final String RECLAIM_NOTICE_SECONDS = "recall_s";
 
   /** The tasks on the machine: {@link Heartbeat#tasks()}. */
@@ -46,22 +46,22 @@
   /** The phase that a task is in: {@link TaskStatus#phase()}. */
   static final String PHASE = "trim";
 
-  /** The reason why a task exited. */
+  /** The reason why a task exited: {@link TaskStatus#exitReason()}. */
   static final String EXIT_REASON = "wake";
 
   /** Whether a stopped task saved its progress: {@link TaskStatus#saved()}. */
   static final String SAVED = "stored";
 
-  /** The commands to a worker, which it executes in order. */
+  /** The commands to a worker, which the worker executes in order. */
   static final String COMMANDS = "orders";
 
-  /** What one command does. */
+  /** The operation of one command: {@link WorkerCommand#operation()}. */
   static final String OPERATION = "order";
 
-  /** The time in seconds that a stopped task gets to save: {@link WorkerCommand#graceMicros()}. */
+  /** The time in seconds that a stopped task has to save: {@link WorkerCommand#graceMicros()}. */
   static final String GRACE_SECONDS = "slack_s";
 
-  /** The name of the controller that leads, to which the worker turns next. */
+  /** The name of the leader, to which the worker sends its next heartbeat. */
   static final String LEADER = "harbor";
 
   private WorkerFields() {}
--- a/src/main/java/madderrudder/protocol/package-info.java
+++ b/src/main/java/madderrudder/protocol/package-info.java
@@ -1,12 +1,13 @@
 /**
  * The messages that the controller exchanges with users, workers, the state service, the cloud and
- * other controllers. The codecs are the one place where the themed names of the wire meet the terms
- * of the code: nothing outside this package knows a themed name, and the names stand in {@code
- * JobFields}, {@code WorkerFields}, {@code StoreFields} and {@code CloudFields}, each once. All
- * values are immutable; the codecs have no state and may be used on any thread.
+ * other controllers. The wire protocol uses nautical names. The codecs translate between these
+ * names and the standard terms of the code, so that code outside this package does not use them.
+ * {@code JobFields}, {@code WorkerFields}, {@code StoreFields} and {@code CloudFields} define each
+ * field name of their messages once. All values are immutable. The codecs have no state and may be
+ * used on any thread.
  *
  * <table>
- * <caption>Names on the wire and terms of the code</caption>
+ * <caption>Names on the wire and the corresponding terms in the code</caption>
  * <tr><th>wire</th><th>term</th><th>in code</th></tr>
  * <tr><td>rig</td><td>job class</td><td>{@link madderrudder.protocol.JobSpec#jobClass()}</td></tr>
  * <tr><td>crew</td><td>team</td><td>{@link madderrudder.protocol.JobSpec#team()}</td></tr>
@@ -30,7 +31,7 @@
  *     <td>{@link madderrudder.protocol.JobSpec#spread()}</td></tr>
  * <tr><td>driftwood</td><td>spot machine</td><td>{@link madderrudder.protocol.Heartbeat#spot()},
  *     {@link madderrudder.protocol.JobSpec#spotAllowed()}</td></tr>
- * <tr><td>reckon_s</td><td>the owner's run time estimate</td>
+ * <tr><td>reckon_s</td><td>the owner's estimate of a task's run time</td>
  *     <td>{@link madderrudder.protocol.JobSpec#estimateMicros()}</td></tr>
  * <tr><td>mark_s</td><td>checkpoint interval</td>
  *     <td>{@link madderrudder.protocol.JobSpec#checkpointIntervalMicros()}</td></tr>
@@ -42,7 +43,7 @@
  *     <td>{@link madderrudder.protocol.JobState}</td></tr>
  * <tr><td>vessel</td><td>machine id</td>
  *     <td>{@link madderrudder.protocol.Heartbeat#machine()}</td></tr>
- * <tr><td>watch</td><td>epoch: the incarnation of the agent on a worker</td>
+ * <tr><td>watch</td><td>epoch: the incarnation of a worker</td>
  *     <td>{@link madderrudder.protocol.Heartbeat#epoch()}</td></tr>
  * <tr><td>knot</td><td>sequence number of a heartbeat</td>
  *     <td>{@link madderrudder.protocol.Heartbeat#sequence()}</td></tr>
--- a/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
+++ b/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
@@ -26,8 +26,9 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * Whatever arrives is read as a value or refused as malformed, without any other exception, and
- * what was written reads back the same.
+ * Guards against input from outside that makes a codec throw anything but {@link
+ * MalformedMessageException}, and against values that differ after they are written and read back.
+ * The inputs are valid messages with random mutations.
  */
 class CodecPropertiesTest {
   private static final String JOB =
@@ -40,29 +41,30 @@
             {"vessel":"m-000012","addr":"10.1.0.5:9000","build":"g8","berth":"a","driftwood":true,"watch":1,"knot":7,
              "helm":41,"recall_s":12.5,"strokes":[{"stroke":"req-000412/4","launch":2,"trim":"ended","wake":"halted",
              "stored":true},{"stroke":"req-000412/5","launch":2,"trim":"running"}]}""";
-  private static final String STORE =
+  private static final String STORE_RESPONSE =
       """
             {"path":"l/req-1","data":{"a":[1,2.5,"x",null,true]},"entry":412,"mooring":7,"logline":431,"more":true,
              "failed":["a/b"],"rows":[{"path":"a","data":{},"entry":3}],
              "news":[{"write":"c/9","data":{"b":1},"entry":433},{"drop":"c/d","entry":432}]}""";
-  private static final String CLOUD =
+  private static final String CLOUD_RESPONSE =
       """
             {"builds":[{"label":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,"fetch_gb_per_s":1.0,
              "price":12.0,"spot_price":4.5,"startup_s":45,"berths":["a","b"]}],"more":false,
              "fleet":[{"id":"m-000231","addr":"10.1.0.232:9000","build":"g8","berth":"a","driftwood":true,
              "trim":"running","held_s":61.5}]}""";
 
-  /**
-   * Reads; true if it came to a value. Any other exception than that of a malformed message goes
-   * through.
-   */
-  private interface Reading {
-    void read() throws MalformedMessageException;
+  /** A call that decodes one input. */
+  private interface Decoding {
+    void run() throws MalformedMessageException;
   }
 
-  private static boolean reads(Reading reading) {
+  /**
+   * Returns whether the input was accepted. Any exception other than that for a malformed message
+   * propagates and fails the test.
+   */
+  private static boolean accepts(Decoding decoding) {
     try {
-      reading.read();
+      decoding.run();
       return true;
     } catch (MalformedMessageException e) {
       return false;
@@ -75,17 +77,17 @@
   }
 
   @Property(seed = "21", tries = 4000)
-  void aValidJobReadsBackTheSame(@ForAll("jobs") byte[] text) {
-    boolean taken =
-        reads(
+  void acceptedJobRoundTrips(@ForAll("jobs") byte[] json) {
+    boolean accepted =
+        accepts(
             () -> {
-              JobSpec job = JobCodec.read(Json.readObject(text));
+              JobSpec job = JobCodec.read(Json.readObject(json));
               assertEquals(
                   job,
                   JobCodec.read(Json.readObject(Json.object(out -> JobCodec.write(out, job)))));
             });
-    Statistics.label("taken").collect(taken);
-    Statistics.label("taken")
+    Statistics.label("accepted").collect(accepted);
+    Statistics.label("accepted")
         .coverage(coverage -> coverage.check(true).percentage(share -> share > 10 && share < 90));
   }
 
@@ -95,61 +97,64 @@
   }
 
   @Property(seed = "22", tries = 2000)
-  void aHeartbeatIsReadOrMalformed(@ForAll("heartbeats") byte[] text) {
-    Statistics.collect(reads(() -> WorkerCodec.readHeartbeat(text)));
+  void heartbeatIsAcceptedOrMalformed(@ForAll("heartbeats") byte[] json) {
+    Statistics.collect(accepts(() -> WorkerCodec.readHeartbeat(json)));
     Statistics.coverage(
         coverage -> coverage.check(true).percentage(share -> share > 10 && share < 90));
   }
 
   @Provide
   Arbitrary<byte[]> storeResponses() {
-    return Documents.nearly(STORE);
+    return Documents.nearly(STORE_RESPONSE);
   }
 
   @Property(seed = "23", tries = 2000)
-  void aResponseOfTheStoreIsReadOrMalformed(@ForAll("storeResponses") byte[] text) {
-    int read = 0;
-    for (Reading reading :
-        List.<Reading>of(
-            () -> StoreCodec.readItem(text),
-            () -> StoreCodec.readRange(text),
-            () -> StoreCodec.readEvents(text),
-            () -> StoreCodec.readLease(text),
-            () -> StoreCodec.readFailed(text),
-            () -> StoreCodec.readRevision(text))) {
-      read += reads(reading) ? 1 : 0;
+  void storeResponseIsAcceptedOrMalformed(@ForAll("storeResponses") byte[] json) {
+    int acceptedCount = 0;
+    for (Decoding decoding :
+        List.<Decoding>of(
+            () -> StoreCodec.readItem(json),
+            () -> StoreCodec.readRange(json),
+            () -> StoreCodec.readEvents(json),
+            () -> StoreCodec.readLease(json),
+            () -> StoreCodec.readFailed(json),
+            () -> StoreCodec.readRevision(json))) {
+      acceptedCount += accepts(decoding) ? 1 : 0;
     }
-    Statistics.collect(read > 0);
+    Statistics.collect(acceptedCount > 0);
     Statistics.coverage(
         coverage -> coverage.check(true).percentage(share -> share > 10 && share < 99));
   }
 
   @Property(seed = "24", tries = 2000)
-  void anyObjectRendersTheSameAgain(@ForAll("storeResponses") byte[] text) {
-    reads(
+  void renderedObjectRoundTrips(@ForAll("storeResponses") byte[] json) {
+    accepts(
         () -> {
-          String kept = new String(Json.readObject(text).render(), StandardCharsets.UTF_8);
-          assertFalse(kept.contains("Infinity"), "a number became a text: " + kept);
+          String rendered = new String(Json.readObject(json).render(), StandardCharsets.UTF_8);
+          assertFalse(
+              rendered.contains("Infinity"), "a number was rendered as a string: " + rendered);
           assertEquals(
-              kept,
+              rendered,
               new String(
-                  Json.readObject(kept.getBytes(StandardCharsets.UTF_8)).render(),
+                  Json.readObject(rendered.getBytes(StandardCharsets.UTF_8)).render(),
                   StandardCharsets.UTF_8));
         });
   }
 
   @Provide
   Arbitrary<byte[]> cloudResponses() {
-    return Documents.nearly(CLOUD);
+    return Documents.nearly(CLOUD_RESPONSE);
   }
 
   @Property(seed = "25", tries = 2000)
-  void aResponseOfTheCloudIsReadOrMalformed(@ForAll("cloudResponses") byte[] text) {
-    boolean page = reads(() -> CloudCodec.readPage(text));
-    boolean catalog = reads(() -> CloudCodec.readCatalog(Json.readObject(text)));
-    boolean rented = reads(() -> CloudCodec.readRented(text));
-    assertTrue(!page || !rented, "a list of machines is no list of names");
-    Statistics.collect(page || catalog);
+  void cloudResponseIsAcceptedOrMalformed(@ForAll("cloudResponses") byte[] json) {
+    boolean isPage = accepts(() -> CloudCodec.readPage(json));
+    boolean isCatalog = accepts(() -> CloudCodec.readCatalog(Json.readObject(json)));
+    boolean isRented = accepts(() -> CloudCodec.readRented(json));
+    assertTrue(
+        !isPage || !isRented,
+        "a page of the machine list was also accepted as a list of machine ids");
+    Statistics.collect(isPage || isCatalog);
     Statistics.coverage(
         coverage -> coverage.check(true).percentage(share -> share > 10 && share < 99));
   }
@@ -158,7 +163,7 @@
   Arbitrary<PeerMessage> peerMessages() {
     Arbitrary<String> names =
         Arbitraries.strings().withCharRange('\u0000', '\ud7ff').ofMaxLength(60);
-    Arbitrary<PeerMessage> statuses =
+    Arbitrary<PeerMessage> nodeStatuses =
         Combinators.combine(
                 names,
                 Arbitraries.longs(),
@@ -170,11 +175,11 @@
     Arbitrary<JobProgress> job =
         Combinators.combine(names, Arbitraries.integers(), Arbitraries.integers())
             .as(JobProgress::new);
-    Arbitrary<PeerMessage> progress =
+    Arbitrary<PeerMessage> progressUpdates =
         Combinators.combine(Arbitraries.longs(), job.list().ofMaxSize(50)).as(ProgressUpdate::new);
     Arbitrary<StampEcho> echo =
         Combinators.combine(names, Arbitraries.longs(), Arbitraries.longs()).as(StampEcho::new);
-    Arbitrary<PeerMessage> memberships =
+    Arbitrary<PeerMessage> membershipStatuses =
         Combinators.combine(
                 names,
                 Arbitraries.longs(),
@@ -185,44 +190,46 @@
                 Arbitraries.integers(),
                 echo.list().ofMaxSize(5))
             .as(MembershipStatus::new);
-    Arbitrary<LeaseRenewal> answer =
+    Arbitrary<LeaseRenewal> renewal =
         Combinators.combine(names, Arbitraries.integers()).as(LeaseRenewal::new);
     Arbitrary<PeerMessage> renewals =
         Combinators.combine(
-                names, Arbitraries.longs(), Arbitraries.longs(), answer.list().ofMaxSize(50))
+                names, Arbitraries.longs(), Arbitraries.longs(), renewal.list().ofMaxSize(50))
             .as(DelegatedRenewals::new);
     Arbitrary<String> bodies = Arbitraries.strings().withCharRange(' ', '~').ofMaxLength(3_000);
     Arbitrary<PeerMessage> heartbeats =
         Combinators.combine(names, Arbitraries.longs(), bodies).as(ForwardedHeartbeat::new);
     Arbitrary<PeerMessage> responses =
         Combinators.combine(Arbitraries.longs(), bodies).as(ForwardedResponse::new);
-    return Arbitraries.oneOf(statuses, progress, memberships, renewals, heartbeats, responses);
+    return Arbitraries.oneOf(
+        nodeStatuses, progressUpdates, membershipStatuses, renewals, heartbeats, responses);
   }
 
-  private static ByteBuffer withoutLength(ByteBuffer message) {
-    assertEquals(message.remaining() - PeerMessageCodec.PREFIX_BYTES, message.getInt());
+  private static ByteBuffer withoutLengthPrefix(ByteBuffer message) {
+    assertEquals(message.remaining() - PeerMessageCodec.LENGTH_PREFIX_BYTES, message.getInt());
     return message.slice();
   }
 
   @Property(seed = "26")
-  void aPeerMessageReadsBackTheSame(@ForAll("peerMessages") PeerMessage message)
+  void peerMessageRoundTrips(@ForAll("peerMessages") PeerMessage message)
       throws MalformedMessageException {
-    assertEquals(message, PeerMessageCodec.decode(withoutLength(PeerMessageCodec.encode(message))));
+    assertEquals(
+        message, PeerMessageCodec.decode(withoutLengthPrefix(PeerMessageCodec.encode(message))));
   }
 
   @Property(seed = "27", tries = 2000)
-  void aDamagedPeerMessageIsReadOrMalformed(
+  void corruptedPeerMessageIsAcceptedOrMalformed(
       @ForAll("peerMessages") PeerMessage message,
-      @ForAll @Size(max = 6) List<Integer> places,
+      @ForAll @Size(max = 6) List<Integer> positions,
       @ForAll byte value) {
-    ByteBuffer bytes = withoutLength(PeerMessageCodec.encode(message));
-    for (int place : places) {
-      bytes.put(Math.floorMod(place, bytes.limit()), value);
+    ByteBuffer bytes = withoutLengthPrefix(PeerMessageCodec.encode(message));
+    for (int position : positions) {
+      bytes.put(Math.floorMod(position, bytes.limit()), value);
     }
-    if (places.size() % 2 == 1) {
-      bytes.limit(Math.floorMod(places.get(0), bytes.limit()) + 1);
+    if (positions.size() % 2 == 1) {
+      bytes.limit(Math.floorMod(positions.get(0), bytes.limit()) + 1);
     }
-    Statistics.collect(reads(() -> PeerMessageCodec.decode(bytes)));
+    Statistics.collect(accepts(() -> PeerMessageCodec.decode(bytes)));
     Statistics.coverage(coverage -> coverage.check(false).percentage(share -> share > 10));
   }
 }
