--- a/src/test/java/madderrudder/protocol/Documents.java
+++ b/src/test/java/madderrudder/protocol/Documents.java
@@ -9,11 +9,11 @@
 import net.jqwik.api.RandomDistribution;
 
 /**
- * Documents that are nearly right: a good one of which a few values were replaced, or a few pieces
- * of text.
+ * Generates random mutations of a valid JSON document: a few of its values or pieces of its text
+ * are replaced.
  */
 public final class Documents {
-  /** A value, or a name with the colon behind it in a group. */
+  /** A string, number or literal; group 1 holds the colon if the string is a field name. */
   private static final Pattern TOKEN =
       Pattern.compile("\"(?:[^\"\\\\]|\\\\.)*\"(\\s*:)?|-?[0-9][0-9.eE+-]*|true|false|null");
 
@@ -52,7 +52,7 @@
     "{\"a\":1}",
     "\"" + "x".repeat(300) + "\""
   };
-  private static final String[] PIECES = {
+  private static final String[] TEXT_PIECES = {
     "",
     "\"",
     "{",
@@ -73,33 +73,40 @@
 
   private Documents() {}
 
-  /** One replacement: of the {@code where}-th value, or of the text at that place. */
-  private record Edit(boolean ofValue, int where, int what) {
+  /**
+   * One replacement in a document.
+   *
+   * @param replacesValue whether it replaces a whole value; otherwise it replaces text anywhere
+   * @param position selects the value or the text offset, modulo the number of choices
+   * @param replacement selects the new value, or the new piece of text and the number of characters
+   *     that it replaces, modulo the number of choices
+   */
+  private record Edit(boolean replacesValue, int position, int replacement) {
     String apply(String text) {
-      if (!ofValue) {
-        int at = Math.floorMod(where, text.length() + 1);
-        return text.substring(0, at)
-            + PIECES[Math.floorMod(what, PIECES.length)]
-            + text.substring(Math.min(text.length(), at + Math.floorMod(what, 3)));
+      if (!replacesValue) {
+        int offset = Math.floorMod(position, text.length() + 1);
+        return text.substring(0, offset)
+            + TEXT_PIECES[Math.floorMod(replacement, TEXT_PIECES.length)]
+            + text.substring(Math.min(text.length(), offset + Math.floorMod(replacement, 3)));
       }
-      List<int[]> places =
+      List<int[]> valueRanges =
           TOKEN
               .matcher(text)
               .results()
-              .filter(found -> found.group(1) == null)
-              .map(found -> new int[] {found.start(), found.end()})
+              .filter(match -> match.group(1) == null)
+              .map(match -> new int[] {match.start(), match.end()})
               .toList();
-      if (places.isEmpty()) {
+      if (valueRanges.isEmpty()) {
         return text;
       }
-      int[] place = places.get(Math.floorMod(where, places.size()));
-      return text.substring(0, place[0])
-          + VALUES[Math.floorMod(what, VALUES.length)]
-          + text.substring(place[1]);
+      int[] range = valueRanges.get(Math.floorMod(position, valueRanges.size()));
+      return text.substring(0, range[0])
+          + VALUES[Math.floorMod(replacement, VALUES.length)]
+          + text.substring(range[1]);
     }
   }
 
-  /** Numbers below the bound, each as likely as the others. */
+  /** Generates uniformly distributed integers from 0 to the bound, exclusive. */
   private static Arbitrary<Integer> uniform(int bound) {
     return Arbitraries.integers()
         .between(0, bound - 1)
@@ -107,18 +114,21 @@
         .withoutEdgeCases();
   }
 
-  /** Nearly right forms of the good document, one in six of them with its text broken too. */
-  public static Arbitrary<byte[]> nearly(String good) {
+  /**
+   * Generates documents that result from up to three edits of the valid document, in UTF-8. One
+   * edit in six replaces text, which mostly breaks the JSON syntax; the others replace a value.
+   */
+  public static Arbitrary<byte[]> nearly(String valid) {
     Arbitrary<Edit> edit =
         Combinators.combine(uniform(6), uniform(10_000), uniform(10_000))
-            .as((kind, where, what) -> new Edit(kind > 0, where, what));
+            .as((kind, position, replacement) -> new Edit(kind > 0, position, replacement));
     return edit.list()
         .ofMaxSize(3)
         .map(
             edits -> {
-              String text = good;
-              for (Edit one : edits) {
-                text = one.apply(text);
+              String text = valid;
+              for (Edit next : edits) {
+                text = next.apply(text);
               }
               return text.getBytes(StandardCharsets.UTF_8);
             });
--- a/src/test/java/madderrudder/protocol/JobCodecTest.java
+++ b/src/test/java/madderrudder/protocol/JobCodecTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs as users submit them and as they are stored. */
+/**
+ * Guards against invalid job submissions that are accepted, against error messages that do not name
+ * the invalid field, and against jobs that change when they are stored and read back.
+ */
 class JobCodecTest {
   private static final String JOB =
       "{'id':'req-000412','rig':'train','crew':'vision','cut':'gang','rank':'urgent',"
@@ -28,7 +31,7 @@
   }
 
   @Test
-  void readsAJob() throws MalformedMessageException {
+  void readsSubmittedJob() throws MalformedMessageException {
     JobSpec job = job(JOB);
     assertEquals(JobKind.GANG, job.kind());
     assertEquals(Priority.HIGH, job.priority());
@@ -37,7 +40,7 @@
   }
 
   @Test
-  void aWrittenJobReadsBackTheSame() throws MalformedMessageException {
+  void writtenJobRoundTrips() throws MalformedMessageException {
     JobSpec job = job(JOB);
     assertEquals(job, JobCodec.read(Json.readObject(Json.object(out -> JobCodec.write(out, job)))));
   }
@@ -67,12 +70,15 @@
         "64.0|NaN",
         "'vision'|7"
       })
-  void refusesAnInvalidField(String change) {
+  void refusesInvalidField(String change) {
     String[] parts = change.split("\\|", -1);
     assertThrows(MalformedMessageException.class, () -> job(JOB.replace(parts[0], parts[1])));
   }
 
-  /** Jobs that lacked one of the last seven were once accepted, with a value made up here. */
+  /**
+   * Guards against defaults in place of required fields: the codec used to accept a job without one
+   * of the last seven and to fill in a value.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -94,19 +100,20 @@
         "mark_s",
         "stow_s"
       })
-  void refusesAJobWithoutAFieldThatMayNotBeNull(String field) throws MalformedMessageException {
+  void refusesJobWithoutRequiredField(String field) throws MalformedMessageException {
     String text = JOB.replace("16", "1");
     assertEquals(1, job(text).tasks());
-    String value = "'" + field + "':('[^']*'|[^,]*)";
-    assertThrows(MalformedMessageException.class, () -> job(text.replaceFirst(value + ",", "")));
+    String fieldPattern = "'" + field + "':('[^']*'|[^,]*)";
+    assertThrows(
+        MalformedMessageException.class, () -> job(text.replaceFirst(fieldPattern + ",", "")));
     assertThrows(
         MalformedMessageException.class,
-        () -> job(text.replaceFirst(value, "'" + field + "':null")));
+        () -> job(text.replaceFirst(fieldPattern, "'" + field + "':null")));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"'builds':['g8'],", "'berth':null,", "'tide_s':900.0,"})
-  void acceptsAJobWithoutAFieldThatMayBeNull(String field) throws MalformedMessageException {
+  void acceptsJobWithoutOptionalField(String field) throws MalformedMessageException {
     assertTrue(JOB.contains(field));
     assertEquals(16, job(JOB.replace(field, "")).tasks());
   }
@@ -121,36 +128,36 @@
         "img-07||hull|field hull is missing or invalid|''",
         "240.0|-1|reckon_s|field reckon_s is missing or invalid|-1",
       })
-  void namesTheInvalidFieldAndItsValue(
-      String good, String bad, String field, String message, String value) {
-    String text = JOB.replace(good, bad == null ? "" : bad);
-    MalformedMessageException malformed =
+  void namesInvalidFieldAndItsValue(
+      String valid, String invalid, String field, String message, String value) {
+    String text = JOB.replace(valid, invalid == null ? "" : invalid);
+    MalformedMessageException exception =
         assertThrows(MalformedMessageException.class, () -> job(text));
-    assertEquals(Optional.of(field), malformed.field());
-    assertEquals(Optional.of(value), malformed.value());
-    assertEquals(message, malformed.getMessage());
-    assertEquals(message + ": " + value, malformed.detail());
+    assertEquals(Optional.of(field), exception.field());
+    assertEquals(Optional.of(value), exception.value());
+    assertEquals(message, exception.getMessage());
+    assertEquals(message + ": " + value, exception.detail());
   }
 
   @Test
-  void namesAMissingFieldWithoutAValue() {
-    MalformedMessageException malformed =
+  void namesMissingFieldWithoutValue() {
+    MalformedMessageException exception =
         assertThrows(MalformedMessageException.class, () -> job(JOB.replace("'crew'", "'x'")));
-    assertEquals(Optional.of("crew"), malformed.field());
-    assertEquals(Optional.empty(), malformed.value());
-    assertEquals("field crew is missing or invalid", malformed.detail());
+    assertEquals(Optional.of("crew"), exception.field());
+    assertEquals(Optional.empty(), exception.value());
+    assertEquals("field crew is missing or invalid", exception.detail());
   }
 
   @Test
-  void shortensALongInvalidValue() {
+  void truncatesLongInvalidValue() {
     String text = JOB.replace("'vision'", "'" + "v".repeat(5_000) + "'");
-    MalformedMessageException malformed =
+    MalformedMessageException exception =
         assertThrows(MalformedMessageException.class, () -> job(text));
-    assertEquals(Optional.of("v".repeat(80) + "..."), malformed.value());
+    assertEquals(Optional.of("v".repeat(80) + "..."), exception.value());
   }
 
   @Test
-  void fractionsOfResourcesAddUpExactly() throws MalformedMessageException {
+  void fractionalResourcesAddUpExactly() throws MalformedMessageException {
     JobSpec job = job(JOB.replace("8.0", "0.1").replace("64.0", "0.7"));
     assertEquals(job.perTask().times(30), Resources.of(3, 30, 21));
   }
--- a/src/test/java/madderrudder/protocol/JsonTest.java
+++ b/src/test/java/madderrudder/protocol/JsonTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** JSON texts and the access to their fields. */
+/**
+ * Guards against invalid JSON that is accepted, against deep nesting that overflows the stack, and
+ * against numbers beyond the range of a double that change when they are written back.
+ */
 class JsonTest {
   private static byte[] json(String text) {
     return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
@@ -17,7 +20,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "[]", "7", "{", "{}}", "{'a':1}x", "nul", "{'a':}"})
-  void refusesATextThatIsNotOneObject(String text) {
+  void refusesTextThatIsNotOneObject(String text) {
     assertThrows(MalformedMessageException.class, () -> Json.readObject(json(text)));
   }
 
@@ -27,9 +30,12 @@
         MalformedMessageException.class, () -> Json.readObject(json("{'a':" + "[".repeat(30_000))));
   }
 
-  /** Read as infinite, a number beyond a double's range was written again as a string. */
+  /**
+   * Guards against a number beyond the range of a double that is read as infinity and then written
+   * back as a string.
+   */
   @Test
-  void rendersNumbersBeyondADoublesRangeAsTheyCame() throws MalformedMessageException {
+  void rendersNumbersBeyondDoubleRangeAsNumbers() throws MalformedMessageException {
     JsonFields read = Json.readObject(json("{'a':1e999,'b':-1e-999,'c':-1e99999999999999}"));
     assertEquals(
         "{\"a\":1e999,\"b\":-0.0,\"c\":-1e99999999999999}",
@@ -37,14 +43,14 @@
   }
 
   @Test
-  void numbersBeyondADoublesRangeAreNoAmounts() throws MalformedMessageException {
+  void refusesNumbersBeyondDoubleRangeAsAmountsAndCounts() throws MalformedMessageException {
     JsonFields read = Json.readObject(json("{'a':1e999}"));
     assertThrows(MalformedMessageException.class, () -> read.amount("a"));
     assertThrows(MalformedMessageException.class, () -> read.count("a"));
   }
 
   @Test
-  void writesAnErrorAsAnObject() {
+  void writesErrorAsObject() {
     assertArrayEquals("{\"error\":\"a\"}".getBytes(StandardCharsets.UTF_8), Json.error("a"));
   }
 }
--- a/src/test/java/madderrudder/protocol/PeerMessageCodecTest.java
+++ b/src/test/java/madderrudder/protocol/PeerMessageCodecTest.java
@@ -22,7 +22,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The byte form of messages between controllers. */
+/**
+ * Guards against changes of the encoding of messages between controllers, which would break the
+ * exchange with controllers of another version during an upgrade, and against truncated or
+ * corrupted messages that cause any exception but {@link MalformedMessageException}.
+ */
 class PeerMessageCodecTest {
   private static final List<PeerMessage> MESSAGES =
       List.of(
@@ -41,8 +45,8 @@
     return body;
   }
 
-  /** Bytes that a controller of before the codec's split wrote: versions meet during an upgrade. */
-  private static List<Arguments> writtenByTheOldCode() {
+  /** Messages with their encodings, which an earlier version of the controller has written. */
+  private static List<Arguments> recordedEncodings() {
     return List.of(
         Arguments.of(
             new NodeStatus("n-1", 7, "n-0", true, 1500, 250),
@@ -65,49 +69,49 @@
   }
 
   @ParameterizedTest
-  @MethodSource("writtenByTheOldCode")
-  void keepsTheByteFormOfEarlierVersions(PeerMessage message, String hex)
+  @MethodSource("recordedEncodings")
+  void keepsEncodingOfEarlierVersions(PeerMessage message, String hex)
       throws MalformedMessageException {
     ByteBuffer bytes = PeerMessageCodec.encode(message);
-    byte[] written = new byte[bytes.remaining()];
-    bytes.get(written);
-    assertEquals(hex, HexFormat.of().formatHex(written));
+    byte[] encoded = new byte[bytes.remaining()];
+    bytes.get(encoded);
+    assertEquals(hex, HexFormat.of().formatHex(encoded));
     byte[] body = HexFormat.of().parseHex(hex.substring(8));
     assertEquals(message, PeerMessageCodec.decode(ByteBuffer.wrap(body)));
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void aMessageReadsBackTheSame(PeerMessage message) throws MalformedMessageException {
+  void messageRoundTrips(PeerMessage message) throws MalformedMessageException {
     assertEquals(message, PeerMessageCodec.decode(ByteBuffer.wrap(body(message))));
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void refusesATruncatedMessage(PeerMessage message) {
+  void refusesTruncatedMessage(PeerMessage message) {
     byte[] body = body(message);
-    for (int cut = 0; cut < body.length; cut++) {
-      ByteBuffer shorter = ByteBuffer.wrap(body, 0, cut);
-      assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.decode(shorter));
+    for (int length = 0; length < body.length; length++) {
+      ByteBuffer truncated = ByteBuffer.wrap(body, 0, length);
+      assertThrows(MalformedMessageException.class, () -> PeerMessageCodec.decode(truncated));
     }
   }
 
   @Test
-  void readsOrRefusesAMessageWithAChangedByte() {
+  void readsOrRefusesMessageWithChangedByte() {
     SplittableRandom random = new SplittableRandom(3);
     int refused = 0;
     for (PeerMessage message : MESSAGES) {
       byte[] body = body(message);
-      for (int round = 0; round < 2_000; round++) {
-        byte[] noise = body.clone();
-        noise[random.nextInt(noise.length)] = (byte) random.nextInt();
+      for (int i = 0; i < 2_000; i++) {
+        byte[] corrupted = body.clone();
+        corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         try {
-          PeerMessageCodec.decode(ByteBuffer.wrap(noise));
+          PeerMessageCodec.decode(ByteBuffer.wrap(corrupted));
         } catch (MalformedMessageException e) {
           refused++;
         }
       }
     }
-    assertTrue(refused > 500, "only " + refused + " refused");
+    assertTrue(refused > 500, "only " + refused + " corrupted messages were refused");
   }
 }
--- a/src/test/java/madderrudder/protocol/WorkerCodecTest.java
+++ b/src/test/java/madderrudder/protocol/WorkerCodecTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Heartbeats of workers and commands to them. */
+/**
+ * Guards against heartbeats whose fields or names are mapped to wrong values, against stale
+ * heartbeats that count as newer, and against changes of the commands on the wire.
+ */
 class WorkerCodecTest {
   private static final String HEARTBEAT =
       "{'vessel':'m-1','addr':'10.1.0.2:9000','build':'g8',"
@@ -24,7 +27,7 @@
   }
 
   @Test
-  void readsAHeartbeat() throws MalformedMessageException {
+  void readsHeartbeat() throws MalformedMessageException {
     Heartbeat heartbeat = read(HEARTBEAT);
     assertEquals(
         new Heartbeat(
@@ -45,7 +48,7 @@
   }
 
   @Test
-  void theLargerEpochAndSequenceNumberIsNewer() throws MalformedMessageException {
+  void heartbeatWithLargerEpochOrSequenceIsNewer() throws MalformedMessageException {
     Heartbeat heartbeat = read(HEARTBEAT);
     assertTrue(heartbeat.newerThan(2, 87));
     assertTrue(heartbeat.newerThan(1, 99));
@@ -60,7 +63,7 @@
     "flushing,SAVING",
     "ended,EXITED",
   })
-  void readsThePhaseOfATask(String name, Phase phase) throws MalformedMessageException {
+  void readsTaskPhase(String name, Phase phase) throws MalformedMessageException {
     Heartbeat heartbeat = read(HEARTBEAT.replace("running", name));
     assertEquals(phase, heartbeat.tasks().get(0).phase());
   }
@@ -77,7 +80,7 @@
     "unknown,UNKNOWN",
     "of_a_later_protocol,ERROR",
   })
-  void readsWhyATaskExited(String name, ExitReason reason) throws MalformedMessageException {
+  void readsExitReason(String name, ExitReason reason) throws MalformedMessageException {
     Heartbeat heartbeat = read(HEARTBEAT.replace("'done'", "'" + name + "'"));
     assertEquals(reason, heartbeat.tasks().get(1).exitReason());
   }
