--- a/src/main/java/madderrudder/transport/Addresses.java
+++ b/src/main/java/madderrudder/transport/Addresses.java
@@ -7,16 +7,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Addresses of the form {@code 10.0.0.1:8080}. Host names are not allowed, so that nothing waits
- * for a name look-up.
+ * Parses addresses of the form {@code 10.0.0.1:8080}. Host names are not supported, so that the
+ * event loop thread never blocks on a DNS lookup.
  */
 public final class Addresses {
-  private static final Pattern FORM =
+  private static final Pattern IPV4_AND_PORT =
       Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
 
   private Addresses() {}
 
-  /** Whether the text is an address. */
+  /** Returns whether the text is an IPv4 address with a port. */
   public static boolean valid(String address) {
     try {
       parse(address);
@@ -27,29 +27,29 @@
   }
 
   /**
-   * Reads an address.
+   * Parses an IPv4 address with a port.
    *
-   * @throws IllegalArgumentException if the text is none
+   * @throws IllegalArgumentException if the text has another form, or a part is out of range
    */
   public static InetSocketAddress parse(String address) {
-    Matcher match = FORM.matcher(address);
-    if (!match.matches()) {
-      throw new IllegalArgumentException("not an address: " + address);
+    Matcher matcher = IPV4_AND_PORT.matcher(address);
+    if (!matcher.matches()) {
+      throw new IllegalArgumentException("invalid address, expected IPv4:PORT: " + address);
     }
-    byte[] ip = new byte[4];
+    byte[] octets = new byte[4];
     for (int i = 0; i < 4; i++) {
-      int part = Integer.parseInt(match.group(i + 1));
-      if (part > 255) {
-        throw new IllegalArgumentException("not an address: " + address);
+      int octet = Integer.parseInt(matcher.group(i + 1));
+      if (octet > 255) {
+        throw new IllegalArgumentException("invalid address, expected IPv4:PORT: " + address);
       }
-      ip[i] = (byte) part;
+      octets[i] = (byte) octet;
     }
-    int port = Integer.parseInt(match.group(5));
+    int port = Integer.parseInt(matcher.group(5));
     if (port > 65535) {
-      throw new IllegalArgumentException("not an address: " + address);
+      throw new IllegalArgumentException("invalid address, expected IPv4:PORT: " + address);
     }
     try {
-      return new InetSocketAddress(InetAddress.getByAddress(ip), port);
+      return new InetSocketAddress(InetAddress.getByAddress(octets), port);
     } catch (UnknownHostException e) {
       throw new IllegalArgumentException(e);
     }
--- a/src/main/java/madderrudder/transport/EventLoop.java
+++ b/src/main/java/madderrudder/transport/EventLoop.java
@@ -10,34 +10,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns all state. It is given to the asynchronous channel group as its pool, so
- * that completion handlers run on it and nothing else needs a lock.
+ * Runs tasks and timers on a single thread, which owns all mutable state of the process. The loop
+ * is also the thread pool of the asynchronous channel group, so completion handlers run on the same
+ * thread and need no locks.
  *
- * <p>Only {@link #execute}, the shutdown methods and their queries, and the clocks may be called on
- * any thread; the channel group's own thread calls {@link #execute}. All else is confined to the
- * event loop thread.
+ * <p>{@link #execute}, the shutdown methods, the methods that query the shutdown state, and the
+ * clocks may be called on any thread; the channel group calls {@link #execute} on an internal
+ * thread. All other methods are confined to the event loop thread.
  */
 public final class EventLoop extends AbstractExecutorService implements Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-  /** Timers are looked at after so many tasks at the latest. */
-  private static final int TASKS_PER_TURN = 64;
+  /** Limit on the queued tasks that run before due timers are checked again. */
+  private static final int MAX_TASKS_BEFORE_TIMERS = 64;
 
-  private final ConcurrentLinkedQueue<Runnable> ready = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<Runnable> readyTasks = new ConcurrentLinkedQueue<>();
   private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>();
-  private volatile Thread thread;
+  private volatile Thread loopThread;
   private volatile boolean stopped;
-  private long nextOrder;
+  private long nextSequence;
 
-  /** A timer; those that are due at the same time run in the order in which they were set. */
+  /** A scheduled action. Timers that are due at the same time run in scheduling order. */
   private static final class PendingTimer implements Timer, Comparable<PendingTimer> {
     private final long dueMicros;
-    private final long order;
+    private final long sequence;
+
+    /** Null once the timer is canceled. */
     private Runnable action;
 
-    PendingTimer(long dueMicros, long order, Runnable action) {
+    PendingTimer(long dueMicros, long sequence, Runnable action) {
       this.dueMicros = dueMicros;
-      this.order = order;
+      this.sequence = sequence;
       this.action = action;
     }
 
@@ -48,30 +51,30 @@
 
     @Override
     public int compareTo(PendingTimer other) {
-      int byTime = Long.compare(dueMicros, other.dueMicros);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int byDueTime = Long.compare(dueMicros, other.dueMicros);
+      return byDueTime != 0 ? byDueTime : Long.compare(sequence, other.sequence);
     }
   }
 
-  /** Makes the calling thread the event loop thread, until {@link #shutdown()}. */
+  /** Runs the event loop on the calling thread until {@link #shutdown()} is called. */
   public void run() {
-    thread = Thread.currentThread();
+    loopThread = Thread.currentThread();
     while (!stopped) {
       runReadyTasks();
       runDueTimers();
-      if (ready.isEmpty() && !stopped) {
+      if (readyTasks.isEmpty() && !stopped) {
         awaitWork();
       }
     }
   }
 
   private void runReadyTasks() {
-    for (int i = 0; i < TASKS_PER_TURN; i++) {
-      Runnable task = ready.poll();
+    for (int i = 0; i < MAX_TASKS_BEFORE_TIMERS; i++) {
+      Runnable task = readyTasks.poll();
       if (task == null) {
         return;
       }
-      runGuarded(task);
+      runAndLogFailure(task);
     }
   }
 
@@ -80,47 +83,53 @@
     while (!timers.isEmpty() && timers.peek().dueMicros <= nowMicros) {
       Runnable action = timers.poll().action;
       if (action != null) {
-        runGuarded(action);
+        runAndLogFailure(action);
       }
     }
   }
 
   private void awaitWork() {
-    PendingTimer next = timers.peek();
-    if (next == null) {
+    PendingTimer nextTimer = timers.peek();
+    if (nextTimer == null) {
       LockSupport.park(this);
       return;
     }
-    long waitMicros = next.dueMicros - nowMicros();
+    long waitMicros = nextTimer.dueMicros - nowMicros();
     if (waitMicros > 0) {
       LockSupport.parkNanos(this, waitMicros * 1000);
     }
   }
 
-  /** One bad event must not end the process: it is logged, and the reconciling loops carry on. */
-  private static void runGuarded(Runnable task) {
+  /**
+   * Runs the task and logs an exception that it throws. A failed task must not end the process: the
+   * reconciliation loops continue to run.
+   */
+  private static void runAndLogFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      LOG.error("event failed", e);
+      LOG.error("event loop task failed, the loop continues", e);
     }
   }
 
-  /** Runs the task later on the event loop. May be called on any thread. */
+  /** Queues the task to run on the event loop thread. May be called on any thread. */
   @Override
   public void execute(Runnable task) {
-    ready.add(task);
-    Thread owner = thread;
-    if (owner != null && owner != Thread.currentThread()) {
-      LockSupport.unpark(owner);
+    readyTasks.add(task);
+    Thread target = loopThread;
+    if (target != null && target != Thread.currentThread()) {
+      LockSupport.unpark(target);
     }
   }
 
-  /** Must be called on the event loop thread, or before it runs. */
+  /**
+   * Runs the action once on the event loop thread, after the delay; a negative delay counts as 0.
+   * Must be called on the event loop thread, or before {@link #run()}.
+   */
   @Override
   public Timer after(long delayMicros, Runnable action) {
     PendingTimer timer =
-        new PendingTimer(nowMicros() + Math.max(0, delayMicros), nextOrder++, action);
+        new PendingTimer(nowMicros() + Math.max(0, delayMicros), nextSequence++, action);
     timers.add(timer);
     return timer;
   }
@@ -135,14 +144,20 @@
     return System.currentTimeMillis() * 1000;
   }
 
-  /** Lets {@link #run()} return; tasks and timers left are not run. May be called on any thread. */
+  /**
+   * Makes {@link #run()} return after the current batch of tasks and timers; those that are still
+   * pending do not run. May be called on any thread.
+   */
   @Override
   public void shutdown() {
     stopped = true;
-    LockSupport.unpark(thread);
+    LockSupport.unpark(loopThread);
   }
 
-  /** As {@link #shutdown()}; returns none of the tasks left. May be called on any thread. */
+  /**
+   * Same as {@link #shutdown()}. Returns an empty list instead of the pending tasks. May be called
+   * on any thread.
+   */
   @Override
   public List<Runnable> shutdownNow() {
     shutdown();
@@ -159,7 +174,7 @@
     return stopped;
   }
 
-  /** Does not wait. May be called on any thread. */
+  /** Returns at once whether the loop has been shut down. May be called on any thread. */
   @Override
   public boolean awaitTermination(long timeout, TimeUnit unit) {
     return stopped;
--- a/src/main/java/madderrudder/transport/IncomingPeerConnection.java
+++ b/src/main/java/madderrudder/transport/IncomingPeerConnection.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The messages that come in over one connection from a peer, each with its length (4 bytes) in
- * front. Confined to the event loop thread.
+ * Reads messages from a connection that a peer has opened. A 4-byte length precedes each message.
+ * Confined to the event loop thread.
  */
 final class IncomingPeerConnection {
   private static final Logger LOG = LoggerFactory.getLogger(IncomingPeerConnection.class);
@@ -18,29 +18,30 @@
   private final int maxMessageBytes;
   private final Consumer<ByteBuffer> receiver;
   private final Consumer<IncomingPeerConnection> onClose;
-  private ByteBuffer in = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+  private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
   /**
-   * A connection that reads nothing yet.
+   * Creates a connection that does not read before {@link #read()} is called.
    *
-   * @param maxMessageBytes a longer message closes the connection
-   * @param receiver gets each message without its length; the buffer is valid during the call alone
+   * @param maxMessageBytes the limit on the length of a message; a longer one closes the connection
+   * @param receiver takes each message without its length; the buffer is valid only during the call
+   * @param onClose called when the connection closes; may be called more than once
    */
   IncomingPeerConnection(
       AsynchronousSocketChannel channel,
       int maxMessageBytes,
       Consumer<ByteBuffer> receiver,
       Consumer<IncomingPeerConnection> onClose) {
-    this.stream = new SocketStream(channel, failed -> close());
+    this.stream = new SocketStream(channel, failedStream -> close());
     this.maxMessageBytes = maxMessageBytes;
     this.receiver = receiver;
     this.onClose = onClose;
   }
 
-  /** Reads on until the connection is closed; called once to begin with. */
+  /** Reads and delivers messages until the connection closes. Must be called once from outside. */
   void read() {
     stream.read(
-        in,
+        buffer,
         () -> {
           if (deliverMessages()) {
             read();
@@ -50,37 +51,37 @@
         });
   }
 
-  /** Delivers the messages that are complete; false if one has an impossible length. */
+  /** Delivers the complete messages in the buffer. Returns false if a length is invalid. */
   private boolean deliverMessages() {
-    in.flip();
-    while (in.remaining() >= Integer.BYTES) {
-      int length = in.getInt(in.position());
+    buffer.flip();
+    while (buffer.remaining() >= Integer.BYTES) {
+      int length = buffer.getInt(buffer.position());
       if (length <= 0 || length > maxMessageBytes) {
-        LOG.info("peer message of bad length {}", length);
+        LOG.info("peer message has invalid length {}, closing its connection", length);
         return false;
       }
-      if (in.remaining() < Integer.BYTES + length) {
+      if (buffer.remaining() < Integer.BYTES + length) {
         makeRoomFor(length);
         return true;
       }
-      in.getInt();
-      receiver.accept(in.slice(in.position(), length));
-      in.position(in.position() + length);
+      buffer.getInt();
+      receiver.accept(buffer.slice(buffer.position(), length));
+      buffer.position(buffer.position() + length);
     }
-    in.compact();
+    buffer.compact();
     return true;
   }
 
-  /** Prepares the buffer for the rest of a message that has begun to arrive. */
+  /** Makes room in the buffer for the rest of a partial message. */
   private void makeRoomFor(int length) {
-    if (in.capacity() < Integer.BYTES + length) {
-      in = ByteBuffer.allocate(Integer.BYTES + length).put(in);
+    if (buffer.capacity() < Integer.BYTES + length) {
+      buffer = ByteBuffer.allocate(Integer.BYTES + length).put(buffer);
     } else {
-      in.compact();
+      buffer.compact();
     }
   }
 
-  /** Closes the connection; may be called more than once. */
+  /** Closes the connection and calls {@code onClose}. May be called more than once. */
   void close() {
     onClose.accept(this);
     stream.close();
--- a/src/main/java/madderrudder/transport/OutgoingPeerConnection.java
+++ b/src/main/java/madderrudder/transport/OutgoingPeerConnection.java
@@ -7,16 +7,19 @@
 import java.util.Deque;
 
 /**
- * Sends messages to one peer, over a connection that is opened when there is something to send.
- * Messages that can't be sent are dropped. Confined to the event loop thread.
+ * Sends messages to one peer over a connection that opens with the first message and reopens after
+ * a failure. Messages that can't be sent are dropped. Confined to the event loop thread.
  */
 final class OutgoingPeerConnection {
-  private static final long RETRY_MICROS = 1_000_000;
-  private static final long STUCK_MICROS = 3_000_000;
+  /** Minimum time between the starts of two connection attempts. */
+  private static final long MIN_RECONNECT_INTERVAL_MICROS = 1_000_000;
+
+  /** Limit on a connection attempt, and on the write of one message. */
+  private static final long STALL_TIMEOUT_MICROS = 3_000_000;
 
   /**
-   * A second of forwarded heartbeats of a thousand workers; what a peer has not taken by then is
-   * late anyway.
+   * Holds one second of forwarded heartbeats of 1000 workers; a message that waits longer is stale
+   * when the peer receives it.
    */
   private static final int MAX_QUEUED_BYTES = 1 << 20;
 
@@ -32,26 +35,31 @@
   private boolean connected;
   private boolean writing;
 
-  /** When the connection attempt or the write under way began. */
-  private long busySinceMicros;
+  /** Start time of the current connection attempt or write. */
+  private long operationStartMicros;
 
-  private long notBeforeMicros;
+  /** Earliest time of the next connection attempt. */
+  private long nextConnectMicros;
 
+  /** Creates a sender without a connection. */
   OutgoingPeerConnection(Scheduler scheduler, AsynchronousChannelGroup group, String address) {
     this.scheduler = scheduler;
     this.group = group;
     this.address = address;
   }
 
-  /** Sends the message, after those that wait already. */
+  /**
+   * Sends the message after those that are already queued. While a new connection attempt is not
+   * yet allowed, the message is dropped.
+   */
   void send(ByteBuffer message) {
     long nowMicros = scheduler.nowMicros();
-    if (stuck(nowMicros)) {
+    if (isStalled(nowMicros)) {
       disconnect();
     }
     enqueue(message);
     if (stream == null) {
-      if (nowMicros >= notBeforeMicros) {
+      if (nowMicros >= nextConnectMicros) {
         connect(nowMicros);
       } else {
         clearQueue();
@@ -61,13 +69,15 @@
     }
   }
 
-  private boolean stuck(long nowMicros) {
-    return stream != null && (!connected || writing) && nowMicros - busySinceMicros > STUCK_MICROS;
+  private boolean isStalled(long nowMicros) {
+    return stream != null
+        && (!connected || writing)
+        && nowMicros - operationStartMicros > STALL_TIMEOUT_MICROS;
   }
 
   private void connect(long nowMicros) {
-    notBeforeMicros = nowMicros + RETRY_MICROS;
-    busySinceMicros = nowMicros;
+    nextConnectMicros = nowMicros + MIN_RECONNECT_INTERVAL_MICROS;
+    operationStartMicros = nowMicros;
     try {
       stream = SocketStream.open(group, this::onFailure);
     } catch (IOException e) {
@@ -85,7 +95,7 @@
         });
   }
 
-  /** The failure of an older stream than the current one means nothing. */
+  /** Closes the connection, unless the failed stream has already been replaced. */
   private void onFailure(SocketStream failed) {
     if (stream == failed) {
       disconnect();
@@ -98,7 +108,7 @@
       return;
     }
     writing = true;
-    busySinceMicros = scheduler.nowMicros();
+    operationStartMicros = scheduler.nowMicros();
     SocketStream current = stream;
     current.write(
         message,
@@ -118,7 +128,7 @@
     clearQueue();
   }
 
-  /** The oldest messages are dropped if too many wait. */
+  /** Queues the message, and drops the oldest ones if the queue exceeds its limit. */
   private void enqueue(ByteBuffer message) {
     queue.addLast(message);
     queuedBytes += message.remaining();
@@ -127,7 +137,7 @@
     }
   }
 
-  /** The oldest message; null if none waits. */
+  /** Removes and returns the oldest queued message; null if the queue is empty. */
   private ByteBuffer dequeue() {
     ByteBuffer message = queue.pollFirst();
     queuedBytes -= message == null ? 0 : message.remaining();
--- a/src/main/java/madderrudder/transport/PeerMessenger.java
+++ b/src/main/java/madderrudder/transport/PeerMessenger.java
@@ -2,11 +2,19 @@
 
 import java.nio.ByteBuffer;
 
-/** Sends messages to the other controllers; they may be lost, and may come late. */
+/** Sends messages to the other controllers. A message may be lost or delayed. */
 public interface PeerMessenger {
-  /** Sends the message, with its length, to all other controllers that can be reached. */
+  /**
+   * Sends the message to all other controllers that are reachable.
+   *
+   * @param message the message with its length in front
+   */
   void broadcast(ByteBuffer message);
 
-  /** Sends the message, with its length, to one controller; to nobody if there is none so named. */
+  /**
+   * Sends the message to one controller. Has no effect if no other controller has the given name.
+   *
+   * @param message the message with its length in front
+   */
   void send(String member, ByteBuffer message);
 }
--- a/src/main/java/madderrudder/transport/PeerTransport.java
+++ b/src/main/java/madderrudder/transport/PeerTransport.java
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * Length-prefixed messages between controllers, each over a connection that its sender opens.
- * Safety does not rely on them: a message that can't be sent is dropped. Confined to the event loop
- * thread once it is started.
+ * Exchanges length-prefixed messages between controllers. Each controller opens its own connections
+ * for the messages that it sends. Safety does not depend on delivery: a message that can't be sent
+ * is dropped. Confined to the event loop thread once it is started.
  */
 public final class PeerTransport implements PeerMessenger {
-  private static final int BACKLOG = 16;
-  private static final long ACCEPT_PAUSE_MICROS = 200_000;
-  private static final int MAX_INCOMING = 16;
+  private static final int ACCEPT_BACKLOG = 16;
+  private static final long ACCEPT_RETRY_DELAY_MICROS = 200_000;
+  private static final int MAX_INCOMING_CONNECTIONS = 16;
 
   private final SocketListener listener;
   private final int maxMessageBytes;
@@ -28,12 +28,14 @@
   private final Deque<IncomingPeerConnection> incoming = new ArrayDeque<>();
 
   /**
-   * A transport that listens, and accepts nothing before it is started.
+   * Creates a transport that is bound to its address, but accepts no connection before it is
+   * started.
    *
    * @param listen the address that peers connect to
-   * @param peers the addresses of the other controllers by their names
-   * @param maxMessageBytes a longer message closes the connection that it comes over
-   * @param receiver gets each message without its length; the buffer is valid during the call alone
+   * @param peers the addresses of the other controllers by name
+   * @param maxMessageBytes the limit on the length of an incoming message; a longer one closes its
+   *     connection
+   * @param receiver takes each message without its length; the buffer is valid only during the call
    * @throws IOException if the address can't be bound
    */
   public PeerTransport(
@@ -46,16 +48,20 @@
       throws IOException {
     this.maxMessageBytes = maxMessageBytes;
     this.receiver = receiver;
-    listener = new SocketListener(scheduler, group, listen, BACKLOG, ACCEPT_PAUSE_MICROS);
+    listener =
+        new SocketListener(scheduler, group, listen, ACCEPT_BACKLOG, ACCEPT_RETRY_DELAY_MICROS);
     peers.forEach(
         (member, address) ->
             outgoing.put(member, new OutgoingPeerConnection(scheduler, group, address)));
   }
 
-  /** Begins to accept; must be called once, on the event loop or before it runs. */
+  /**
+   * Starts to accept connections. Must be called once, on the event loop thread or before the loop
+   * runs.
+   */
   public void start() {
-    // A peer that could not be accepted tries again.
-    listener.start(this::adopt, cause -> {});
+    // Accept failures need no handling here: the peer connects again.
+    listener.start(this::onAccepted, cause -> {});
   }
 
   @Override
@@ -71,9 +77,9 @@
     }
   }
 
-  private void adopt(AsynchronousSocketChannel channel) {
-    // A peer that comes back leaves its old connection half open: the oldest goes.
-    if (incoming.size() >= MAX_INCOMING) {
+  private void onAccepted(AsynchronousSocketChannel channel) {
+    // A peer that reconnects may leave its old connection half open, so the oldest one is closed.
+    if (incoming.size() >= MAX_INCOMING_CONNECTIONS) {
       incoming.pollFirst().close();
     }
     IncomingPeerConnection connection =
--- a/src/main/java/madderrudder/transport/Scheduler.java
+++ b/src/main/java/madderrudder/transport/Scheduler.java
@@ -3,24 +3,30 @@
 import java.util.concurrent.Executor;
 
 /**
- * The clock and the one thread of the program. Everything that owns state runs on one scheduler, so
- * that tests can run the real code in virtual time. Only {@link #execute} and the clocks may be
- * used on any thread.
+ * Provides the clocks and runs actions on a single thread. All code that owns state runs on one
+ * scheduler, so tests can run the production code in virtual time. Only {@link #execute} and the
+ * clocks may be used on any thread.
  */
 public interface Scheduler extends Executor {
   /**
-   * The steady clock in microseconds, from an arbitrary origin. It may run fast or slow by the
-   * drift bound, and never jumps.
+   * Returns the monotonic clock in microseconds, from an arbitrary origin. It never jumps, but its
+   * rate may deviate from real time by the drift bound.
    */
   long nowMicros();
 
-  /** The time of day in microseconds since 1970, within the bound given in the settings. */
+  /**
+   * Returns the wall clock in microseconds since 1970. Its error is within the bound given in the
+   * settings.
+   */
   long wallMicros();
 
-  /** Runs the action once, after the delay, on the scheduler's thread. */
+  /** Runs the action once, after the delay, on the thread of the scheduler. */
   Timer after(long delayMicros, Runnable action);
 
-  /** Repeats the action, with the period between the end of one run and the start of the next. */
+  /**
+   * Runs the action repeatedly. The period is the time before the first run, and from the end of
+   * each run to the start of the next.
+   */
   default void every(long periodMicros, Runnable action) {
     after(
         periodMicros,
@@ -30,9 +36,9 @@
         });
   }
 
-  /** A handle to a pending action. */
+  /** Handle of a scheduled action. */
   interface Timer {
-    /** Prevents the action from running if it has not run yet. */
+    /** Cancels the action. Has no effect if it has already run. */
     void cancel();
   }
 }
--- a/src/main/java/madderrudder/transport/package-info.java
+++ b/src/main/java/madderrudder/transport/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The event loop, HTTP/1.1 over non-blocking sockets, and messages between controllers. Nothing
- * here knows what the messages mean. All of it is confined to the event loop thread, except where a
- * method says that it may be called on any thread.
+ * The event loop, an HTTP/1.1 client and server on non-blocking sockets, and the transport of
+ * messages between controllers. The package does not interpret message contents. All types are
+ * confined to the event loop thread, except for methods documented as callable on any thread.
  */
 package madderrudder.transport;
--- a/src/test/java/madderrudder/transport/ManualClock.java
+++ b/src/test/java/madderrudder/transport/ManualClock.java
@@ -1,20 +1,23 @@
 package madderrudder.transport;
 
-/** A scheduler for code that only reads the clock, which a test sets by hand. */
+/**
+ * Scheduler for code under test that reads the clock and sets no timers. The test sets the time;
+ * {@link #execute} runs the action at once, on the calling thread.
+ */
 public final class ManualClock implements Scheduler {
   private long nowMicros;
 
-  /** A clock that stands at the moment given. */
+  /** Creates a clock that shows the given time in microseconds. */
   public ManualClock(long nowMicros) {
     this.nowMicros = nowMicros;
   }
 
-  /** Sets the clock. */
+  /** Sets the clock to the given time in microseconds. */
   public void set(long micros) {
     nowMicros = micros;
   }
 
-  /** Moves the clock on. */
+  /** Advances the clock by the given number of microseconds. */
   public void advance(long micros) {
     nowMicros += micros;
   }
--- a/src/test/java/madderrudder/transport/PeerTransportTest.java
+++ b/src/test/java/madderrudder/transport/PeerTransportTest.java
@@ -20,37 +20,41 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages between controllers on real sockets. */
+/**
+ * Sends messages between two transports over loopback sockets. Guards against messages that are
+ * split, merged or reordered when TCP delivers them in pieces, and against a peer that announces a
+ * message above the size limit.
+ */
 @Timeout(60)
 class PeerTransportTest {
-  private static final int MAX_BYTES = 64 * 1024;
+  private static final int MAX_MESSAGE_BYTES = 64 * 1024;
 
   private final EventLoop loop = new EventLoop();
-  private final BlockingQueue<Integer> received = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Integer> receivedLengths = new LinkedBlockingQueue<>();
   private AsynchronousChannelGroup group;
-  private InetSocketAddress receiving;
+  private InetSocketAddress receiverAddress;
   private PeerTransport sender;
 
   @BeforeEach
-  void connect() throws IOException {
+  void startTransports() throws IOException {
     group = AsynchronousChannelGroup.withThreadPool(loop);
-    receiving = freeAddress();
+    receiverAddress = unusedAddress();
     PeerTransport receiver =
         new PeerTransport(
             loop,
             group,
-            receiving,
+            receiverAddress,
             Map.of(),
-            MAX_BYTES,
-            message -> received.add(message.remaining()));
+            MAX_MESSAGE_BYTES,
+            message -> receivedLengths.add(message.remaining()));
     receiver.start();
     sender =
         new PeerTransport(
             loop,
             group,
-            freeAddress(),
-            Map.of("receiver", "127.0.0.1:" + receiving.getPort()),
-            MAX_BYTES,
+            unusedAddress(),
+            Map.of("receiver", "127.0.0.1:" + receiverAddress.getPort()),
+            MAX_MESSAGE_BYTES,
             message -> {});
     Thread thread = new Thread(loop::run, "event loop");
     thread.setDaemon(true);
@@ -58,12 +62,12 @@
   }
 
   @AfterEach
-  void stop() throws IOException {
+  void stopEventLoop() throws IOException {
     loop.shutdown();
     group.shutdownNow();
   }
 
-  private static InetSocketAddress freeAddress() throws IOException {
+  private static InetSocketAddress unusedAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
     }
@@ -73,10 +77,10 @@
     return ByteBuffer.allocate(Integer.BYTES + length).putInt(0, length);
   }
 
-  private List<Integer> lengthsReceived(int count) throws InterruptedException {
+  private List<Integer> awaitReceivedLengths(int count) throws InterruptedException {
     List<Integer> lengths = new ArrayList<>();
     while (lengths.size() < count) {
-      Integer length = received.poll(20, TimeUnit.SECONDS);
+      Integer length = receivedLengths.poll(20, TimeUnit.SECONDS);
       if (length == null) {
         break;
       }
@@ -87,25 +91,25 @@
 
   @Test
   void messagesOfAnySizeArriveWholeAndInOrder() throws InterruptedException {
-    List<Integer> lengths = List.of(1, 1_020, 1_021, 5, MAX_BYTES, 2, 30_000, 3);
+    List<Integer> lengths = List.of(1, 1_020, 1_021, 5, MAX_MESSAGE_BYTES, 2, 30_000, 3);
     loop.execute(() -> lengths.forEach(length -> sender.send("receiver", message(length))));
-    assertEquals(lengths, lengthsReceived(lengths.size()));
+    assertEquals(lengths, awaitReceivedLengths(lengths.size()));
   }
 
   @Test
-  void aBroadcastReachesThePeerAndAMessageToAStrangerNobody() throws InterruptedException {
+  void broadcastReachesPeerAndMessageToUnknownMemberIsDropped() throws InterruptedException {
     loop.execute(
         () -> {
           sender.send("stranger", message(1));
           sender.broadcast(message(2));
         });
-    assertEquals(List.of(2), lengthsReceived(1));
+    assertEquals(List.of(2), awaitReceivedLengths(1));
   }
 
   @Test
-  void aMessageOfImpossibleLengthClosesItsConnection() throws IOException {
-    try (Socket socket = new Socket(receiving.getAddress(), receiving.getPort())) {
-      socket.getOutputStream().write(message(MAX_BYTES + 1).array(), 0, Integer.BYTES);
+  void messageAboveMaximumLengthClosesConnection() throws IOException {
+    try (Socket socket = new Socket(receiverAddress.getAddress(), receiverAddress.getPort())) {
+      socket.getOutputStream().write(message(MAX_MESSAGE_BYTES + 1).array(), 0, Integer.BYTES);
       assertEquals(-1, socket.getInputStream().read());
     }
   }
