--- a/src/main/java/madderrudder/transport/HttpCaller.java
+++ b/src/main/java/madderrudder/transport/HttpCaller.java
@@ -2,15 +2,18 @@
 
 import java.util.function.Consumer;
 
-/** Sends HTTP requests. */
+/** Sends HTTP requests and passes the responses to callbacks. Confined to the event loop thread. */
 public interface HttpCaller {
   /**
    * Sends a request.
    *
-   * @param address the server's address, see {@link Addresses}
-   * @param timeoutMicros how long to wait for the response, from now on
-   * @param answer gets exactly one response, later and on the event loop; {@link
-   *     HttpResponse#noResponse()} or {@link HttpResponse#notSent()} if the server gave none
+   * @param address the server's address, in the form that {@link Addresses} parses
+   * @param timeoutMicros the time from this call until the request fails without a response; it
+   *     includes the time to connect
+   * @param onResponse receives exactly one response, on the event loop thread and after this method
+   *     has returned; {@link HttpResponse#noResponse()} or {@link HttpResponse#notSent()} if the
+   *     server sent none
    */
-  void call(String address, HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer);
+  void call(
+      String address, HttpRequest request, long timeoutMicros, Consumer<HttpResponse> onResponse);
 }
--- a/src/main/java/madderrudder/transport/HttpClient.java
+++ b/src/main/java/madderrudder/transport/HttpClient.java
@@ -12,49 +12,49 @@
 
 /**
  * Sends requests over pooled connections, one request at a time on each. A connection is reused
- * only while it has been idle for a short time, so that one that the peer has closed is rarely met.
- * Confined to the event loop thread.
+ * only if it has been idle for a short time, so that a request rarely fails on a connection that
+ * the server has already closed. Confined to the event loop thread.
  */
 public final class HttpClient implements HttpCaller {
   private static final long MAX_IDLE_MICROS = 30_000_000;
-  private static final int MAX_IDLE_PER_ADDRESS = 4;
+  private static final int MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4;
 
   private final Scheduler scheduler;
   private final AsynchronousChannelGroup group;
   private final int maxConnections;
-  private final Map<String, Deque<HttpClientConnection>> idle = new HashMap<>();
+  private final Map<String, Deque<HttpClientConnection>> idleByAddress = new HashMap<>();
   private final Set<HttpClientConnection> idleOldestFirst = new LinkedHashSet<>();
   private int openConnections;
 
   /**
-   * A client without connections.
+   * Creates a client without connections.
    *
-   * @param maxConnections the largest number of connections, idle ones included
+   * @param maxConnections the limit on open connections, including idle ones
    */
   public HttpClient(Scheduler scheduler, AsynchronousChannelGroup group, int maxConnections) {
     this.scheduler = scheduler;
     this.group = group;
     this.maxConnections = maxConnections;
-    scheduler.every(MAX_IDLE_MICROS / 2, this::closeOverdue);
+    scheduler.every(MAX_IDLE_MICROS / 2, this::closeExpired);
   }
 
   @Override
   public void call(
-      String address, HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer) {
-    Optional<HttpClientConnection> connection = takeIdle(address).or(() -> open(address));
+      String address, HttpRequest request, long timeoutMicros, Consumer<HttpResponse> onResponse) {
+    Optional<HttpClientConnection> connection = takeIdle(address).or(() -> openConnection(address));
     if (connection.isPresent()) {
-      connection.get().send(request, timeoutMicros, answer);
+      connection.get().send(request, timeoutMicros, onResponse);
     } else {
-      scheduler.execute(() -> answer.accept(HttpResponse.notSent()));
+      scheduler.execute(() -> onResponse.accept(HttpResponse.notSent()));
     }
   }
 
   private Optional<HttpClientConnection> takeIdle(String address) {
-    Deque<HttpClientConnection> kept = idle.get(address);
-    while (kept != null && !kept.isEmpty()) {
-      HttpClientConnection connection = kept.pollLast();
+    Deque<HttpClientConnection> pooled = idleByAddress.get(address);
+    while (pooled != null && !pooled.isEmpty()) {
+      HttpClientConnection connection = pooled.pollLast();
       idleOldestFirst.remove(connection);
-      if (!overdue(connection) && connection.usable()) {
+      if (!isExpired(connection) && connection.isOpen()) {
         return Optional.of(connection);
       }
       connection.close();
@@ -62,19 +62,22 @@
     return Optional.empty();
   }
 
-  private Optional<HttpClientConnection> open(String address) {
+  private Optional<HttpClientConnection> openConnection(String address) {
     if (openConnections >= maxConnections && !closeLongestIdle()) {
       return Optional.empty();
     }
     Optional<HttpClientConnection> connection =
-        HttpClientConnection.open(scheduler, group, address, this::done);
+        HttpClientConnection.open(scheduler, group, address, this::onIdleOrClosed);
     if (connection.isPresent()) {
       openConnections++;
     }
     return connection;
   }
 
-  /** There are more workers than sockets, so idle connections may have to go. */
+  /**
+   * Closes the connection that has been idle longest, to make room for a new one: there are more
+   * workers than sockets. Returns false if no connection is idle.
+   */
   private boolean closeLongestIdle() {
     if (idleOldestFirst.isEmpty()) {
       return false;
@@ -83,47 +86,47 @@
     return true;
   }
 
-  /** Called by a connection that is free again, or closed. */
-  private void done(HttpClientConnection connection) {
-    if (connection.usable()) {
-      keep(connection);
+  /** Pools a connection that has become idle, or removes one that has closed. */
+  private void onIdleOrClosed(HttpClientConnection connection) {
+    if (connection.isOpen()) {
+      addToPool(connection);
     } else {
-      forget(connection);
+      removeClosed(connection);
     }
   }
 
-  private void keep(HttpClientConnection connection) {
-    Deque<HttpClientConnection> kept =
-        idle.computeIfAbsent(connection.address(), address -> new ArrayDeque<>());
-    if (kept.size() >= MAX_IDLE_PER_ADDRESS) {
+  private void addToPool(HttpClientConnection connection) {
+    Deque<HttpClientConnection> pooled =
+        idleByAddress.computeIfAbsent(connection.address(), address -> new ArrayDeque<>());
+    if (pooled.size() >= MAX_IDLE_CONNECTIONS_PER_ADDRESS) {
       connection.close();
     } else {
-      kept.addLast(connection);
+      pooled.addLast(connection);
       idleOldestFirst.add(connection);
     }
   }
 
-  private void forget(HttpClientConnection connection) {
+  private void removeClosed(HttpClientConnection connection) {
     openConnections--;
     idleOldestFirst.remove(connection);
-    Deque<HttpClientConnection> kept = idle.get(connection.address());
-    if (kept != null) {
-      kept.remove(connection);
+    Deque<HttpClientConnection> pooled = idleByAddress.get(connection.address());
+    if (pooled != null) {
+      pooled.remove(connection);
     }
   }
 
-  private boolean overdue(HttpClientConnection connection) {
+  private boolean isExpired(HttpClientConnection connection) {
     return scheduler.nowMicros() - connection.idleSinceMicros() >= MAX_IDLE_MICROS;
   }
 
-  private void closeOverdue() {
+  private void closeExpired() {
     while (!idleOldestFirst.isEmpty()) {
       HttpClientConnection oldest = idleOldestFirst.iterator().next();
-      if (!overdue(oldest)) {
+      if (!isExpired(oldest)) {
         break;
       }
       oldest.close();
     }
-    idle.values().removeIf(Deque::isEmpty);
+    idleByAddress.values().removeIf(Deque::isEmpty);
   }
 }
--- a/src/main/java/madderrudder/transport/HttpClientConnection.java
+++ b/src/main/java/madderrudder/transport/HttpClientConnection.java
@@ -7,79 +7,84 @@
 import java.util.function.Consumer;
 
 /**
- * One outgoing connection. It always tells a request that was never sent from one that was sent and
- * not answered. Confined to the event loop thread.
+ * A client connection with at most one request in flight. A failed request yields {@link
+ * HttpResponse#notSent()} if its write has not begun, and {@link HttpResponse#noResponse()}
+ * otherwise. Confined to the event loop thread.
  */
 final class HttpClientConnection {
   private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
-  private static final int READ_BYTES = 4096;
+  private static final int READ_BUFFER_BYTES = 4096;
 
   private final Scheduler scheduler;
   private final SocketStream stream;
   private final String address;
-  private final Consumer<HttpClientConnection> onDone;
+  private final Consumer<HttpClientConnection> onIdleOrClosed;
   private final HttpParser parser = HttpParser.forResponses(MAX_BODY_BYTES);
-  private final ByteBuffer in = ByteBuffer.allocate(READ_BYTES);
+  private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
   private boolean connected;
   private boolean closed;
-  private boolean sent;
+  private boolean requestSent;
   private long idleSinceMicros;
-  private Consumer<HttpResponse> receiver;
+
+  /** Null while no request is in flight. */
+  private Consumer<HttpResponse> onResponse;
+
   private Scheduler.Timer timeout;
 
   private HttpClientConnection(
       Scheduler scheduler,
       AsynchronousChannelGroup group,
       String address,
-      Consumer<HttpClientConnection> onDone)
+      Consumer<HttpClientConnection> onIdleOrClosed)
       throws IOException {
     this.scheduler = scheduler;
-    this.stream = SocketStream.open(group, failed -> fail());
+    this.stream = SocketStream.open(group, failedStream -> fail());
     this.address = address;
-    this.onDone = onDone;
+    this.onIdleOrClosed = onIdleOrClosed;
   }
 
   /**
-   * A connection that the first request connects.
+   * Opens a socket; the first request connects it.
    *
-   * @param onDone called whenever the connection is free for another request, and once it is closed
+   * @param onIdleOrClosed called whenever the connection is free for another request, and when it
+   *     has closed
    * @return empty if the process can't open another socket
    */
   static Optional<HttpClientConnection> open(
       Scheduler scheduler,
       AsynchronousChannelGroup group,
       String address,
-      Consumer<HttpClientConnection> onDone) {
+      Consumer<HttpClientConnection> onIdleOrClosed) {
     try {
-      return Optional.of(new HttpClientConnection(scheduler, group, address, onDone));
+      return Optional.of(new HttpClientConnection(scheduler, group, address, onIdleOrClosed));
     } catch (IOException e) {
       return Optional.empty();
     }
   }
 
-  /** The address that it connects to. */
+  /** Returns the server address of this connection. */
   String address() {
     return address;
   }
 
-  /** When its last response was complete. */
+  /** Returns the time at which the last response was complete; 0 before the first response. */
   long idleSinceMicros() {
     return idleSinceMicros;
   }
 
-  /** Whether it is not closed. */
-  boolean usable() {
+  /** Returns whether the connection has not been closed; it may not have connected yet. */
+  boolean isOpen() {
     return !closed;
   }
 
-  /** Sends a request; there must be no other that waits for its response. */
-  void send(HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer) {
-    receiver = answer;
-    sent = false;
+  /** Sends a request. No other request may be in flight on this connection. */
+  void send(HttpRequest request, long timeoutMicros, Consumer<HttpResponse> onResponse) {
+    this.onResponse = onResponse;
+    requestSent = false;
     timeout = scheduler.after(timeoutMicros, this::fail);
-    ByteBuffer out = HttpMessageWriter.request(address, request);
+    ByteBuffer requestBytes = HttpMessageWriter.encodeRequest(address, request);
     if (connected) {
-      write(out);
+      write(requestBytes);
       return;
     }
     stream.connect(
@@ -87,23 +92,23 @@
         () -> {
           connected = true;
           if (!closed) {
-            write(out);
+            write(requestBytes);
           }
         });
   }
 
-  private void write(ByteBuffer out) {
-    sent = true;
-    stream.write(out, this::read);
+  private void write(ByteBuffer requestBytes) {
+    requestSent = true;
+    stream.write(requestBytes, this::read);
   }
 
   private void read() {
-    in.clear();
+    readBuffer.clear();
     stream.read(
-        in,
+        readBuffer,
         () -> {
           if (!closed) {
-            in.flip();
+            readBuffer.flip();
             parse();
           }
         });
@@ -111,7 +116,7 @@
 
   private void parse() {
     try {
-      if (!parser.feed(in)) {
+      if (!parser.feed(readBuffer)) {
         read();
         return;
       }
@@ -120,38 +125,38 @@
       return;
     }
     HttpResponse response = parser.response();
-    Consumer<HttpResponse> answered = endRequest();
-    if (response.close() || in.hasRemaining()) {
+    Consumer<HttpResponse> callback = endRequest();
+    if (response.closesConnection() || readBuffer.hasRemaining()) {
       close();
     } else {
       idleSinceMicros = scheduler.nowMicros();
-      onDone.accept(this);
+      onIdleOrClosed.accept(this);
     }
-    answered.accept(response);
+    callback.accept(response);
   }
 
-  /** Ends the wait for the response, and returns who waited for it. */
+  /** Clears the request in flight and its timeout, and returns the callback of the request. */
   private Consumer<HttpResponse> endRequest() {
     timeout.cancel();
-    Consumer<HttpResponse> answered = receiver;
-    receiver = null;
-    return answered;
+    Consumer<HttpResponse> callback = onResponse;
+    onResponse = null;
+    return callback;
   }
 
   private void fail() {
-    boolean wasSent = sent;
+    boolean wasSent = requestSent;
     close();
-    if (receiver != null) {
+    if (onResponse != null) {
       endRequest().accept(wasSent ? HttpResponse.noResponse() : HttpResponse.notSent());
     }
   }
 
-  /** Closes the connection; may be called more than once. */
+  /** Closes the connection. Has no effect if it is already closed. */
   void close() {
     if (!closed) {
       closed = true;
       stream.close();
-      onDone.accept(this);
+      onIdleOrClosed.accept(this);
     }
   }
 }
--- a/src/main/java/madderrudder/transport/HttpHandler.java
+++ b/src/main/java/madderrudder/transport/HttpHandler.java
@@ -2,8 +2,12 @@
 
 import java.util.function.Consumer;
 
-/** Answers HTTP requests, on the event loop. */
+/** Handles the requests of an HTTP server. Confined to the event loop thread. */
 public interface HttpHandler {
-  /** Answers a request, at once or later, at most once. */
-  void handle(HttpRequest request, Consumer<HttpResponse> answer);
+  /**
+   * Handles a request.
+   *
+   * @param respond takes the response, during this call or later, at most once
+   */
+  void handle(HttpRequest request, Consumer<HttpResponse> respond);
 }
--- a/src/main/java/madderrudder/transport/HttpMessageWriter.java
+++ b/src/main/java/madderrudder/transport/HttpMessageWriter.java
@@ -3,12 +3,14 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes HTTP messages, head and body into one buffer so that a message costs one write. */
+/**
+ * Encodes HTTP messages. Head and body share one buffer, so that a message takes a single write.
+ */
 final class HttpMessageWriter {
   private HttpMessageWriter() {}
 
-  /** The request, with the address as its host. */
-  static ByteBuffer request(String address, HttpRequest request) {
+  /** Returns the encoded request, with the server address in the {@code Host} header. */
+  static ByteBuffer encodeRequest(String address, HttpRequest request) {
     StringBuilder head = new StringBuilder(128);
     head.append(request.method())
         .append(' ')
@@ -16,16 +18,16 @@
         .append(" HTTP/1.1\r\nHost: ")
         .append(address)
         .append("\r\n");
-    return join(head, request.body(), !request.method().equals("GET"));
+    return encode(head, request.body(), !request.method().equals("GET"));
   }
 
-  /** The response; {@code close} tells the client that the connection ends after it. */
-  static ByteBuffer response(HttpResponse response, boolean close) {
+  /** Returns the encoded response; {@code close} adds the {@code Connection: close} header. */
+  static ByteBuffer encodeResponse(HttpResponse response, boolean close) {
     StringBuilder head = new StringBuilder(128);
     head.append("HTTP/1.1 ")
         .append(response.status())
         .append(' ')
-        .append(reason(response.status()))
+        .append(reasonPhrase(response.status()))
         .append("\r\n");
     if (response.retryAfterS() > 0) {
       head.append("Retry-After: ").append(response.retryAfterS()).append("\r\n");
@@ -33,21 +35,21 @@
     if (close) {
       head.append("Connection: close\r\n");
     }
-    return join(head, response.body(), true);
+    return encode(head, response.body(), true);
   }
 
-  private static ByteBuffer join(StringBuilder head, byte[] body, boolean withLength) {
+  private static ByteBuffer encode(StringBuilder head, byte[] body, boolean withContentLength) {
     if (body.length > 0) {
       head.append("Content-Type: application/json\r\n");
     }
-    if (withLength) {
+    if (withContentLength) {
       head.append("Content-Length: ").append(body.length).append("\r\n");
     }
-    byte[] text = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-    return ByteBuffer.allocate(text.length + body.length).put(text).put(body).flip();
+    byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+    return ByteBuffer.allocate(headBytes.length + body.length).put(headBytes).put(body).flip();
   }
 
-  private static String reason(int status) {
+  private static String reasonPhrase(int status) {
     return switch (status) {
       case 200 -> "OK";
       case 201 -> "Created";
--- a/src/main/java/madderrudder/transport/HttpParseException.java
+++ b/src/main/java/madderrudder/transport/HttpParseException.java
@@ -1,21 +1,24 @@
 package madderrudder.transport;
 
-/** An HTTP message that can't be read. The message says why, without what the sender wrote. */
+/**
+ * Reports an HTTP message that is malformed or exceeds a limit. The exception text names the fault
+ * and repeats nothing that the sender wrote, so it needs no escaping in JSON.
+ */
 final class HttpParseException extends Exception {
   private final int status;
 
   /**
-   * A message that can't be read.
+   * Creates an exception for a message that can't be parsed.
    *
-   * @param status the HTTP status of the answer to it, if it was a request
-   * @param message what is wrong with it; it goes into the answer's JSON text as it is
+   * @param status the HTTP status of the response, if the message is a request
+   * @param message the fault, which is copied into the JSON body of the response without escaping
    */
   HttpParseException(int status, String message) {
     super(message);
     this.status = status;
   }
 
-  /** The HTTP status of the answer to the message, if it was a request. */
+  /** Returns the HTTP status of the response, if the message is a request. */
   int status() {
     return status;
   }
--- a/src/main/java/madderrudder/transport/HttpParser.java
+++ b/src/main/java/madderrudder/transport/HttpParser.java
@@ -5,18 +5,19 @@
 import java.util.Arrays;
 
 /**
- * Reads HTTP/1.1 messages, one after another, from bytes that may be split anywhere. Head, body and
- * every line are bounded, so a peer that sends without end costs a fixed amount of memory.
+ * Incremental parser of HTTP/1.1 messages, which accepts a byte stream split at any position. The
+ * head, the body and each line have size limits, so the memory for a peer that never ends a message
+ * is bounded.
  */
 final class HttpParser {
   private static final int MAX_HEAD_BYTES = 16 * 1024;
   private static final int MAX_LINE_BYTES = 8 * 1024;
   private static final int INITIAL_BODY_BYTES = 4096;
 
-  /** Longer lengths, in digits, are too large whatever the digits are. */
+  /** A length with more digits is rejected as too large, whatever the digits are. */
   private static final int MAX_LENGTH_DIGITS = 9;
 
-  /** What the parser expects next. */
+  /** The part of a message that the parser expects next. */
   private enum State {
     START_LINE,
     HEADERS,
@@ -28,111 +29,113 @@
     COMPLETE
   }
 
-  private final boolean responses;
+  private final boolean parsesResponses;
   private final int maxBodyBytes;
   private State state = State.START_LINE;
 
-  // The line that is being read, and the size of the head or the chunk lines so far.
-  private byte[] line = new byte[128];
+  // The current line, and the bytes of the head, chunk and trailer lines so far.
+  private byte[] lineBuffer = new byte[128];
   private int lineLength;
   private int headBytes;
 
-  // The start line: method and target of a request, or the status of a response.
+  // Start line: method and target of a request, or status of a response.
   private String method;
   private String target;
   private String status;
-  private boolean http10;
+  private boolean isHttp10;
 
-  // The headers.
-  private boolean close;
-  private boolean keepAlive;
+  // Headers.
+  private boolean closeRequested;
+  private boolean keepAliveRequested;
   private boolean chunked;
-  private boolean lengthKnown;
+  private boolean hasContentLength;
   private int retryAfterS;
 
-  // The body; what remains is of the body or of a chunk.
+  // Body. While a body or chunk is read, remainingBytes counts its bytes still to come.
   private byte[] body = new byte[0];
   private int bodyLength;
-  private int remaining;
+  private int remainingBytes;
 
-  private HttpParser(boolean responses, int maxBodyBytes) {
-    this.responses = responses;
+  private HttpParser(boolean parsesResponses, int maxBodyBytes) {
+    this.parsesResponses = parsesResponses;
     this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** A parser of requests with bodies up to the given size. */
+  /** Creates a parser of requests with bodies up to the given size. */
   static HttpParser forRequests(int maxBodyBytes) {
     return new HttpParser(false, maxBodyBytes);
   }
 
-  /** A parser of responses with bodies up to the given size. */
+  /** Creates a parser of responses with bodies up to the given size. */
   static HttpParser forResponses(int maxBodyBytes) {
     return new HttpParser(true, maxBodyBytes);
   }
 
-  /** Whether anything of a message has been read and the message is not complete. */
-  boolean midMessage() {
+  /** Returns whether a message has been read in part, but not completely. */
+  boolean isMidMessage() {
     return state != State.COMPLETE && (state != State.START_LINE || lineLength > 0);
   }
 
   /**
-   * Takes bytes until a message is complete or the buffer is empty.
+   * Consumes bytes until a message is complete or the buffer is empty. The call after a complete
+   * message starts the next one.
    *
    * @return whether a message is complete
-   * @throws HttpParseException if the message can't be read; the parser is of no use afterwards
+   * @throws HttpParseException if the message is malformed or exceeds a limit; the parser must not
+   *     be used afterwards
    */
   boolean feed(ByteBuffer in) throws HttpParseException {
     if (state == State.COMPLETE) {
       reset();
     }
     while (state != State.COMPLETE) {
-      boolean progress = expectsBytes() ? takeBody(in) : takeLine(in);
-      if (!progress) {
+      boolean stateCompleted = expectsBodyBytes() ? readBody(in) : readLine(in);
+      if (!stateCompleted) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean expectsBytes() {
+  private boolean expectsBodyBytes() {
     return state == State.BODY || state == State.CHUNK_DATA;
   }
 
-  /** The request that is complete. */
+  /** Returns the complete request; valid only after {@link #feed} has returned true. */
   HttpRequest request() {
-    return new HttpRequest(method, target, Arrays.copyOf(body, bodyLength), endsConnection());
+    return new HttpRequest(method, target, Arrays.copyOf(body, bodyLength), closesConnection());
   }
 
-  /** The response that is complete. */
+  /** Returns the complete response; valid only after {@link #feed} has returned true. */
   HttpResponse response() {
     return new HttpResponse(
-        Integer.parseInt(status), Arrays.copyOf(body, bodyLength), retryAfterS, endsConnection());
+        Integer.parseInt(status), Arrays.copyOf(body, bodyLength), retryAfterS, closesConnection());
   }
 
-  private boolean endsConnection() {
-    return close || (http10 && !keepAlive);
+  private boolean closesConnection() {
+    return closeRequested || (isHttp10 && !keepAliveRequested);
   }
 
   private void reset() {
     state = State.START_LINE;
     headBytes = 0;
-    close = false;
-    keepAlive = false;
+    closeRequested = false;
+    keepAliveRequested = false;
     chunked = false;
-    lengthKnown = false;
-    remaining = 0;
+    hasContentLength = false;
+    remainingBytes = 0;
     retryAfterS = 0;
     body = new byte[0];
     bodyLength = 0;
   }
 
-  /** Takes the rest of a line and parses it; false if its end has not arrived. */
-  private boolean takeLine(ByteBuffer in) throws HttpParseException {
+  /** Reads the rest of a line and parses it. Returns false if the end of the line is missing. */
+  private boolean readLine(ByteBuffer in) throws HttpParseException {
     while (in.hasRemaining()) {
       byte next = in.get();
-      checkHeadSize();
+      countHeadByte();
       if (next == '\n') {
-        parseLine(endOfLine());
+        parseLine(finishLine());
         return true;
       }
       appendToLine(next);
@@ -140,7 +143,7 @@
     return false;
   }
 
-  private void checkHeadSize() throws HttpParseException {
+  private void countHeadByte() throws HttpParseException {
     headBytes++;
     if (headBytes > MAX_HEAD_BYTES && inHead()) {
       throw new HttpParseException(431, "head too large");
@@ -155,32 +158,32 @@
     if (lineLength == MAX_LINE_BYTES) {
       throw new HttpParseException(431, "line too long");
     }
-    if (lineLength == line.length) {
-      line = Arrays.copyOf(line, line.length * 2);
+    if (lineLength == lineBuffer.length) {
+      lineBuffer = Arrays.copyOf(lineBuffer, lineBuffer.length * 2);
     }
-    line[lineLength++] = next;
+    lineBuffer[lineLength++] = next;
   }
 
-  private String endOfLine() {
-    if (lineLength > 0 && line[lineLength - 1] == '\r') {
+  private String finishLine() {
+    if (lineLength > 0 && lineBuffer[lineLength - 1] == '\r') {
       lineLength--;
     }
-    String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
+    String text = new String(lineBuffer, 0, lineLength, StandardCharsets.ISO_8859_1);
     lineLength = 0;
     return text;
   }
 
-  /** Takes bytes of the body or of a chunk; false if the last has not arrived. */
-  private boolean takeBody(ByteBuffer in) {
-    int count = Math.min(remaining, in.remaining());
+  /** Reads bytes of the body or of a chunk. Returns false if more bytes are missing. */
+  private boolean readBody(ByteBuffer in) {
+    int count = Math.min(remainingBytes, in.remaining());
     if (bodyLength + count > body.length) {
       int doubled = Math.min(maxBodyBytes, body.length * 2);
       body = Arrays.copyOf(body, Math.max(bodyLength + count, doubled));
     }
     in.get(body, bodyLength, count);
     bodyLength += count;
-    remaining -= count;
-    if (remaining > 0) {
+    remainingBytes -= count;
+    if (remainingBytes > 0) {
       return false;
     }
     state = chunked ? State.CHUNK_END : State.COMPLETE;
@@ -198,20 +201,20 @@
     }
   }
 
-  /** Empty lines before a message are skipped. */
+  /** Parses the start line of a message, and skips empty lines before it. */
   private void parseStartLine(String text) throws HttpParseException {
     if (text.isEmpty()) {
       return;
     }
-    String version = responses ? parseStatusLine(text) : parseRequestLine(text);
+    String version = parsesResponses ? parseStatusLine(text) : parseRequestLine(text);
     if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
       throw new HttpParseException(505, "not HTTP/1.1");
     }
-    http10 = version.equals("HTTP/1.0");
+    isHttp10 = version.equals("HTTP/1.0");
     state = State.HEADERS;
   }
 
-  /** Returns the version. */
+  /** Parses the status line and returns the HTTP version. */
   private String parseStatusLine(String text) throws HttpParseException {
     int versionEnd = text.indexOf(' ');
     if (versionEnd < 0) {
@@ -226,7 +229,7 @@
     return text.substring(0, versionEnd);
   }
 
-  /** Returns the version. */
+  /** Parses the request line and returns the HTTP version. */
   private String parseRequestLine(String text) throws HttpParseException {
     int methodEnd = text.indexOf(' ');
     int targetEnd = methodEnd < 0 ? -1 : text.indexOf(' ', methodEnd + 1);
@@ -243,64 +246,64 @@
 
   private void parseHeaderLine(String text) throws HttpParseException {
     if (text.isEmpty()) {
-      endHead();
+      finishHead();
       return;
     }
     int colon = text.indexOf(':');
     if (colon <= 0 || text.charAt(colon - 1) == ' ') {
       throw new HttpParseException(400, "bad header");
     }
-    takeHeader(text.substring(0, colon), text.substring(colon + 1).trim());
+    applyHeader(text.substring(0, colon), text.substring(colon + 1).trim());
   }
 
-  private void takeHeader(String name, String value) throws HttpParseException {
+  private void applyHeader(String name, String value) throws HttpParseException {
     if (name.equalsIgnoreCase("Content-Length")) {
-      takeContentLength(parseLength(value, 10));
+      applyContentLength(parseLength(value, 10));
     } else if (name.equalsIgnoreCase("Transfer-Encoding")) {
       if (!value.equalsIgnoreCase("chunked")) {
         throw new HttpParseException(501, "unknown transfer encoding");
       }
       chunked = true;
     } else if (name.equalsIgnoreCase("Connection")) {
-      close |= value.equalsIgnoreCase("close");
-      keepAlive |= value.equalsIgnoreCase("keep-alive");
+      closeRequested |= value.equalsIgnoreCase("close");
+      keepAliveRequested |= value.equalsIgnoreCase("keep-alive");
     } else if (name.equalsIgnoreCase("Retry-After") && value.matches("[0-9]{1,4}")) {
       retryAfterS = Integer.parseInt(value);
     }
   }
 
-  private void takeContentLength(int length) throws HttpParseException {
-    if (lengthKnown && length != remaining) {
+  private void applyContentLength(int length) throws HttpParseException {
+    if (hasContentLength && length != remainingBytes) {
       throw new HttpParseException(400, "two lengths");
     }
-    lengthKnown = true;
-    remaining = length;
+    hasContentLength = true;
+    remainingBytes = length;
   }
 
-  private void endHead() throws HttpParseException {
+  private void finishHead() throws HttpParseException {
     if (chunked) {
-      if (lengthKnown) {
+      if (hasContentLength) {
         throw new HttpParseException(400, "length and chunks");
       }
       state = State.CHUNK_SIZE;
       return;
     }
-    if (remaining > maxBodyBytes) {
+    if (remainingBytes > maxBodyBytes) {
       throw new HttpParseException(413, "body too large");
     }
-    state = remaining == 0 ? State.COMPLETE : State.BODY;
-    body = new byte[Math.min(remaining, INITIAL_BODY_BYTES)];
+    state = remainingBytes == 0 ? State.COMPLETE : State.BODY;
+    body = new byte[Math.min(remainingBytes, INITIAL_BODY_BYTES)];
   }
 
-  /** A size in hexadecimal digits; an extension behind a semicolon is ignored. */
+  /** Parses the hexadecimal size of a chunk, and ignores extensions after a semicolon. */
   private void parseChunkSize(String text) throws HttpParseException {
-    int end = text.indexOf(';');
-    String digits = end < 0 ? text : text.substring(0, end);
-    remaining = parseLength(digits.trim(), 16);
-    if (remaining > maxBodyBytes - bodyLength) {
+    int semicolon = text.indexOf(';');
+    String digits = semicolon < 0 ? text : text.substring(0, semicolon);
+    remainingBytes = parseLength(digits.trim(), 16);
+    if (remainingBytes > maxBodyBytes - bodyLength) {
       throw new HttpParseException(413, "body too large");
     }
-    if (remaining == 0) {
+    if (remainingBytes == 0) {
       headBytes = 0;
       state = State.TRAILERS;
     } else {
@@ -315,7 +318,7 @@
     state = State.CHUNK_SIZE;
   }
 
-  /** Trailers are ignored. */
+  /** Ignores trailers; an empty line ends the message. */
   private void parseTrailer(String text) {
     if (text.isEmpty()) {
       state = State.COMPLETE;
--- a/src/main/java/madderrudder/transport/HttpRequest.java
+++ b/src/main/java/madderrudder/transport/HttpRequest.java
@@ -1,32 +1,32 @@
 package madderrudder.transport;
 
 /**
- * One HTTP request.
+ * An HTTP request.
  *
  * @param method the method, for example {@code GET}
- * @param target the path with its query string
+ * @param target the request target: path and query string
  * @param body the body; empty if there is none
- * @param close whether the client wants the connection closed after the response
+ * @param closesConnection whether the client asks to close the connection after the response
  */
-public record HttpRequest(String method, String target, byte[] body, boolean close) {
-  private static final byte[] EMPTY = new byte[0];
+public record HttpRequest(String method, String target, byte[] body, boolean closesConnection) {
+  private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** A GET request. */
+  /** Creates a GET request. */
   public static HttpRequest get(String target) {
-    return new HttpRequest("GET", target, EMPTY, false);
+    return new HttpRequest("GET", target, EMPTY_BODY, false);
   }
 
-  /** A POST request. */
+  /** Creates a POST request. */
   public static HttpRequest post(String target, byte[] body) {
     return new HttpRequest("POST", target, body, false);
   }
 
-  /** A DELETE request without a body. */
+  /** Creates a DELETE request without a body. */
   public static HttpRequest delete(String target) {
-    return new HttpRequest("DELETE", target, EMPTY, false);
+    return new HttpRequest("DELETE", target, EMPTY_BODY, false);
   }
 
-  /** The target without its query string. */
+  /** Returns the target without its query string. */
   public String path() {
     int query = target.indexOf('?');
     return query < 0 ? target : target.substring(0, query);
--- a/src/main/java/madderrudder/transport/HttpResponse.java
+++ b/src/main/java/madderrudder/transport/HttpResponse.java
@@ -1,41 +1,41 @@
 package madderrudder.transport;
 
 /**
- * One HTTP response, or the lack of one.
+ * An HTTP response, or the reason why a request got none.
  *
- * @param status the status; {@link #NO_RESPONSE} or {@link #NOT_SENT} where there is no response
+ * @param status the HTTP status; {@link #NO_RESPONSE} or {@link #NOT_SENT} if there is no response
  * @param body the body; empty if there is none
- * @param retryAfterS the seconds after which to try again, sent as a header if they are above 0
- * @param close whether the server closes the connection after it
+ * @param retryAfterS the value of the {@code Retry-After} header in seconds; 0 means no header
+ * @param closesConnection whether the server closes the connection after this response
  */
-public record HttpResponse(int status, byte[] body, int retryAfterS, boolean close) {
+public record HttpResponse(int status, byte[] body, int retryAfterS, boolean closesConnection) {
   /**
-   * The status of a request that was sent and not answered: the server may or may not have acted on
-   * it, and may yet act later.
+   * Status of a request that was sent and got no response: the server may have processed it, may
+   * still process it, or may never do so.
    */
   public static final int NO_RESPONSE = -1;
 
-  /** The status of a request that was not sent: no connection came about. */
+  /** Status of a request that was not sent, because no connection was established. */
   public static final int NOT_SENT = -2;
 
-  private static final byte[] EMPTY = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** A response with a status and a body. */
+  /** Creates a response that has no {@code Retry-After} header and keeps the connection open. */
   public static HttpResponse of(int status, byte[] body) {
     return new HttpResponse(status, body, 0, false);
   }
 
-  /** Stands for the response to a request that was sent and not answered. */
+  /** Creates a result with status {@link #NO_RESPONSE}. */
   public static HttpResponse noResponse() {
-    return of(NO_RESPONSE, EMPTY);
+    return of(NO_RESPONSE, EMPTY_BODY);
   }
 
-  /** Stands for the response to a request that was not sent. */
+  /** Creates a result with status {@link #NOT_SENT}. */
   public static HttpResponse notSent() {
-    return of(NOT_SENT, EMPTY);
+    return of(NOT_SENT, EMPTY_BODY);
   }
 
-  /** Whether the status is 200. */
+  /** Returns whether the status is 200. */
   public boolean ok() {
     return status == 200;
   }
--- a/src/main/java/madderrudder/transport/HttpServer.java
+++ b/src/main/java/madderrudder/transport/HttpServer.java
@@ -12,26 +12,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts connections and lets one handler answer their requests. Connections, message sizes and
- * idle times are bounded; at the limit the connection that has been idle longest is closed for a
- * new one. Confined to the event loop thread once it is started.
+ * Accepts connections and passes their requests to a single handler. The number of connections, the
+ * message sizes and the idle times are limited. At the connection limit, a new connection replaces
+ * the one that has been idle longest, and is rejected if none is idle. Confined to the event loop
+ * thread once it is started.
  */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final int BACKLOG = 256;
-  private static final long ACCEPT_PAUSE_MICROS = 100_000;
-  private static final long SWEEP_MICROS = 5_000_000;
+  private static final int ACCEPT_BACKLOG = 256;
+  private static final long ACCEPT_RETRY_DELAY_MICROS = 100_000;
+  private static final long TIMEOUT_CHECK_INTERVAL_MICROS = 5_000_000;
 
   private final Scheduler scheduler;
   private final HttpHandler handler;
   private final int maxConnections;
   private final SocketListener listener;
-  private final Set<HttpServerConnection> open = new LinkedHashSet<>();
+  private final Set<HttpServerConnection> openConnections = new LinkedHashSet<>();
 
   /**
-   * A server that listens, and accepts nothing before it is started.
+   * Creates a server that is bound to its address, but accepts no connection before it is started.
    *
-   * @param listen the address; with port 0 the system chooses a port
+   * @param listen the address to bind; the system chooses the port if it is 0
+   * @param maxConnections the limit on open connections
    * @throws IOException if the address can't be bound
    */
   public HttpServer(
@@ -44,53 +46,63 @@
     this.scheduler = scheduler;
     this.handler = handler;
     this.maxConnections = maxConnections;
-    listener = new SocketListener(scheduler, group, listen, BACKLOG, ACCEPT_PAUSE_MICROS);
+    listener =
+        new SocketListener(scheduler, group, listen, ACCEPT_BACKLOG, ACCEPT_RETRY_DELAY_MICROS);
   }
 
   /**
-   * The port in use, which the system chose if it was given as 0. May be called on any thread.
+   * Returns the bound port. May be called on any thread.
    *
-   * @throws IOException if the server no longer listens
+   * @throws IOException if the listening socket has been closed
    */
   public int port() throws IOException {
     return listener.port();
   }
 
-  /** Begins to accept; must be called once, on the event loop or before it runs. */
+  /**
+   * Starts to accept connections. Must be called once, on the event loop thread or before the loop
+   * runs.
+   */
   public void start() {
-    listener.start(this::adopt, cause -> LOG.info("accept failed: {}", cause.toString()));
-    scheduler.every(SWEEP_MICROS, this::closeOverdue);
+    listener.start(
+        this::onAccepted,
+        cause ->
+            LOG.info(
+                "failed to accept a client connection, retrying after a pause: {}",
+                cause.toString()));
+    scheduler.every(TIMEOUT_CHECK_INTERVAL_MICROS, this::closeTimedOut);
   }
 
-  private void adopt(AsynchronousSocketChannel channel) {
-    if (open.size() >= maxConnections && !closeLongestIdle()) {
+  private void onAccepted(AsynchronousSocketChannel channel) {
+    if (openConnections.size() >= maxConnections && !closeLongestIdle()) {
       SocketStream.close(channel);
       return;
     }
     try {
-      SocketStream.sendWithoutDelay(channel);
+      SocketStream.disableNagle(channel);
     } catch (IOException e) {
       SocketStream.close(channel);
       return;
     }
     HttpServerConnection connection =
-        new HttpServerConnection(scheduler, channel, handler, open::remove);
-    open.add(connection);
+        new HttpServerConnection(scheduler, channel, handler, openConnections::remove);
+    openConnections.add(connection);
     connection.read();
   }
 
+  /** Closes the connection that has been idle longest. Returns false if none is idle. */
   private boolean closeLongestIdle() {
-    Optional<HttpServerConnection> oldest =
-        open.stream()
-            .filter(HttpServerConnection::idle)
+    Optional<HttpServerConnection> longestIdle =
+        openConnections.stream()
+            .filter(HttpServerConnection::isIdle)
             .min(Comparator.comparingLong(HttpServerConnection::lastActiveMicros));
-    oldest.ifPresent(HttpServerConnection::close);
-    return oldest.isPresent();
+    longestIdle.ifPresent(HttpServerConnection::close);
+    return longestIdle.isPresent();
   }
 
-  private void closeOverdue() {
-    for (HttpServerConnection connection : Set.copyOf(open)) {
-      connection.closeIfOverdue();
+  private void closeTimedOut() {
+    for (HttpServerConnection connection : Set.copyOf(openConnections)) {
+      connection.closeIfTimedOut();
     }
   }
 }
--- a/src/main/java/madderrudder/transport/SocketListener.java
+++ b/src/main/java/madderrudder/transport/SocketListener.java
@@ -10,19 +10,21 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts connections one after another. After a failure, for example for want of file descriptors,
- * it pauses. Confined to the event loop thread once it is started.
+ * Accepts connections one after another. After a failure, for example when the process is out of
+ * file descriptors, it pauses before the next attempt. Confined to the event loop thread once it is
+ * started.
  */
 final class SocketListener {
   private final Scheduler scheduler;
   private final AsynchronousServerSocketChannel channel;
-  private final long pauseMicros;
+  private final long retryDelayMicros;
 
   /**
-   * Binds the address.
+   * Creates a listener that is bound to the address, but accepts no connection before it is
+   * started.
    *
-   * @param backlog how many connections may wait to be accepted
-   * @param pauseMicros the pause after a failure to accept
+   * @param backlog the limit on connections that wait to be accepted
+   * @param retryDelayMicros the delay after a failure until the next attempt to accept
    * @throws IOException if the address can't be bound
    */
   SocketListener(
@@ -30,21 +32,31 @@
       AsynchronousChannelGroup group,
       InetSocketAddress address,
       int backlog,
-      long pauseMicros)
+      long retryDelayMicros)
       throws IOException {
     this.scheduler = scheduler;
-    this.pauseMicros = pauseMicros;
+    this.retryDelayMicros = retryDelayMicros;
     channel = AsynchronousServerSocketChannel.open(group);
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     channel.bind(address, backlog);
   }
 
-  /** The bound port, which the system chose if 0 was asked for. */
+  /**
+   * Returns the bound port. May be called on any thread.
+   *
+   * @throws IOException if the listening socket has been closed
+   */
   int port() throws IOException {
     return ((InetSocketAddress) channel.getLocalAddress()).getPort();
   }
 
-  /** Accepts from now on; must be called once, on the event loop or before it runs. */
+  /**
+   * Starts to accept connections. Must be called once, on the event loop thread or before the loop
+   * runs.
+   *
+   * @param onAccepted takes each accepted channel, which the callee must close
+   * @param onFailure takes the cause of each failed attempt
+   */
   void start(Consumer<AsynchronousSocketChannel> onAccepted, Consumer<Throwable> onFailure) {
     channel.accept(
         null,
@@ -58,7 +70,7 @@
           @Override
           public void failed(Throwable cause, Void unused) {
             onFailure.accept(cause);
-            scheduler.after(pauseMicros, () -> channel.accept(null, this));
+            scheduler.after(retryDelayMicros, () -> channel.accept(null, this));
           }
         });
   }
--- a/src/main/java/madderrudder/transport/SocketStream.java
+++ b/src/main/java/madderrudder/transport/SocketStream.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads and writes on one asynchronous socket channel. Whatever goes wrong, the end of the stream
- * included, is reported to one failure callback, also after the stream was closed. Confined to the
- * event loop thread, where the callbacks run too.
+ * Reads and writes on one asynchronous socket channel. A single callback receives every failure,
+ * including the end of the stream, even after the stream has been closed. Confined to the event
+ * loop thread, on which the callbacks run too.
  */
 final class SocketStream {
   private static final Logger LOG = LoggerFactory.getLogger(SocketStream.class);
@@ -22,53 +22,53 @@
   private final AsynchronousSocketChannel channel;
   private final Consumer<SocketStream> onFailure;
 
-  /** A stream on an accepted channel. */
+  /** Creates a stream on an accepted channel. */
   SocketStream(AsynchronousSocketChannel channel, Consumer<SocketStream> onFailure) {
     this.channel = channel;
     this.onFailure = onFailure;
   }
 
   /**
-   * A stream that is yet to be connected.
+   * Creates a stream that is not connected yet.
    *
    * @throws IOException if the process can't open another socket
    */
   static SocketStream open(AsynchronousChannelGroup group, Consumer<SocketStream> onFailure)
       throws IOException {
     AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(group);
-    sendWithoutDelay(channel);
+    disableNagle(channel);
     return new SocketStream(channel, onFailure);
   }
 
   /**
-   * Turns the coalescing of small packets off: each message is written whole, and is to leave at
-   * once.
+   * Disables Nagle's algorithm. Each message takes a single write, so there is nothing to coalesce
+   * and the system sends it without delay.
    *
-   * @throws IOException if the channel does not take the option
+   * @throws IOException if the option can't be set
    */
-  static void sendWithoutDelay(AsynchronousSocketChannel channel) throws IOException {
+  static void disableNagle(AsynchronousSocketChannel channel) throws IOException {
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
   }
 
-  /** Connects, then calls back. */
+  /** Connects, then calls {@code onConnected}. */
   void connect(InetSocketAddress address, Runnable onConnected) {
     channel.connect(
         address,
         null,
-        new Handler<Void>() {
+        new FailureReportingHandler<Void>() {
           @Override
-          public void completed(Void nothing, Void unused) {
+          public void completed(Void result, Void unused) {
             onConnected.run();
           }
         });
   }
 
-  /** Reads one byte at least into the buffer, as many as have arrived, then calls back. */
+  /** Reads at least one byte into the buffer, then calls {@code onRead}. */
   void read(ByteBuffer in, Runnable onRead) {
     channel.read(
         in,
         null,
-        new Handler<Integer>() {
+        new FailureReportingHandler<Integer>() {
           @Override
           public void completed(Integer count, Void unused) {
             if (count < 0) {
@@ -80,12 +80,12 @@
         });
   }
 
-  /** Writes all that remains in the buffer, then calls back. */
+  /** Writes all remaining bytes of the buffer, then calls {@code onWritten}. */
   void write(ByteBuffer out, Runnable onWritten) {
     channel.write(
         out,
         null,
-        new Handler<Integer>() {
+        new FailureReportingHandler<Integer>() {
           @Override
           public void completed(Integer count, Void unused) {
             if (out.hasRemaining()) {
@@ -97,22 +97,22 @@
         });
   }
 
-  /** Closes the channel; may be called more than once. */
+  /** Closes the channel. Has no effect if it is already closed. */
   void close() {
     close(channel);
   }
 
-  /** Closes a channel that no stream was made of. */
+  /** Closes a channel that has no stream. */
   static void close(AsynchronousSocketChannel channel) {
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.debug("close failed: {}", e.toString());
+      LOG.debug("failed to close a socket channel: {}", e.toString());
     }
   }
 
-  /** What is common to all completions: a failure is passed on. */
-  private abstract class Handler<T> implements CompletionHandler<T, Void> {
+  /** Completion handler that passes a failure to the failure callback of the stream. */
+  private abstract class FailureReportingHandler<T> implements CompletionHandler<T, Void> {
     @Override
     public void failed(Throwable cause, Void unused) {
       onFailure.accept(SocketStream.this);
--- a/src/test/java/madderrudder/transport/HttpOverLoopbackTest.java
+++ b/src/test/java/madderrudder/transport/HttpOverLoopbackTest.java
@@ -20,11 +20,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The HTTP client and server on real sockets. */
+/**
+ * Exchanges requests between the HTTP client and server over loopback sockets. Guards against
+ * bodies cut off at the size of a socket buffer, failed requests that report the wrong outcome, and
+ * pipelined requests that are lost or answered out of order.
+ */
 @Timeout(60)
 class HttpOverLoopbackTest {
-  private static final long PATIENCE_MICROS = 20_000_000;
-  private static final InetSocketAddress ANY =
+  private static final long RESPONSE_TIMEOUT_MICROS = 20_000_000;
+  private static final InetSocketAddress ANY_LOOPBACK_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
   private final EventLoop loop = new EventLoop();
@@ -34,10 +38,10 @@
   private HttpServer server;
 
   @BeforeEach
-  void serve() throws IOException {
+  void startServer() throws IOException {
     group = AsynchronousChannelGroup.withThreadPool(loop);
     client = new HttpClient(loop, group, 8);
-    server = new HttpServer(loop, group, ANY, 8, this::handle);
+    server = new HttpServer(loop, group, ANY_LOOPBACK_PORT, 8, this::handle);
     server.start();
     Thread thread = new Thread(loop::run, "event loop");
     thread.setDaemon(true);
@@ -45,16 +49,16 @@
   }
 
   @AfterEach
-  void stop() throws IOException {
+  void stopEventLoop() throws IOException {
     loop.shutdown();
     group.shutdownNow();
   }
 
-  /** Echoes the body; never answers what is sent to /silence. */
-  private void handle(HttpRequest request, Consumer<HttpResponse> answer) {
+  /** Echoes the body; never responds to requests for /silence. */
+  private void handle(HttpRequest request, Consumer<HttpResponse> respond) {
     handled.add(request);
     if (!request.path().equals("/silence")) {
-      answer.accept(HttpResponse.of(200, request.body()));
+      respond.accept(HttpResponse.of(200, request.body()));
     }
   }
 
@@ -66,10 +70,11 @@
   }
 
   @Test
-  void bodiesLargerThanASocketsBufferArriveWhole() throws Exception {
+  void bodiesLargerThanSocketBufferArriveWhole() throws Exception {
     byte[] body = "0123456789abcdef".repeat(4_000).getBytes(StandardCharsets.UTF_8);
     for (int round = 0; round < 3; round++) {
-      HttpResponse response = call(server.port(), HttpRequest.post("/echo", body), PATIENCE_MICROS);
+      HttpResponse response =
+          call(server.port(), HttpRequest.post("/echo", body), RESPONSE_TIMEOUT_MICROS);
       assertTrue(response.ok());
       assertEquals(
           new String(body, StandardCharsets.UTF_8),
@@ -79,41 +84,44 @@
   }
 
   @Test
-  void aRequestThatIsNotAnsweredInTimeGetsNoResponse() throws Exception {
+  void requestThatTimesOutGetsNoResponse() throws Exception {
     HttpResponse response = call(server.port(), HttpRequest.get("/silence"), 200_000);
     assertEquals(HttpResponse.NO_RESPONSE, response.status());
   }
 
   @Test
-  void aRequestToAClosedPortIsNotSent() throws Exception {
-    int closed;
+  void requestToClosedPortIsNotSent() throws Exception {
+    int closedPort;
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      closed = socket.getLocalPort();
+      closedPort = socket.getLocalPort();
     }
-    HttpResponse response = call(closed, HttpRequest.get("/"), PATIENCE_MICROS);
+    HttpResponse response = call(closedPort, HttpRequest.get("/"), RESPONSE_TIMEOUT_MICROS);
     assertEquals(HttpResponse.NOT_SENT, response.status());
   }
 
   @Test
-  void aMalformedRequestIsAnsweredAndItsConnectionClosed() throws Exception {
+  void malformedRequestIsAnsweredAndConnectionClosed() throws Exception {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
       socket.getOutputStream().write("nonsense\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      assertTrue(answer.startsWith("HTTP/1.1 400 "), answer);
-      assertTrue(answer.contains("\r\nConnection: close\r\n"), answer);
-      assertTrue(answer.endsWith("{\"error\":\"bad request line\"}"), answer);
+      String response =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      assertTrue(response.startsWith("HTTP/1.1 400 "), response);
+      assertTrue(response.contains("\r\nConnection: close\r\n"), response);
+      assertTrue(response.endsWith("{\"error\":\"bad request line\"}"), response);
     }
   }
 
   @Test
-  void requestsThatArriveTogetherAreAnsweredInOrder() throws Exception {
+  void pipelinedRequestsAreAnsweredInOrder() throws Exception {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
       String requests =
           "POST /a HTTP/1.1\r\nContent-Length: 1\r\n\r\n1"
               + "POST /b HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\n2";
       socket.getOutputStream().write(requests.getBytes(StandardCharsets.US_ASCII));
-      String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      assertTrue(answer.matches("(?s)HTTP/1.1 200 .*\r\n\r\n1HTTP/1.1 200 .*\r\n\r\n2"), answer);
+      String responses =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      assertTrue(
+          responses.matches("(?s)HTTP/1.1 200 .*\r\n\r\n1HTTP/1.1 200 .*\r\n\r\n2"), responses);
     }
   }
 }
--- a/src/test/java/madderrudder/transport/HttpParserTest.java
+++ b/src/test/java/madderrudder/transport/HttpParserTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The parser of HTTP messages, by example. */
+/**
+ * Parses example messages. Guards against results that depend on where the byte stream is split,
+ * malformed messages that are accepted or get the wrong status, and limits that are not enforced.
+ */
 class HttpParserTest {
-  private static final int MAX_BODY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final String REQUEST =
       "POST /v1/jobs?x=1 HTTP/1.1\r\nHost: a\r\ncontent-length: 11\r\nConnection: close\r\n\r\nhello world";
   private static final String RESPONSES =
@@ -27,37 +30,38 @@
     return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  private static IntStream splitsOfTheRequest() {
+  private static IntStream requestSplitOffsets() {
     return IntStream.rangeClosed(0, REQUEST.length());
   }
 
   @ParameterizedTest
-  @MethodSource("splitsOfTheRequest")
-  void readsARequestThatArrivesInTwoPieces(int split) throws HttpParseException {
-    HttpParser parser = HttpParser.forRequests(MAX_BODY);
-    boolean early = parser.feed(bytes(REQUEST.substring(0, split)));
-    assertEquals(split == REQUEST.length(), early);
-    assertTrue(early || parser.feed(bytes(REQUEST.substring(split))));
+  @MethodSource("requestSplitOffsets")
+  void parsesRequestThatArrivesInTwoPieces(int split) throws HttpParseException {
+    HttpParser parser = HttpParser.forRequests(MAX_BODY_BYTES);
+    boolean completeAfterFirstPiece = parser.feed(bytes(REQUEST.substring(0, split)));
+    assertEquals(split == REQUEST.length(), completeAfterFirstPiece);
+    assertTrue(completeAfterFirstPiece || parser.feed(bytes(REQUEST.substring(split))));
     HttpRequest request = parser.request();
     assertEquals("POST", request.method());
     assertEquals("/v1/jobs", request.path());
     assertEquals("hello world", new String(request.body(), StandardCharsets.UTF_8));
-    assertTrue(request.close());
+    assertTrue(request.closesConnection());
   }
 
-  private static IntStream splitsOfTheResponses() {
+  private static IntStream responsesSplitOffsets() {
     return IntStream.rangeClosed(0, RESPONSES.length());
   }
 
   @ParameterizedTest
-  @MethodSource("splitsOfTheResponses")
-  void readsAChunkedResponseAndTheOneBehindItInTwoPieces(int split) throws HttpParseException {
-    HttpParser parser = HttpParser.forResponses(MAX_BODY);
+  @MethodSource("responsesSplitOffsets")
+  void parsesChunkedResponseAndNextResponseThatArriveInTwoPieces(int split)
+      throws HttpParseException {
+    HttpParser parser = HttpParser.forResponses(MAX_BODY_BYTES);
     ByteBuffer all = bytes(RESPONSES);
     all.limit(split);
-    boolean first = parser.feed(all);
+    boolean firstComplete = parser.feed(all);
     all.limit(RESPONSES.length());
-    assertTrue(first || parser.feed(all));
+    assertTrue(firstComplete || parser.feed(all));
     assertEquals("wikipedia", new String(parser.response().body(), StandardCharsets.UTF_8));
     assertEquals(7, parser.response().retryAfterS());
     assertTrue(parser.feed(all));
@@ -78,22 +82,22 @@
     "400,GET / HTTP/1.1|no colon||",
     "413,POST / HTTP/1.1|Transfer-Encoding: chunked||fffffff|"
   })
-  void refusesAMalformedRequestWithAStatus(int status, String text) {
-    HttpParser parser = HttpParser.forRequests(MAX_BODY);
-    HttpParseException refused =
+  void rejectsMalformedRequestWithStatus(int status, String text) {
+    HttpParser parser = HttpParser.forRequests(MAX_BODY_BYTES);
+    HttpParseException rejection =
         assertThrows(HttpParseException.class, () -> parser.feed(bytes(text.replace("|", "\r\n"))));
-    assertEquals(status, refused.status());
+    assertEquals(status, rejection.status());
   }
 
   @Test
-  void refusesAHeadThatDoesNotEnd() {
-    HttpParser parser = HttpParser.forRequests(MAX_BODY);
-    HttpParseException refused =
-        assertThrows(HttpParseException.class, () -> feedHeadersWithoutEnd(parser));
-    assertEquals(431, refused.status());
+  void rejectsHeadThatDoesNotEnd() {
+    HttpParser parser = HttpParser.forRequests(MAX_BODY_BYTES);
+    HttpParseException rejection =
+        assertThrows(HttpParseException.class, () -> feedEndlessHeaders(parser));
+    assertEquals(431, rejection.status());
   }
 
-  private static void feedHeadersWithoutEnd(HttpParser parser) throws HttpParseException {
+  private static void feedEndlessHeaders(HttpParser parser) throws HttpParseException {
     parser.feed(bytes("GET / HTTP/1.1\r\n"));
     for (int i = 0; i < 10_000; i++) {
       parser.feed(bytes("X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n"));
@@ -101,27 +105,27 @@
   }
 
   @Test
-  void readsOrRefusesNoise() {
+  void parsesOrRejectsRandomInput() {
     SplittableRandom random = new SplittableRandom(7);
     String alphabet =
         "GET /POST HTTP/1.1\r\n\r\nContent-Length: 5Transfer-Encoding: chunked0\u0000\u00ff";
-    int refused = 0;
+    int rejectedCount = 0;
     for (int round = 0; round < 3_000; round++) {
-      StringBuilder noise = new StringBuilder(round % 2 == 0 ? "POST / HTTP/1.1\r\n" : "");
+      StringBuilder input = new StringBuilder(round % 2 == 0 ? "POST / HTTP/1.1\r\n" : "");
       for (int i = 0; i < 120; i++) {
-        noise.append(alphabet.charAt(random.nextInt(alphabet.length())));
+        input.append(alphabet.charAt(random.nextInt(alphabet.length())));
       }
       HttpParser parser = HttpParser.forRequests(64);
-      ByteBuffer in = bytes(noise.toString());
+      ByteBuffer in = bytes(input.toString());
       try {
         while (in.hasRemaining() && parser.feed(in)) {
           assertTrue(parser.request().body().length <= 64);
-          assertFalse(parser.midMessage());
+          assertFalse(parser.isMidMessage());
         }
       } catch (HttpParseException e) {
-        refused++;
+        rejectedCount++;
       }
     }
-    assertTrue(refused > 1_000, "only " + refused + " refused");
+    assertTrue(rejectedCount > 1_000, "only " + rejectedCount + " inputs rejected");
   }
 }
