--- a/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
+++ b/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
@@ -26,21 +26,21 @@
   private static final long SECOND = SimulatedCluster.SECOND;
 
   /** The times of a deployment's workers. */
-  private enum Times {
-    SMALL(SimulatedCluster.defaultWorkerTimes()),
-    RENDER(
+  private enum WorkerTimesCase {
+    CANCEL_WITHIN_30_S(SimulatedCluster.defaultWorkerTimes()),
+    CANCEL_WITHIN_52_S(
         new Deployment.WorkerTimes(4 * SECOND, 22 * SECOND, 35 * SECOND, 4 * SECOND, 52 * SECOND)),
-    TRADESLINK(
+    CANCEL_WITHIN_47_S(
         new Deployment.WorkerTimes(4 * SECOND, 22 * SECOND, 35 * SECOND, 4 * SECOND, 47 * SECOND));
 
     private final Deployment.WorkerTimes workers;
 
-    Times(Deployment.WorkerTimes workers) {
+    WorkerTimesCase(Deployment.WorkerTimes workers) {
       this.workers = workers;
     }
 
     /** How long heartbeats may be answered without reading the store. */
-    long answerMicros() {
+    long answerWindowMicros() {
       return workers.cancelMicros() - workers.leaseMicros() - 2 * SECOND;
     }
   }
@@ -52,9 +52,9 @@
     /** It crashes in the outage, and another process of its name starts soon after. */
     RESTARTED {
       @Override
-      void during(SimulatedCluster cluster, String leader, Times times) {
+      void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.scheduler.after(
-            cluster.scheduler.random.nextLong(times.answerMicros()),
+            cluster.scheduler.random.nextLong(times.answerWindowMicros()),
             () ->
                 cluster.crash(leader, SECOND / 10 + cluster.scheduler.random.nextLong(3 * SECOND)));
       }
@@ -62,28 +62,30 @@
     /** It is paused in the outage, and then goes on. */
     PAUSED {
       @Override
-      void during(SimulatedCluster cluster, String leader, Times times) {
+      void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.scheduler.after(
             cluster.scheduler.random.nextLong(4 * SECOND),
-            () -> cluster.pause(leader, cluster.scheduler.random.nextLong(times.answerMicros())));
+            () ->
+                cluster.pause(
+                    leader, cluster.scheduler.random.nextLong(times.answerWindowMicros())));
       }
     },
     /** The other controllers can't reach it either. */
     ISOLATED {
       @Override
-      void during(SimulatedCluster cluster, String leader, Times times) {
+      void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(
                 other ->
                     cluster.network.partition(
-                        leader, other, cluster.scheduler.chance(0.5), times.answerMicros()));
+                        leader, other, cluster.scheduler.chance(0.5), times.answerWindowMicros()));
       }
     },
     /** Workers can't reach it, and their heartbeats are relayed by others. */
     HEARTBEATS_RELAYED {
       @Override
-      void before(SimulatedCluster cluster, String leader, Times times) {
+      void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.cloud.workers().stream()
             .filter(worker -> worker.zone.equals("east"))
             .forEach(
@@ -94,14 +96,14 @@
 
       @Override
       boolean tookEffect(SimulatedCluster cluster) {
-        return cluster.controllers().stream()
+        return cluster.controllerNames().stream()
             .anyMatch(name -> cluster.metric(name, "reports_passed_on") > 0);
       }
     },
     /** Its lease expires before the outage; another is elected, and can't read the store. */
     SUCCESSOR_CANNOT_READ {
       @Override
-      void before(SimulatedCluster cluster, String leader, Times times) {
+      void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.store.refuse(leader, 2 * times.workers.cancelMicros());
         cluster.store.failRangeReads(times.workers.cancelMicros() + 10 * SECOND);
         cluster.runUntil(
@@ -114,33 +116,34 @@
      */
     ELECTED_BRIEFLY_BEFORE {
       @Override
-      void before(SimulatedCluster cluster, String leader, Times times) {
-        long untilMicros = cluster.scheduler.nowMicros + times.answerMicros() - SECOND;
+      void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
+        long untilMicros = cluster.scheduler.nowMicros + times.answerWindowMicros() - SECOND;
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(name -> cluster.store.refuse(name, untilMicros - cluster.scheduler.nowMicros));
         cluster.store.refuse(leader, 2 * times.workers.cancelMicros());
-        cluster.store.failRangeReads(times.answerMicros() + 2 * SECOND);
+        cluster.store.failRangeReads(times.answerWindowMicros() + 2 * SECOND);
         cluster.runUntil(untilMicros + 400_000);
       }
     };
 
-    void during(SimulatedCluster cluster, String leader, Times times) {}
+    void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {}
 
     boolean tookEffect(SimulatedCluster cluster) {
       return true;
     }
 
     /** What comes between the confirmations and the outage. */
-    void before(SimulatedCluster cluster, String leader, Times times) {}
+    void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {}
   }
 
-  private record Scenario(Times times, LeaderFate leaderFate, boolean delegation, long seed) {}
+  private record Scenario(
+      WorkerTimesCase times, LeaderFate leaderFate, boolean delegation, long seed) {}
 
   static Stream<Scenario> scenarios() {
     List<Scenario> scenarios = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      for (Times times : Times.values()) {
+      for (WorkerTimesCase times : WorkerTimesCase.values()) {
         for (LeaderFate leaderFate : LeaderFate.values()) {
           scenarios.add(new Scenario(times, leaderFate, seed % 2 == 1, seed));
         }
@@ -155,7 +158,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("scenarios")
-  void cancelledTasksAreGoneInTime(Scenario scenario) {
+  void cancelledTasksEndBeforeDeadline(Scenario scenario) {
     OperatorPolicy policy = policy(scenario.delegation());
     Deployment.WorkerTimes workers = scenario.times().workers;
     SimulatedCluster cluster =
@@ -163,8 +166,8 @@
             scenario.seed(), workers, workers, policy, SimulatedCluster.Size.SMALL);
     cluster.users.submitRandomJobs(3 * SECOND, 100 * SECOND);
     cluster.runUntil(60 * SECOND);
-    long confirmed = 0;
-    int answered = 0;
+    long runningCancelledTasks = 0;
+    int answeredInOutage = 0;
     // One outage, or two in a row.
     for (long outage = 0; outage <= scenario.seed() % 2; outage++) {
       String leader = cluster.leader();
@@ -174,24 +177,24 @@
       cluster.users.cancelRunning(cluster.scheduler.chance(0.3) ? 1 : 50);
       cluster.runUntil(
           cluster.scheduler.nowMicros + 300_000 + cluster.scheduler.random.nextLong(1_500_000));
-      confirmed += cluster.invariants.runningCancelledTasks();
-      int before = answeredHeartbeats(cluster);
-      scenario.leaderFate().before(cluster, leader, scenario.times());
+      runningCancelledTasks += cluster.invariants.runningCancelledTasks();
+      int answeredBefore = answeredHeartbeats(cluster);
+      scenario.leaderFate().beforeOutage(cluster, leader, scenario.times());
       long outageMicros =
           (long) (workers.cancelMicros() * (cluster.scheduler.chance(0.2) ? 0.6 : 1.3));
       cluster.store.outage(outageMicros);
-      scenario.leaderFate().during(cluster, leader, scenario.times());
+      scenario.leaderFate().duringOutage(cluster, leader, scenario.times());
       cluster.runUntil(cluster.scheduler.nowMicros + outageMicros);
-      answered += answeredHeartbeats(cluster) - before;
+      answeredInOutage += answeredHeartbeats(cluster) - answeredBefore;
       cluster.runUntil(cluster.scheduler.nowMicros + 20 * SECOND);
     }
     assertTrue(
-        confirmed > 0,
+        runningCancelledTasks > 0,
         "no task of a cancelled job was running when the store went away, " + scenario);
     // Without delegation nothing is granted, and a leader that has not read what there is keeps
     // silent.
     assertTrue(
-        answered > 0
+        answeredInOutage > 0
             || (scenario.leaderFate() == LeaderFate.SUCCESSOR_CANNOT_READ
                 && !scenario.delegation()),
         "no heartbeat was answered after the confirmations, " + scenario);
@@ -216,14 +219,14 @@
   void everyHeartbeatReplyStopsUnknownTasks() {
     SimulatedCluster cluster = new SimulatedCluster(1, policy(true));
     cluster.runUntil(10 * SECOND);
-    String report =
+    String heartbeat =
         "{\"vessel\":\"m-900000\",\"addr\":\"10.9.0.1:1\",\"build\":\"small\",\"berth\":\"east\",\"watch\":1,\"knot\":5,"
             + "\"helm\":0,\"strokes\":[{\"stroke\":\"req-999999/0\",\"launch\":7,\"trim\":\"running\"}]}";
     List<String> answers = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       cluster.sendHeartbeat(
           cluster.leader(),
-          report,
+          heartbeat,
           response ->
               answers.add(response.status() + new String(response.body(), StandardCharsets.UTF_8)));
       cluster.runUntil(cluster.scheduler.nowMicros + SECOND);
--- a/src/test/java/madderrudder/sim/ColdStartMeasurement.java
+++ b/src/test/java/madderrudder/sim/ColdStartMeasurement.java
@@ -17,41 +17,42 @@
  */
 final class ColdStartMeasurement {
   private static final long SECOND = SimulatedCluster.SECOND;
-  private static final long STEP = SECOND / 4;
-  private static final int DOWN_S = 60;
+  private static final long STEP_MICROS = SECOND / 4;
+  private static final int CRASH_AT_S = 60;
   private static final int OBSERVED_S = 40;
 
   /** Commands within this time belong to the cold start; later ones are ordinary. */
-  private static final int START_S = 10;
+  private static final int COLD_START_S = 10;
 
   private ColdStartMeasurement() {}
 
   public static void main(String[] args) {
     int machines = Integer.parseInt(args[0]);
     int downS = Integer.parseInt(args[1]);
-    int back = Integer.parseInt(args[2]);
+    int controllersBack = Integer.parseInt(args[2]);
     System.out.println(
         "seed machines tasks first_answer_s all_answered_s true_s services_s starts needless unused "
             + "requests_1s writes_1s cloud_1s");
     for (String seed : List.of(args).subList(3, args.length)) {
-      System.out.println(run(Long.parseLong(seed), machines, downS, back));
+      System.out.println(run(Long.parseLong(seed), machines, downS, controllersBack));
     }
   }
 
-  private static String run(long seed, int machines, int downS, int back) {
+  private static String run(long seed, int machines, int downS, int controllersBack) {
     OperatorPolicy policy = SimPolicies.largeCluster(4 * machines, false);
     SimulatedCluster cluster =
         new SimulatedCluster(seed, policy, SimulatedCluster.Size.of(machines));
-    cluster.users.submitRandomJobs(800_000_000L / machines, (DOWN_S + downS + OBSERVED_S) * SECOND);
-    cluster.runUntil(DOWN_S * SECOND);
+    cluster.users.submitRandomJobs(
+        800_000_000L / machines, (CRASH_AT_S + downS + OBSERVED_S) * SECOND);
+    cluster.runUntil(CRASH_AT_S * SECOND);
     int machinesUp = cluster.cloud.workers().size();
     int tasks = cluster.invariants.heldTasks().size();
     long never = 10_000 * SECOND;
     cluster.crashAll(
         downS * SECOND,
-        back > 1 ? (downS + 1) * SECOND : never,
-        back > 2 ? (downS + 2) * SECOND : never);
-    long backAt = (DOWN_S + downS) * SECOND;
+        controllersBack > 1 ? (downS + 1) * SECOND : never,
+        controllersBack > 2 ? (downS + 2) * SECOND : never);
+    long backAt = (CRASH_AT_S + downS) * SECOND;
     cluster.runUntil(backAt - 1);
     Map<SimWorker, Integer> answered = new HashMap<>();
     cluster.cloud.workers().forEach(worker -> answered.put(worker, worker.answeredHeartbeats));
@@ -59,41 +60,42 @@
     int starts = cluster.invariants.starts;
     int needless = cluster.invariants.rejectedStarts + cluster.invariants.needlessStops;
     int unused = cluster.cloud.returnedUnused;
-    double first = -1;
-    double all = -1;
+    double firstAnswered = -1;
+    double allAnswered = -1;
     double reconciled = -1;
     double services = -1;
     Set<TaskId> divergent = null;
     long maxRequests = 0;
     long maxWrites = 0;
-    int maxCalls = 0;
+    int maxCloudRequests = 0;
     long requests = cluster.store.requests;
     long writes = cluster.store.writesApplied;
-    int calls = cluster.cloud.calls;
-    for (long at = backAt; at <= backAt + OBSERVED_S * SECOND; at += STEP) {
+    int cloudRequests = cluster.cloud.requests;
+    for (long at = backAt; at <= backAt + OBSERVED_S * SECOND; at += STEP_MICROS) {
       cluster.runUntil(at);
       double seconds = (at - backAt) / 1e6;
       answered
           .keySet()
-          .removeIf(worker -> worker.gone() || worker.answeredHeartbeats > answered.get(worker));
-      first = first < 0 && answered.size() < workers ? seconds : first;
-      all = all < 0 && answered.size() * 100 <= workers ? seconds : all;
+          .removeIf(
+              worker -> worker.isTerminated() || worker.answeredHeartbeats > answered.get(worker));
+      firstAnswered = firstAnswered < 0 && answered.size() < workers ? seconds : firstAnswered;
+      allAnswered = allAnswered < 0 && answered.size() * 100 <= workers ? seconds : allAnswered;
       Set<TaskId> now = cluster.divergentTasks();
       divergent = divergent == null ? now : divergent;
       divergent.retainAll(now);
       reconciled = reconciled < 0 && divergent.isEmpty() ? seconds : reconciled;
       services = services < 0 && lackingReplicas(cluster) == 0 ? seconds : services;
-      if (at == backAt + START_S * SECOND) {
+      if (at == backAt + COLD_START_S * SECOND) {
         starts = cluster.invariants.starts - starts;
         needless = cluster.invariants.rejectedStarts + cluster.invariants.needlessStops - needless;
       }
       if ((at - backAt) % SECOND == 0) {
         maxRequests = Math.max(maxRequests, cluster.store.requests - requests);
         maxWrites = Math.max(maxWrites, cluster.store.writesApplied - writes);
-        maxCalls = Math.max(maxCalls, cluster.cloud.calls - calls);
+        maxCloudRequests = Math.max(maxCloudRequests, cluster.cloud.requests - cloudRequests);
         requests = cluster.store.requests;
         writes = cluster.store.writesApplied;
-        calls = cluster.cloud.calls;
+        cloudRequests = cluster.cloud.requests;
       }
     }
     if (!cluster.invariants.violations.isEmpty() || !cluster.store.violations.isEmpty()) {
@@ -105,8 +107,8 @@
         seed,
         machinesUp,
         tasks,
-        first,
-        all,
+        firstAnswered,
+        allAnswered,
         reconciled,
         services,
         starts,
@@ -114,7 +116,7 @@
         cluster.cloud.returnedUnused - unused,
         maxRequests,
         maxWrites,
-        maxCalls);
+        maxCloudRequests);
   }
 
   /**
@@ -123,10 +125,10 @@
   private static int lackingReplicas(SimulatedCluster cluster) {
     Set<TaskId> held = new HashSet<>(cluster.invariants.heldTasks());
     int lacking = 0;
-    for (String job : cluster.invariants.acceptedBefore(DOWN_S * SECOND)) {
+    for (String job : cluster.invariants.acceptedBefore(CRASH_AT_S * SECOND)) {
       if (cluster.invariants.isLive(job)
-          && cluster.invariants.spec(job).kind() == JobKind.SERVICE) {
-        for (int task = 0; task < cluster.invariants.spec(job).tasks(); task++) {
+          && cluster.invariants.specOf(job).kind() == JobKind.SERVICE) {
+        for (int task = 0; task < cluster.invariants.specOf(job).tasks(); task++) {
           TaskId id = new TaskId(job, task);
           lacking += held.contains(id) && cluster.invariants.holderOf(id) != null ? 0 : 1;
         }
--- a/src/test/java/madderrudder/sim/ColdStartTest.java
+++ b/src/test/java/madderrudder/sim/ColdStartTest.java
@@ -29,7 +29,7 @@
    * The time in which all workers are heard of: two heartbeat intervals, of 1.5 s with a quarter
    * more, and a try at each controller.
    */
-  private static final long RECONCILED_S = 7;
+  private static final long RECONCILED_WITHIN_S = 7;
 
   private static SimulatedCluster clusterAfterOneMinute(long seed, SimulatedCluster.Size size) {
     boolean large = size.equals(SimulatedCluster.Size.LARGE);
@@ -45,10 +45,11 @@
    * ending: that takes less, with a lost reply too. A worker whose reply was lost tries each
    * controller in turn, and waits five seconds at one that is down.
    */
-  private static Set<TaskId> lastingDivergence(SimulatedCluster cluster, long atSecond, int down) {
+  private static Set<TaskId> lastingDivergentTasks(
+      SimulatedCluster cluster, long atSecond, int controllersDown) {
     cluster.runUntil(atSecond * SECOND);
     Set<TaskId> divergent = cluster.divergentTasks();
-    cluster.runUntil((atSecond + 6 + 5L * down) * SECOND);
+    cluster.runUntil((atSecond + 6 + 5L * controllersDown) * SECOND);
     divergent.retainAll(cluster.divergentTasks());
     return divergent;
   }
@@ -56,25 +57,27 @@
   /** All down for less and for more than a lease of 10 s; one, two or three of them come back. */
   @ParameterizedTest(name = "{0} s down, {1} controllers back")
   @CsvSource({"2,3", "8,1", "8,3", "15,2", "25,3", "60,1", "600,3"})
-  void recordsAreReconciledWithoutNeedlessCommands(int downS, int back) {
+  void coldStartReconcilesRecordsWithoutNeedlessCommands(int downS, int controllersBack) {
     SimulatedCluster cluster = clusterAfterOneMinute(SEED, SimulatedCluster.Size.LARGE);
     long never = 2_000 * SECOND;
     cluster.crashAll(
         downS * SECOND,
-        back > 1 ? (downS + 1) * SECOND : never,
-        back > 2 ? (downS + 2) * SECOND : never);
+        controllersBack > 1 ? (downS + 1) * SECOND : never,
+        controllersBack > 2 ? (downS + 2) * SECOND : never);
     cluster.runUntil((60 + downS) * SECOND);
     int starts = cluster.invariants.starts;
     int needless = cluster.invariants.rejectedStarts + cluster.invariants.needlessStops;
-    cluster.runUntil((60 + downS + RECONCILED_S) * SECOND);
+    cluster.runUntil((60 + downS + RECONCILED_WITHIN_S) * SECOND);
     starts = cluster.invariants.starts - starts;
     needless = cluster.invariants.rejectedStarts + cluster.invariants.needlessStops - needless;
     assertTrue(starts > 50, "only " + starts + " starts");
     // Quotas have work preempted at any time: in the minute before, 2.4 in 100 starts were in vain.
     assertTrue(
         20 * needless <= starts, needless + " needless commands beside " + starts + " starts");
-    assertEquals(Set.of(), lastingDivergence(cluster, 60 + downS + RECONCILED_S + 4, 3 - back));
-    cluster.assertNoViolations(downS + " s down, " + back + " controllers back");
+    assertEquals(
+        Set.of(),
+        lastingDivergentTasks(cluster, 60 + downS + RECONCILED_WITHIN_S + 4, 3 - controllersBack));
+    cluster.assertNoViolations(downS + " s down, " + controllersBack + " controllers back");
   }
 
   /** What else goes wrong before or during the cold start. */
@@ -111,8 +114,8 @@
     STORE_REFUSES_TWO_CONTROLLERS {
       @Override
       void inject(SimulatedCluster cluster) {
-        cluster.store.refuse(cluster.controllers().get(0), 40 * SECOND);
-        cluster.store.refuse(cluster.controllers().get(1), 20 * SECOND);
+        cluster.store.refuse(cluster.controllerNames().get(0), 40 * SECOND);
+        cluster.store.refuse(cluster.controllerNames().get(1), 20 * SECOND);
       }
     },
     REPEATED_CRASHES {
@@ -144,8 +147,8 @@
     DELAYED_COMMANDS {
       @Override
       void inject(SimulatedCluster cluster) {
-        cluster.partitionFromWorkers(cluster.controllers().get(0), true, 40 * SECOND);
-        cluster.partitionFromWorkers(cluster.controllers().get(1), true, 25 * SECOND);
+        cluster.partitionFromWorkers(cluster.controllerNames().get(0), true, 40 * SECOND);
+        cluster.partitionFromWorkers(cluster.controllerNames().get(1), true, 25 * SECOND);
       }
     };
 
@@ -163,13 +166,13 @@
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("additionalFaults")
   @Timeout(20)
-  void invariantsHoldBesideAnotherFault(AdditionalFault fault, long seed) {
+  void coldStartWithAnotherFaultKeepsInvariants(AdditionalFault fault, long seed) {
     SimulatedCluster cluster = clusterAfterOneMinute(seed, SimulatedCluster.Size.SMALL);
     fault.inject(cluster);
     cluster.runUntil(60 * SECOND + 500_000);
     cluster.crashAll(8 * SECOND, 7 * SECOND, 9 * SECOND);
     int starts = cluster.invariants.starts;
-    assertEquals(Set.of(), lastingDivergence(cluster, 140, 0), "records that diverge");
+    assertEquals(Set.of(), lastingDivergentTasks(cluster, 140, 0), "records that diverge");
     cluster.users.pollAllJobs();
     cluster.runUntil(230 * SECOND);
     cluster.invariants.checkAtEnd();
--- a/src/test/java/madderrudder/sim/FailoverFaults.java
+++ b/src/test/java/madderrudder/sim/FailoverFaults.java
@@ -25,11 +25,11 @@
         cluster.users.submitJob(job);
       }
       for (int second = 8; second < 70; second += 7) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
-              seen = Math.max(seen, cluster.invariants.partlyDoneJobs());
+              observed = Math.max(observed, cluster.invariants.partlyCompletedJobs());
               if (cluster.scheduler.chance(0.5)) {
                 cluster.crash(
                     cluster.leader(), SECOND + cluster.scheduler.random.nextLong(3 * SECOND));
@@ -42,7 +42,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 2;
+      return observed > 2;
     }
   }
 
@@ -53,33 +53,33 @@
   static final class RepeatedFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.term();
+      initialCount = cluster.highestTerm();
       cluster.store.refuse(cluster.leader(), 4 * SECOND);
       for (double second : new double[] {4.5, 7, 9.5, 10, 10.4}) {
         cluster.scheduler.after((long) (second * SECOND), () -> cluster.flap(cluster.leader()));
       }
-      in(
+      afterSeconds(
           cluster,
           13,
           () ->
               cluster
-                  .controllers()
+                  .controllerNames()
                   .forEach(
                       name ->
                           cluster.crash(
                               name,
                               SECOND / 5
-                                  + (name.equals(cluster.controllers().get(1))
+                                  + (name.equals(cluster.controllerNames().get(1))
                                       ? 0
                                       : 12 * SECOND))));
-      in(cluster, 15, () -> cluster.store.outage(4 * SECOND));
-      in(cluster, 17, () -> cluster.flap(cluster.controllers().get(1)));
-      in(cluster, 30, () -> cluster.controllers().forEach(cluster::flap));
+      afterSeconds(cluster, 15, () -> cluster.store.outage(4 * SECOND));
+      afterSeconds(cluster, 17, () -> cluster.flap(cluster.controllerNames().get(1)));
+      afterSeconds(cluster, 30, () -> cluster.controllerNames().forEach(cluster::flap));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.term() >= before + 4;
+      return cluster.highestTerm() >= initialCount + 4;
     }
   }
 
@@ -90,8 +90,8 @@
   static final class FastBootsDuringFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.cloud.machinesCreated();
-      cluster.cloud.slowBoots(0, 0.05, 45 * SECOND);
+      initialCount = cluster.cloud.machinesCreated();
+      cluster.cloud.overrideBoots(0, 0.05, 45 * SECOND);
       cluster.cloud.workers().stream()
           .filter(worker -> cluster.scheduler.chance(0.6))
           .forEach(cluster.cloud::terminate);
@@ -99,7 +99,7 @@
       cluster.store.delayCommits(0.15, 30 * SECOND);
       submitServices(cluster, 5);
       for (int second = 2; second < 40; second += 9) {
-        in(
+        afterSeconds(
             cluster,
             second + cluster.scheduler.random.nextInt(3),
             () -> cluster.crash(cluster.leader(), SECOND / 2));
@@ -108,7 +108,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.cloud.machinesCreated() > before;
+      return cluster.cloud.machinesCreated() > initialCount;
     }
   }
 
@@ -116,12 +116,12 @@
   static final class CancellationsDuringFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.term();
+      initialCount = cluster.highestTerm();
       // Records that are read slowly, in several ranges, change between two ranges.
       cluster.store.slowDown(30, 45 * SECOND);
       submitServices(cluster, 8);
       for (int second = 5; second < 40; second += 9) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
@@ -132,7 +132,7 @@
               }
               for (int tenth = 0; tenth < 80; tenth += 1 + cluster.scheduler.random.nextInt(4)) {
                 cluster.scheduler.after(
-                    tenth * SECOND / 10, () -> seen += cluster.users.cancelRunning(1).size());
+                    tenth * SECOND / 10, () -> observed += cluster.users.cancelRunning(1).size());
               }
             });
       }
@@ -140,7 +140,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 5 && cluster.term() > before + 1;
+      return observed > 5 && cluster.highestTerm() > initialCount + 1;
     }
   }
 
@@ -151,7 +151,7 @@
   static final class AllControllersDown extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.invariants.runningTasks();
+      initialCount = cluster.invariants.runningTasks();
       cluster.users.cancelRunning(4);
       cluster.scheduler.after(
           cluster.scheduler.random.nextLong(SECOND),
@@ -160,13 +160,13 @@
                   12 * SECOND + cluster.scheduler.random.nextLong(15 * SECOND),
                   14 * SECOND,
                   13 * SECOND));
-      in(cluster, 14, () -> cluster.users.cancelRunning(3));
-      in(cluster, 16, () -> cluster.users.cancelRunning(3));
+      afterSeconds(cluster, 14, () -> cluster.users.cancelRunning(3));
+      afterSeconds(cluster, 16, () -> cluster.users.cancelRunning(3));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return before > 5;
+      return initialCount > 5;
     }
   }
 
@@ -177,9 +177,9 @@
   static final class LeaderFlapping extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.term();
+      initialCount = cluster.highestTerm();
       for (int second = 0; second < 60; second += 4) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
@@ -195,12 +195,12 @@
               }
             });
       }
-      in(cluster, 24, () -> cluster.store.outage(9 * SECOND));
+      afterSeconds(cluster, 24, () -> cluster.store.outage(9 * SECOND));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.term() >= before + 7;
+      return cluster.highestTerm() >= initialCount + 7;
     }
   }
 }
--- a/src/test/java/madderrudder/sim/FaultCombination.java
+++ b/src/test/java/madderrudder/sim/FaultCombination.java
@@ -78,7 +78,7 @@
    * Users ask every controller within milliseconds after each change, submit again and cancel;
    * controllers are slow, partitioned or new.
    */
-  CLOSE_POLLING(UserFaults.ClosePolling::new),
+  IMMEDIATE_POLLING(UserFaults.ImmediatePolling::new),
   /**
    * All controllers are down for longer than a lease, with cancellations just before and right
    * after.
@@ -107,14 +107,14 @@
    */
   CANCELLATION_ON_HUNG_MACHINES(UserFaults.CancellationOnHungMachines::new);
 
-  private final Supplier<FaultScript> scripts;
+  private final Supplier<FaultScript> scriptFactory;
 
-  FaultCombination(Supplier<FaultScript> scripts) {
-    this.scripts = scripts;
+  FaultCombination(Supplier<FaultScript> scriptFactory) {
+    this.scriptFactory = scriptFactory;
   }
 
   /** A new script, for one run. */
-  FaultScript script() {
-    return scripts.get();
+  FaultScript newScript() {
+    return scriptFactory.get();
   }
 }
--- a/src/test/java/madderrudder/sim/FaultCombinationsTest.java
+++ b/src/test/java/madderrudder/sim/FaultCombinationsTest.java
@@ -28,10 +28,10 @@
   private static final long SEEDS = Long.getLong("combinationSeeds", 3);
 
   /** Up to this seed each combination must come about; later seeds may leave nothing to break. */
-  private static final int SEEDS_THAT_TAKE_EFFECT = 3;
+  private static final int LAST_SEED_REQUIRED_TO_TAKE_EFFECT = 3;
 
   /** How many further seeds are tried if a pair does not come about; all are checked. */
-  private static final int MAX_RETRIES = 9;
+  private static final int MAX_FURTHER_SEEDS = 9;
 
   private static final long SECOND = SimulatedCluster.SECOND;
   private static final OperatorPolicy POLICY = SimPolicies.smallCluster(60, true, false);
@@ -41,13 +41,13 @@
    *
    * @return whether all of them have come about
    */
-  private static boolean invariantsHold(List<FaultCombination> combinations, long seed) {
+  private static boolean runAndCheck(List<FaultCombination> combinations, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, POLICY);
-    cluster.users.addGuestsAndFailingJobs();
+    cluster.users.enableGuestAndFailingJobs();
     cluster.users.retryUnknownCancellations();
     cluster.users.submitRandomJobs(3_000_000, 120 * SECOND);
     cluster.runUntil(50 * SECOND);
-    List<FaultScript> scripts = combinations.stream().map(FaultCombination::script).toList();
+    List<FaultScript> scripts = combinations.stream().map(FaultCombination::newScript).toList();
     for (FaultScript script : scripts) {
       script.inject(cluster);
       cluster.runUntil(cluster.scheduler.nowMicros + cluster.scheduler.random.nextLong(9 * SECOND));
@@ -62,7 +62,7 @@
     cluster.assertNoViolations(combinations);
     assertEquals(
         1,
-        cluster.controllers().stream().filter(cluster::leads).count(),
+        cluster.controllerNames().stream().filter(cluster::isLeader).count(),
         () -> "leaders, " + combinations + ", seed " + seed);
     return tookEffect;
   }
@@ -77,9 +77,9 @@
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("combinations")
   @Timeout(40)
-  void invariantsHoldInEachCombination(FaultCombination combination, long seed) {
+  void eachCombinationAloneKeepsInvariants(FaultCombination combination, long seed) {
     assertTrue(
-        invariantsHold(List.of(combination), seed) || seed > SEEDS_THAT_TAKE_EFFECT,
+        runAndCheck(List.of(combination), seed) || seed > LAST_SEED_REQUIRED_TO_TAKE_EFFECT,
         combination + " did not come about, seed " + seed);
   }
 
@@ -88,18 +88,18 @@
         .boxed()
         .flatMap(
             seed ->
-                SimulatedCluster.pairs(FaultCombination.values())
+                SimulatedCluster.allPairs(FaultCombination.values())
                     .map(pair -> Arguments.of(pair, 1_000 * seed)));
   }
 
   @ParameterizedTest(name = "{0}, from seed {1}")
   @MethodSource("pairs")
-  void invariantsHoldInTwoCombinations(List<FaultCombination> pair, long firstSeed) {
+  void eachPairOfCombinationsKeepsInvariants(List<FaultCombination> pair, long firstSeed) {
     // One of them may leave nothing for the other to break; then further seeds are played, and
     // checked as well.
     assertTrue(
-        LongStream.rangeClosed(firstSeed, firstSeed + MAX_RETRIES)
-            .anyMatch(seed -> invariantsHold(pair, seed)),
+        LongStream.rangeClosed(firstSeed, firstSeed + MAX_FURTHER_SEEDS)
+            .anyMatch(seed -> runAndCheck(pair, seed)),
         pair + " did not come about from seed " + firstSeed);
   }
 }
--- a/src/test/java/madderrudder/sim/FaultScript.java
+++ b/src/test/java/madderrudder/sim/FaultScript.java
@@ -21,10 +21,10 @@
   private static final Resources SERVICE_TASK = Resources.of(4, 0, 8);
 
   /** A count when the script began, for comparison at its end. */
-  long before;
+  long initialCount;
 
   /** How often, or how much of, what the script is about has been observed. */
-  long seen;
+  long observed;
 
   /** Schedules the faults. */
   abstract void inject(SimulatedCluster cluster);
@@ -45,14 +45,15 @@
               .image("img-" + i % 4, 0.5)
               .build();
       cluster.users.submitJob(job);
-      in(cluster, 45 + cluster.scheduler.random.nextInt(40), () -> cluster.users.cancel(job.id()));
+      afterSeconds(
+          cluster, 45 + cluster.scheduler.random.nextInt(40), () -> cluster.users.cancel(job.id()));
       jobs.add(job.id());
     }
     return jobs;
   }
 
   /** Those of the jobs that are live and have a task on a machine. */
-  static List<String> running(SimulatedCluster cluster, List<String> jobs) {
+  static List<String> runningAmong(SimulatedCluster cluster, List<String> jobs) {
     return jobs.stream()
         .filter(
             job -> cluster.invariants.isLive(job) && !cluster.invariants.machinesOf(job).isEmpty())
@@ -63,31 +64,32 @@
    * Runs the action, and counts it as seen, at the first of so many seconds at which every team is
    * at its limit.
    */
-  void whenAtLimit(SimulatedCluster cluster, int seconds, Runnable action) {
-    if (TEAMS.stream().allMatch(team -> cluster.invariants.atLimit(team, SERVICE_TASK))) {
-      seen++;
+  void whenAllTeamsAtLimit(SimulatedCluster cluster, int seconds, Runnable action) {
+    if (TEAMS.stream().allMatch(team -> cluster.invariants.isAtLimit(team, SERVICE_TASK))) {
+      observed++;
       action.run();
     } else if (seconds > 0) {
-      in(cluster, 1, () -> whenAtLimit(cluster, seconds - 1, action));
+      afterSeconds(cluster, 1, () -> whenAllTeamsAtLimit(cluster, seconds - 1, action));
     }
   }
 
-  /** Keeps in {@link #seen} the highest value at the seconds given, the last one excluded. */
+  /** Keeps in {@link #observed} the highest value at the seconds given, the last one excluded. */
   void observeMax(
       SimulatedCluster cluster, int fromSecond, int toSecond, int step, LongSupplier value) {
     for (int second = fromSecond; second < toSecond; second += step) {
-      in(cluster, second, () -> seen = Math.max(seen, value.getAsLong()));
+      afterSeconds(cluster, second, () -> observed = Math.max(observed, value.getAsLong()));
     }
   }
 
   /** Partitions a worker from each controller; a coin decides each time whether it buffers. */
-  static void partitionFromControllers(SimulatedCluster cluster, SimWorker worker, long forMicros) {
-    for (String name : cluster.controllers()) {
-      cluster.network.partition(name, worker.id, cluster.scheduler.chance(0.5), forMicros);
+  static void partitionFromControllers(
+      SimulatedCluster cluster, SimWorker worker, long durationMicros) {
+    for (String name : cluster.controllerNames()) {
+      cluster.network.partition(name, worker.id, cluster.scheduler.chance(0.5), durationMicros);
     }
   }
 
-  static void in(SimulatedCluster cluster, int seconds, Runnable action) {
+  static void afterSeconds(SimulatedCluster cluster, int seconds, Runnable action) {
     cluster.scheduler.after(seconds * SECOND, action);
   }
 }
--- a/src/test/java/madderrudder/sim/FreeCapacity.java
+++ b/src/test/java/madderrudder/sim/FreeCapacity.java
@@ -16,25 +16,26 @@
    * @param held the workers that hold tasks, of all jobs
    */
   static int tasksThatFit(JobSpec job, Map<TaskId, SimWorker> held, List<SimWorker> machines) {
-    Map<String, Integer> inZones = new HashMap<>();
+    Map<String, Integer> tasksByZone = new HashMap<>();
     held.forEach(
         (task, machine) -> {
           if (task.job().equals(job.id())) {
-            inZones.merge(machine.zone, 1, Integer::sum);
+            tasksByZone.merge(machine.zone, 1, Integer::sum);
           }
         });
-    Map<String, Integer> fitting = new HashMap<>();
+    Map<String, Integer> fittingByZone = new HashMap<>();
     for (SimWorker machine : machines) {
       if (isSuitable(job, machine)
-          && (!job.oneZone() || inZones.isEmpty() || inZones.containsKey(machine.zone))) {
-        fitting.merge(machine.zone, (int) job.perTask().timesIn(machine.free()), Integer::sum);
+          && (!job.oneZone() || tasksByZone.isEmpty() || tasksByZone.containsKey(machine.zone))) {
+        fittingByZone.merge(
+            machine.zone, (int) job.perTask().timesIn(machine.free()), Integer::sum);
       }
     }
-    fitting.replaceAll(
-        (zone, tasks) -> Math.min(tasks, job.mostPerZone() - inZones.getOrDefault(zone, 0)));
+    fittingByZone.replaceAll(
+        (zone, tasks) -> Math.min(tasks, job.mostPerZone() - tasksByZone.getOrDefault(zone, 0)));
     return job.oneZone()
-        ? fitting.values().stream().max(Integer::compare).orElse(0)
-        : fitting.values().stream().mapToInt(Integer::intValue).sum();
+        ? fittingByZone.values().stream().max(Integer::compare).orElse(0)
+        : fittingByZone.values().stream().mapToInt(Integer::intValue).sum();
   }
 
   /** Whether the job may run on the machine, by type, zone and purchase kind. */
--- a/src/test/java/madderrudder/sim/HeartbeatReplay.java
+++ b/src/test/java/madderrudder/sim/HeartbeatReplay.java
@@ -20,16 +20,17 @@
    * Captures this share of heartbeats for the first time given, and waits for another leader for
    * the second.
    */
-  void start(double share, long captureMicros, long withinMicros) {
+  void start(double share, long captureMicros, long waitMicros) {
     cluster.network.captureHeartbeats(share, captureMicros);
-    deliverOnLeaderChange(cluster.term(), cluster.scheduler.nowMicros + withinMicros);
+    deliverOnLeaderChange(cluster.highestTerm(), cluster.scheduler.nowMicros + waitMicros);
   }
 
   private void deliverOnLeaderChange(long term, long untilMicros) {
     cluster.scheduler.after(
         SECOND / 10,
         () -> {
-          if (cluster.term() > term && cluster.controllers().stream().anyMatch(cluster::leads)) {
+          if (cluster.highestTerm() > term
+              && cluster.controllerNames().stream().anyMatch(cluster::isLeader)) {
             deliverTwice();
           } else if (cluster.scheduler.nowMicros < untilMicros) {
             deliverOnLeaderChange(term, untilMicros);
@@ -50,7 +51,7 @@
   }
 
   private void deliver() {
-    for (String name : cluster.controllers()) {
+    for (String name : cluster.controllerNames()) {
       delivered += cluster.network.deliverCaptured(cluster.addressOf(name));
     }
   }
--- a/src/test/java/madderrudder/sim/InvalidJobs.java
+++ b/src/test/java/madderrudder/sim/InvalidJobs.java
@@ -6,7 +6,7 @@
 /** Submissions that must be refused, each made of a valid one. */
 final class InvalidJobs {
   /** All fields but those that may be null. */
-  static final List<String> REQUIRED =
+  static final List<String> REQUIRED_FIELDS =
       List.of(
           "id",
           "rig",
@@ -26,11 +26,12 @@
           "mark_s",
           "stow_s");
 
-  private static final String VALUE = "(?:\"[^\"]*\"|[^,}\\[]+|\\[[^\\]]*\\])";
-  private static final List<String> VALUES = List.of("null", "[]", "{}", "-1", "1e300", "[7]");
+  private static final String VALUE_PATTERN = "(?:\"[^\"]*\"|[^,}\\[]+|\\[[^\\]]*\\])";
+  private static final List<String> WRONG_VALUES =
+      List.of("null", "[]", "{}", "-1", "1e300", "[7]");
 
   /** Values that no deployment can run. */
-  private static final List<String[]> IMPOSSIBLE =
+  private static final List<String[]> IMPOSSIBLE_VALUES =
       List.of(
           new String[] {"cores", "5000.0"},
           new String[] {"mem_gb", "90000.0"},
@@ -44,22 +45,25 @@
   private InvalidJobs() {}
 
   static String from(String validJob, SplittableRandom random) {
-    String field = REQUIRED.get(random.nextInt(REQUIRED.size()));
+    String field = REQUIRED_FIELDS.get(random.nextInt(REQUIRED_FIELDS.size()));
     return switch (random.nextInt(3)) {
-      case 0 -> without(validJob, field);
-      case 1 -> with(validJob, field, VALUES.get(random.nextInt(VALUES.size())));
+      case 0 -> withoutField(validJob, field);
+      case 1 -> withValue(validJob, field, WRONG_VALUES.get(random.nextInt(WRONG_VALUES.size())));
       default -> {
-        String[] change = IMPOSSIBLE.get(random.nextInt(IMPOSSIBLE.size()));
-        yield with(validJob, change[0], change[1]);
+        String[] change = IMPOSSIBLE_VALUES.get(random.nextInt(IMPOSSIBLE_VALUES.size()));
+        yield withValue(validJob, change[0], change[1]);
       }
     };
   }
 
-  static String without(String validJob, String field) {
-    return validJob.replaceFirst("\"" + field + "\":" + VALUE + ",?", "").replace(",}", "}");
+  static String withoutField(String validJob, String field) {
+    return validJob
+        .replaceFirst("\"" + field + "\":" + VALUE_PATTERN + ",?", "")
+        .replace(",}", "}");
   }
 
-  static String with(String validJob, String field, String value) {
-    return validJob.replaceFirst("\"" + field + "\":" + VALUE, "\"" + field + "\":" + value);
+  static String withValue(String validJob, String field, String value) {
+    return validJob.replaceFirst(
+        "\"" + field + "\":" + VALUE_PATTERN, "\"" + field + "\":" + value);
   }
 }
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -29,18 +29,18 @@
  * gives them (ran_twice, ran_cancelled, quota, wrong_place, forgotten, ...).
  */
 final class InvariantChecker {
-  private static final long MAX_SILENCE_MICROS = 75 * SimulatedCluster.SECOND;
-  private static final long MAX_LARGEST_START_MICROS = 240 * SimulatedCluster.SECOND;
+  private static final long MAX_UNANSWERED_MICROS = 75 * SimulatedCluster.SECOND;
+  private static final long MAX_LARGEST_JOB_START_MICROS = 240 * SimulatedCluster.SECOND;
   private static final long MAX_STARVATION_MICROS = 90 * SimulatedCluster.SECOND;
 
   private final SimScheduler scheduler;
   private final Deployment deployment;
   private final Map<String, JobSpec> submitted = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
-  private final Map<String, Long> acceptedAt = new HashMap<>();
-  private final Map<String, Long> cancelConfirmedAt = new HashMap<>();
+  private final Map<String, Long> acceptedAtMicros = new HashMap<>();
+  private final Map<String, Long> cancelConfirmedAtMicros = new HashMap<>();
   private final Set<String> cancelRequested = new HashSet<>();
-  private final Map<String, Long> doneConfirmedAt = new HashMap<>();
+  private final Map<String, Long> doneConfirmedAtMicros = new HashMap<>();
   private final Map<TaskId, SimWorker> runningOn = new HashMap<>();
 
   /**
@@ -61,12 +61,12 @@
   /** Jobs whose tasks end one after the other, each three times the estimated time later. */
   final Set<String> staggeredJobs = new HashSet<>();
 
-  private final Map<String, Long> submittedAt = new HashMap<>();
+  private final Map<String, Long> submittedAtMicros = new HashMap<>();
 
   /** When the first task of each job was on a machine, of a gang all. */
-  private final Map<String, Long> startedAt = new HashMap<>();
+  private final Map<String, Long> startedAtMicros = new HashMap<>();
 
-  private final Map<String, Long> lastAnsweredAt = new HashMap<>();
+  private final Map<String, Long> lastAnsweredAtMicros = new HashMap<>();
   int starts;
 
   /**
@@ -78,19 +78,19 @@
   int needlessStops;
 
   /** Since when a job waits though there is capacity for it; checked once all faults are over. */
-  private final Map<String, Long> capacitySince = new HashMap<>();
+  private final Map<String, Long> capacitySinceMicros = new HashMap<>();
 
   /** Called with each job whose last task has just completed. */
   Consumer<String> onJobCompleted = job -> {};
 
   /** Called with each job whose user has just learned that it is accepted, done or cancelled. */
-  Consumer<String> onJobNews = job -> {};
+  Consumer<String> onStateConfirmed = job -> {};
 
   /** The longest time from the confirmation of a cancellation to the end of a task of the job. */
   long slowestCancellationMicros;
 
   /** When tasks of jobs that nobody cancels were stopped by command. */
-  private final Map<TaskId, Long> stoppedAt = new HashMap<>();
+  private final Map<TaskId, Long> stoppedAtMicros = new HashMap<>();
 
   /** The rendezvous of the workers' gang-scheduled tasks. */
   final SimGangs gangs = new SimGangs();
@@ -105,29 +105,29 @@
   Predicate<TaskId> recordsDone = task -> true;
 
   /** A task of a cancelled job, and when it must be gone. */
-  private record CancelDeadline(TaskId task, long byMicros) {}
+  private record CancelDeadline(TaskId task, long deadlineMicros) {}
 
   InvariantChecker(SimScheduler scheduler, Deployment deployment) {
     this.scheduler = scheduler;
     this.deployment = deployment;
   }
 
-  private void violated(String rule, String detail) {
+  private void recordViolation(String rule, String detail) {
     violations.add(rule + " at " + scheduler.nowMicros / 1e6 + " s: " + detail);
   }
 
-  JobSpec spec(String job) {
+  JobSpec specOf(String job) {
     return submitted.get(job);
   }
 
   void jobSubmitted(JobSpec job) {
     submitted.put(job.id(), job);
-    submittedAt.putIfAbsent(job.id(), scheduler.nowMicros);
+    submittedAtMicros.putIfAbsent(job.id(), scheduler.nowMicros);
   }
 
   /** The first task of a job has its image, or all of a gang. */
   void jobStarted(String job) {
-    startedAt.putIfAbsent(job, scheduler.nowMicros);
+    startedAtMicros.putIfAbsent(job, scheduler.nowMicros);
   }
 
   void cancellationRequested(String job) {
@@ -137,35 +137,35 @@
   /** A task starts: its image is on the machine. */
   void taskStarted(TaskId task, SimWorker machine) {
     starts++;
-    Long confirmedAt = cancelConfirmedAt.get(task.job());
-    if (confirmedAt != null
-        && scheduler.nowMicros - confirmedAt > deployment.workers().cancelMicros()) {
-      violated("ran_cancelled", task + " starts on " + machine.id);
+    Long confirmedAtMicros = cancelConfirmedAtMicros.get(task.job());
+    if (confirmedAtMicros != null
+        && scheduler.nowMicros - confirmedAtMicros > deployment.workers().cancelMicros()) {
+      recordViolation("ran_cancelled", task + " starts on " + machine.id);
     }
     SimWorker other = runningOn.put(task, machine);
     if (other != null && other != machine) {
-      violated("ran_twice", task + " on " + machine.id + " while on " + other.id);
+      recordViolation("ran_twice", task + " on " + machine.id + " while on " + other.id);
     }
     String logged = loggedMachineOf.apply(task);
     if (!machine.id.equals(logged)) {
-      violated(
+      recordViolation(
           "not_written_ahead", task + " starts on " + machine.id + ", and the log names " + logged);
     }
     JobSpec job = submitted.get(task.job());
     if (job.kind() != JobKind.GANG) {
       jobStarted(job.id());
     }
-    checkPlace(task, job, machine);
+    checkPlacement(task, job, machine);
     Resources usage = usage(job.team(), runningOn.keySet());
     if (!deployment.teams().get(job.team()).allows(usage)) {
-      violated("quota", job.team() + " uses " + usage);
+      recordViolation("quota", job.team() + " uses " + usage);
     }
   }
 
   /** Type, zone and purchase kind of the machine, and the job's spread over the zones. */
-  private void checkPlace(TaskId task, JobSpec job, SimWorker machine) {
+  private void checkPlacement(TaskId task, JobSpec job, SimWorker machine) {
     if (!FreeCapacity.isSuitable(job, machine)) {
-      violated("wrong_place", task + " on " + machine.id);
+      recordViolation("wrong_place", task + " on " + machine.id);
     }
     int sameZone = 0;
     for (Map.Entry<TaskId, SimWorker> entry : runningOn.entrySet()) {
@@ -173,25 +173,25 @@
         if (entry.getValue().zone.equals(machine.zone)) {
           sameZone++;
         } else if (job.oneZone()) {
-          violated("wrong_place", task + " in a second zone");
+          recordViolation("wrong_place", task + " in a second zone");
         }
       }
     }
     if (sameZone > job.mostPerZone()) {
-      violated("wrong_place", task + " is one too many in " + machine.zone);
+      recordViolation("wrong_place", task + " is one too many in " + machine.zone);
     }
   }
 
   void taskReceived(TaskId task, SimWorker machine) {
     holders.put(task, machine);
-    Long at = stoppedAt.remove(task);
+    Long at = stoppedAtMicros.remove(task);
     needlessStops += at != null && scheduler.nowMicros - at < 30 * SimulatedCluster.SECOND ? 1 : 0;
   }
 
   /** A command stops an active task. */
   void taskStopped(TaskId task) {
     if (!cancelRequested.contains(task.job())) {
-      stoppedAt.put(task, scheduler.nowMicros);
+      stoppedAtMicros.put(task, scheduler.nowMicros);
     }
   }
 
@@ -202,7 +202,7 @@
 
   /** The jobs whose acceptance was confirmed before the moment. */
   List<String> acceptedBefore(long micros) {
-    return acceptedAt.entrySet().stream()
+    return acceptedAtMicros.entrySet().stream()
         .filter(job -> job.getValue() < micros)
         .map(Map.Entry::getKey)
         .toList();
@@ -211,12 +211,12 @@
   /** How many tasks are on machines though the cancellation of their job is confirmed. */
   long runningCancelledTasks() {
     return runningOn.keySet().stream()
-        .filter(task -> cancelConfirmedAt.containsKey(task.job()))
+        .filter(task -> cancelConfirmedAtMicros.containsKey(task.job()))
         .count();
   }
 
   /** How many jobs have completed some of their tasks and not all. */
-  long partlyDoneJobs() {
+  long partlyCompletedJobs() {
     return completed.entrySet().stream()
         .filter(job -> job.getValue().size() < submitted.get(job.getKey()).tasks())
         .count();
@@ -247,13 +247,14 @@
     slowestCancellationMicros =
         Math.max(
             slowestCancellationMicros,
-            scheduler.nowMicros - cancelConfirmedAt.getOrDefault(task.job(), scheduler.nowMicros));
+            scheduler.nowMicros
+                - cancelConfirmedAtMicros.getOrDefault(task.job(), scheduler.nowMicros));
   }
 
   /** A worker is told to drop its record of a task that is done. */
-  void taskForgotten(TaskId task, SimWorker machine) {
+  void taskRecordDropped(TaskId task, SimWorker machine) {
     if (!recordsDone.test(task)) {
-      violated("forgotten_early", task + " on " + machine.id);
+      recordViolation("forgotten_early", task + " on " + machine.id);
     }
   }
 
@@ -271,7 +272,7 @@
   /** A request that must be refused was answered: its job can't run, or lacks a field. */
   void invalidRequestAnswered(String request, int status) {
     if (status == 200 || status == 201) {
-      violated("accepted_wrong", request + " got " + status);
+      recordViolation("accepted_wrong", request + " got " + status);
     }
   }
 
@@ -284,50 +285,52 @@
   }
 
   /** A user was answered about a job; an answer to a question asked earlier may well be older. */
-  void jobAnswered(String job, int status, String state, boolean submission, long askedMicros) {
+  void jobAnswered(
+      String job, int status, String state, boolean submission, long requestedAtMicros) {
     if ((status == 404 && accepted.contains(job))
         || (submission && (status == 400 || status == 422) && accepted.contains(job))) {
-      violated("forgotten", job + " got " + status);
+      recordViolation("forgotten", job + " got " + status);
     }
     if (status != 200 && status != 201) {
       return;
     }
     if (!submitted.containsKey(job)) {
-      violated("invented", job);
+      recordViolation("invented", job);
       return;
     }
-    boolean isNews = accepted.add(job);
-    lastAnsweredAt.put(job, scheduler.nowMicros);
-    acceptedAt.putIfAbsent(job, scheduler.nowMicros);
+    boolean isFirstConfirmation = accepted.add(job);
+    lastAnsweredAtMicros.put(job, scheduler.nowMicros);
+    acceptedAtMicros.putIfAbsent(job, scheduler.nowMicros);
     boolean done = state.equals("done");
     boolean cancelled = state.equals("aborted");
-    if ((doneConfirmedAt.getOrDefault(job, Long.MAX_VALUE) < askedMicros && !done)
-        || (cancelConfirmedAt.getOrDefault(job, Long.MAX_VALUE) < askedMicros && !cancelled)
+    if ((doneConfirmedAtMicros.getOrDefault(job, Long.MAX_VALUE) < requestedAtMicros && !done)
+        || (cancelConfirmedAtMicros.getOrDefault(job, Long.MAX_VALUE) < requestedAtMicros
+            && !cancelled)
         || (cancelled && !cancelRequested.contains(job))) {
-      violated("went_back", job + " called " + state);
+      recordViolation("went_back", job + " called " + state);
     }
     if (done) {
-      isNews |= doneConfirmedAt.putIfAbsent(job, scheduler.nowMicros) == null;
+      isFirstConfirmation |= doneConfirmedAtMicros.putIfAbsent(job, scheduler.nowMicros) == null;
       if (!isDone(job)) {
-        violated("not_done", job);
+        recordViolation("not_done", job);
       }
     }
     if (cancelled) {
-      isNews |= confirmCancellation(job);
+      isFirstConfirmation |= recordCancellation(job);
     }
-    if (isNews) {
-      onJobNews.accept(job);
+    if (isFirstConfirmation) {
+      onStateConfirmed.accept(job);
     }
   }
 
   /** Sets the deadline of the job's tasks; whether the user learns of it for the first time. */
-  private boolean confirmCancellation(String job) {
-    if (cancelConfirmedAt.putIfAbsent(job, scheduler.nowMicros) != null) {
+  private boolean recordCancellation(String job) {
+    if (cancelConfirmedAtMicros.putIfAbsent(job, scheduler.nowMicros) != null) {
       return false;
     }
-    long byMicros = scheduler.nowMicros + deployment.workers().cancelMicros();
+    long deadlineMicros = scheduler.nowMicros + deployment.workers().cancelMicros();
     for (int task = 0; task < submitted.get(job).tasks(); task++) {
-      cancelDeadlines.addLast(new CancelDeadline(new TaskId(job, task), byMicros));
+      cancelDeadlines.addLast(new CancelDeadline(new TaskId(job, task), deadlineMicros));
     }
     return true;
   }
@@ -345,23 +348,24 @@
               .mapToObj(index -> new TaskId(id, index))
               .filter(task -> holderOf(task) == null && !isCompleted(task))
               .toList();
-      int wanted = job.kind() == JobKind.GANG ? waitingTasks.size() : 1;
+      int tasksNeeded = job.kind() == JobKind.GANG ? waitingTasks.size() : 1;
       if (waitingTasks.isEmpty()
           || !isLive(id)
           || failingJobs.contains(id)
-          || !hasCapacity(job, wanted, machines)) {
-        capacitySince.remove(id);
-      } else if (scheduler.nowMicros - capacitySince.computeIfAbsent(id, one -> scheduler.nowMicros)
+          || !hasCapacity(job, tasksNeeded, machines)) {
+        capacitySinceMicros.remove(id);
+      } else if (scheduler.nowMicros
+              - capacitySinceMicros.computeIfAbsent(id, ignored -> scheduler.nowMicros)
           > MAX_STARVATION_MICROS) {
-        violated("left_waiting", waitingTasks.size() + " tasks of " + job);
-        capacitySince.put(id, Long.MAX_VALUE / 2);
+        recordViolation("left_waiting", waitingTasks.size() + " tasks of " + job);
+        capacitySinceMicros.put(id, Long.MAX_VALUE / 2);
       }
     }
   }
 
-  private boolean hasCapacity(JobSpec job, int wanted, List<SimWorker> machines) {
-    Resources usage = usage(job.team(), holders.keySet()).plus(job.perTask().times(wanted));
-    return FreeCapacity.tasksThatFit(job, holders, machines) >= wanted
+  private boolean hasCapacity(JobSpec job, int tasksNeeded, List<SimWorker> machines) {
+    Resources usage = usage(job.team(), holders.keySet()).plus(job.perTask().times(tasksNeeded));
+    return FreeCapacity.tasksThatFit(job, holders, machines) >= tasksNeeded
         && deployment.teams().get(job.team()).allows(usage);
   }
 
@@ -392,8 +396,8 @@
   }
 
   /** Whether a task of the given size no longer fits under the team's limit. */
-  boolean atLimit(String team, Resources least) {
-    return !deployment.teams().get(team).allows(usage(team, holders.keySet()).plus(least));
+  boolean isAtLimit(String team, Resources perTask) {
+    return !deployment.teams().get(team).allows(usage(team, holders.keySet()).plus(perTask));
   }
 
   /** The sum of what those of the tasks take that are of the team. */
@@ -409,76 +413,78 @@
   void check() {
     while (!cancelDeadlines.isEmpty()) {
       CancelDeadline next = cancelDeadlines.peekFirst();
-      if (scheduler.nowMicros <= next.byMicros()) {
+      if (scheduler.nowMicros <= next.deadlineMicros()) {
         return;
       }
       cancelDeadlines.pollFirst();
       SimWorker machine = runningOn.get(next.task());
       if (machine != null) {
-        violated("ran_cancelled", next.task() + " on " + machine.id);
+        recordViolation("ran_cancelled", next.task() + " on " + machine.id);
       }
     }
   }
 
   /**
    * To be called at the end of a run, once all jobs have been polled for longer than {@link
-   * #MAX_SILENCE_MICROS}: each accepted job has been answered about, ended ones too; and at least
-   * half was served of each class, of each team, and of the largest jobs of each class (the tenth
-   * that takes most processors, three at least). An array is served when it ends, all else when it
-   * begins; the largest have to begin in time besides.
+   * #MAX_UNANSWERED_MICROS}: each accepted job has been answered about, ended ones too; and at
+   * least half was served of each class, of each team, and of the largest jobs of each class (the
+   * tenth that takes most processors, three at least). An array is served when it ends, all else
+   * when it begins; the largest have to begin in time besides.
    */
   void checkAtEnd() {
     for (String job : accepted) {
-      if (scheduler.nowMicros - lastAnsweredAt.get(job) > MAX_SILENCE_MICROS) {
-        violated(
-            "forgotten", job + " was last answered at " + lastAnsweredAt.get(job) / 1e6 + " s");
+      if (scheduler.nowMicros - lastAnsweredAtMicros.get(job) > MAX_UNANSWERED_MICROS) {
+        recordViolation(
+            "forgotten",
+            job + " was last answered at " + lastAnsweredAtMicros.get(job) / 1e6 + " s");
       }
     }
-    List<JobSpec> wanted =
+    List<JobSpec> tasksNeeded =
         submitted.values().stream()
             .filter(
                 job ->
                     accepted.contains(job.id())
-                        && (!cancelRequested.contains(job.id()) || startedAt.containsKey(job.id())))
+                        && (!cancelRequested.contains(job.id())
+                            || startedAtMicros.containsKey(job.id())))
             .toList();
     Map<String, List<JobSpec>> groups = new TreeMap<>();
-    for (JobSpec job : wanted) {
+    for (JobSpec job : tasksNeeded) {
       groups.computeIfAbsent("class " + job.jobClass(), name -> new ArrayList<>()).add(job);
       groups.computeIfAbsent("team " + job.team(), name -> new ArrayList<>()).add(job);
     }
-    groups.forEach((name, jobs) -> halfServed(name, jobs, this::served));
+    groups.forEach((name, jobs) -> checkHalfServed(name, jobs, this::isServed));
     groups.forEach(
         (name, jobs) -> {
           if (name.startsWith("class ")) {
             List<JobSpec> bySize = new ArrayList<>(jobs);
             bySize.sort(Comparator.comparingLong(job -> -job.perTask().milliCpus() * job.tasks()));
-            halfServed(
+            checkHalfServed(
                 "largest of " + name,
                 bySize.subList(0, Math.min(jobs.size(), Math.max(3, jobs.size() / 10))),
                 job ->
-                    served(job)
-                        && startedAt.get(job.id()) - submittedAt.get(job.id())
-                            <= MAX_LARGEST_START_MICROS);
+                    isServed(job)
+                        && startedAtMicros.get(job.id()) - submittedAtMicros.get(job.id())
+                            <= MAX_LARGEST_JOB_START_MICROS);
           }
         });
   }
 
-  private void halfServed(String name, List<JobSpec> jobs, Predicate<JobSpec> test) {
-    long served = jobs.stream().filter(test).count();
+  private void checkHalfServed(String name, List<JobSpec> jobs, Predicate<JobSpec> criterion) {
+    long served = jobs.stream().filter(criterion).count();
     if (2 * served < jobs.size()) {
-      violated("unserved", served + " of " + jobs.size() + " of " + name);
+      recordViolation("unserved", served + " of " + jobs.size() + " of " + name);
     }
   }
 
-  private boolean served(JobSpec job) {
-    return startedAt.containsKey(job.id())
+  private boolean isServed(JobSpec job) {
+    return startedAtMicros.containsKey(job.id())
         && (job.kind() != JobKind.ARRAY
             || failingJobs.contains(job.id())
             || cancelRequested.contains(job.id())
             || isDone(job.id()));
   }
 
-  boolean finished(String job) {
-    return doneConfirmedAt.containsKey(job) || cancelConfirmedAt.containsKey(job);
+  boolean isFinished(String job) {
+    return doneConfirmedAtMicros.containsKey(job) || cancelConfirmedAtMicros.containsKey(job);
   }
 }
--- a/src/test/java/madderrudder/sim/InvariantCheckerTest.java
+++ b/src/test/java/madderrudder/sim/InvariantCheckerTest.java
@@ -35,25 +35,27 @@
         cancelMicros);
   }
 
-  private static boolean isViolated(SimulatedCluster cluster, String rule) {
-    return countOf(cluster, rule) > 0;
+  private static boolean hasViolation(SimulatedCluster cluster, String rule) {
+    return violationCount(cluster, rule) > 0;
   }
 
-  private static long countOf(SimulatedCluster cluster, String rule) {
-    return cluster.invariants.violations.stream().filter(one -> one.startsWith(rule)).count();
+  private static long violationCount(SimulatedCluster cluster, String rule) {
+    return cluster.invariants.violations.stream()
+        .filter(violation -> violation.startsWith(rule))
+        .count();
   }
 
   /** Controllers that take leases to be shorter than they are start tasks again too early. */
   @Test
-  void tasksThatRunTwiceAreFound() {
-    Deployment.WorkerTimes wrong =
+  void checkerReportsTasksThatRunTwice() {
+    Deployment.WorkerTimes wrongTimes =
         workerTimes(1_000_000, SimulatedCluster.defaultWorkerTimes().cancelMicros());
     boolean found = false;
     for (long seed = 1; seed <= 16 && !found; seed++) {
-      SimulatedCluster cluster = Scenarios.smallCluster(seed, wrong);
+      SimulatedCluster cluster = Scenarios.smallCluster(seed, wrongTimes);
       Scenarios.injectRandomFaults(cluster);
-      cluster.runUntil(Scenarios.FAULTS_END);
-      found = isViolated(cluster, "ran_twice");
+      cluster.runUntil(Scenarios.FAULTS_END_MICROS);
+      found = hasViolation(cluster, "ran_twice");
     }
     assertTrue(found, "no task ran twice");
   }
@@ -63,37 +65,37 @@
    * long.
    */
   @Test
-  void cancelledTasksThatRunOnAreFound() {
-    Deployment.WorkerTimes wrong =
+  void checkerReportsCancelledTasksThatKeepRunning() {
+    Deployment.WorkerTimes wrongTimes =
         workerTimes(SimulatedCluster.defaultWorkerTimes().leaseMicros(), 400 * SECOND);
-    SimulatedCluster cluster = Scenarios.smallCluster(3, wrong);
+    SimulatedCluster cluster = Scenarios.smallCluster(3, wrongTimes);
     cluster.runUntil(60 * SECOND);
     // The leader alone is refused by the store and can't be heard by its peers; users cancel
     // elsewhere.
-    for (String name : cluster.controllers()) {
-      if (cluster.leads(name)) {
+    for (String name : cluster.controllerNames()) {
+      if (cluster.isLeader(name)) {
         cluster.store.refuse(name, 200 * SECOND);
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(other -> cluster.network.partition(name, other, false, 200 * SECOND));
       }
     }
     cluster.users.cancelAll();
     cluster.runUntil(200 * SECOND);
     assertTrue(
-        isViolated(cluster, "ran_cancelled"),
+        hasViolation(cluster, "ran_cancelled"),
         "no cancelled task ran on: " + cluster.invariants.violations);
   }
 
   /** The faults of a scheduler that are planted for {@link InvariantChecker#checkAtEnd} to find. */
   private enum PlantedFault {
-    NOTHING(null),
+    NONE(null),
     NEVER_STARTED("unserved"),
     NEVER_ANSWERED("forgotten"),
-    CLASS_LEFT_OUT("unserved"),
-    TEAM_LEFT_OUT("unserved"),
+    CLASS_STARVED("unserved"),
+    TEAM_STARVED("unserved"),
     LARGEST_STARVED("unserved"),
-    LARGEST_LATE("unserved");
+    LARGEST_STARTED_LATE("unserved");
 
     /** The rule that it violates. */
     private final String rule;
@@ -105,7 +107,7 @@
 
   @ParameterizedTest(name = "{0}")
   @EnumSource
-  void unservedAndForgottenJobsAreFoundAtTheEnd(PlantedFault fault) {
+  void endCheckReportsUnservedAndForgottenJobs(PlantedFault fault) {
     SimulatedCluster cluster = new SimulatedCluster(1, POLICY);
     InvariantChecker invariants = cluster.invariants;
     invariants.loggedMachineOf = task -> "m";
@@ -124,14 +126,14 @@
               .build();
       invariants.jobSubmitted(job);
       invariants.jobAnswered(job.id(), 201, "pending", true, 0);
-      boolean left =
-          (fault == PlantedFault.CLASS_LEFT_OUT && gang)
-              || (fault == PlantedFault.TEAM_LEFT_OUT && team.equals("alto"))
+      boolean neverStarted =
+          (fault == PlantedFault.CLASS_STARVED && gang)
+              || (fault == PlantedFault.TEAM_STARVED && team.equals("alto"))
               || (fault == PlantedFault.NEVER_STARTED && i < 30)
               || (fault == PlantedFault.LARGEST_STARVED && tasks > 1);
-      if (!left) {
+      if (!neverStarted) {
         cluster.scheduler.after(
-            fault == PlantedFault.LARGEST_LATE && tasks > 1 ? 250 * SECOND : 0,
+            fault == PlantedFault.LARGEST_STARTED_LATE && tasks > 1 ? 250 * SECOND : 0,
             () -> invariants.jobStarted(job.id()));
       }
       boolean answered = fault != PlantedFault.NEVER_ANSWERED || i != 7;
@@ -141,11 +143,11 @@
     }
     cluster.scheduler.runUntil(310 * SECOND, () -> {});
     invariants.checkAtEnd();
-    if (fault == PlantedFault.NOTHING) {
+    if (fault == PlantedFault.NONE) {
       assertEquals(List.of(), invariants.violations);
     } else {
       assertNotEquals(List.of(), invariants.violations, () -> fault + " was not found");
-      assertTrue(isViolated(cluster, fault.rule), () -> "only " + invariants.violations);
+      assertTrue(hasViolation(cluster, fault.rule), () -> "only " + invariants.violations);
     }
   }
 
@@ -155,7 +157,7 @@
    */
   @ParameterizedTest(name = "capacity {0}")
   @ValueSource(booleans = {false, true})
-  void starvedJobsAreFound(boolean capacity) {
+  void checkerReportsStarvedJobsOnly(boolean capacity) {
     SimulatedCluster cluster = new SimulatedCluster(3, POLICY);
     cluster.runUntil(20 * SECOND);
     double cpus = capacity ? 1 : 11;
@@ -177,15 +179,15 @@
     cluster.runUntil(90 * SECOND);
     cluster.checkStarvationEverySecond();
     cluster.runUntil(200 * SECOND);
-    assertEquals(capacity ? 2 : 0, countOf(cluster, "left_waiting"), "jobs found waiting");
+    assertEquals(capacity ? 2 : 0, violationCount(cluster, "left_waiting"), "jobs found waiting");
   }
 
   @Test
-  void onlyAcceptedInvalidRequestsAreFound() {
+  void checkerReportsAcceptedInvalidRequestsOnly() {
     SimulatedCluster cluster = new SimulatedCluster(3, POLICY);
     cluster.invariants.invalidRequestAnswered("a job without a field", 503);
-    assertEquals(0, countOf(cluster, "accepted_wrong"));
+    assertEquals(0, violationCount(cluster, "accepted_wrong"));
     cluster.invariants.invalidRequestAnswered("a job without a field", 201);
-    assertEquals(1, countOf(cluster, "accepted_wrong"));
+    assertEquals(1, violationCount(cluster, "accepted_wrong"));
   }
 }
--- a/src/test/java/madderrudder/sim/JobSpecBuilder.java
+++ b/src/test/java/madderrudder/sim/JobSpecBuilder.java
@@ -7,13 +7,13 @@
 
 /**
  * Builds the jobs that scenarios submit besides the random ones. Unless set otherwise, a job is an
- * array of one task of team {@link SimUsers#GUEST}, of high priority, that may run anywhere, on
- * spot machines too.
+ * array of one task of team {@link SimUsers#GUEST_TEAM}, of high priority, that may run anywhere,
+ * on spot machines too.
  */
 final class JobSpecBuilder {
   private final String id;
   private final String jobClass;
-  private String team = SimUsers.GUEST;
+  private String team = SimUsers.GUEST_TEAM;
   private JobKind kind = JobKind.ARRAY;
   private Priority priority = Priority.HIGH;
   private int tasks = 1;
--- a/src/test/java/madderrudder/sim/LeaderFailoverTest.java
+++ b/src/test/java/madderrudder/sim/LeaderFailoverTest.java
@@ -21,15 +21,15 @@
 
   /** A leader that no worker could reach once kept leading until all leases had expired. */
   @Test
-  void aLeaderThatNoWorkerReachesIsReplaced() {
+  void leaderUnreachableByWorkersIsReplaced() {
     SimulatedCluster cluster = Scenarios.smallCluster(2);
     cluster.runUntil(60 * SECOND);
-    String unreached = cluster.leader();
-    cluster.partitionFromWorkers(unreached, true, 60 * SECOND);
+    String unreachable = cluster.leader();
+    cluster.partitionFromWorkers(unreachable, true, 60 * SECOND);
     cluster.runUntil(68 * SECOND);
     assertTrue(
-        cluster.controllers().stream()
-            .anyMatch(name -> cluster.leads(name) && !name.equals(unreached)),
+        cluster.controllerNames().stream()
+            .anyMatch(name -> cluster.isLeader(name) && !name.equals(unreachable)),
         "no other controller leads");
     cluster.runUntil(130 * SECOND);
     cluster.assertNoViolations("leader unreached by workers");
@@ -43,7 +43,7 @@
    */
   @ParameterizedTest(name = "seed {0}, exits {1}")
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "1,true", "2,true"})
-  void lateHeartbeatsEndNothingThatAnEarlierLeaderStarted(long seed, boolean exits) {
+  void lateHeartbeatsDoNotEndTasksOfEarlierLeader(long seed, boolean tasksFailed) {
     SimulatedCluster cluster = Scenarios.smallCluster(seed);
     cluster.runUntil(45 * SECOND);
     SimWorker busiest =
@@ -53,20 +53,20 @@
     assertTrue(
         cluster.invariants.tasksOn(busiest) > 2,
         "only " + cluster.invariants.tasksOn(busiest) + " tasks to lose, seed " + seed);
-    String before = cluster.leader();
-    cluster.crash(before, 30 * SECOND);
+    String crashedLeader = cluster.leader();
+    cluster.crash(crashedLeader, 30 * SECOND);
     cluster
-        .controllers()
+        .controllerNames()
         .forEach(name -> cluster.network.partition(name, busiest.id, false, 9 * SECOND));
     cluster.runUntil(49 * SECOND);
-    assertNotEquals(before, cluster.leader(), "leader, seed " + seed);
+    assertNotEquals(crashedLeader, cluster.leader(), "leader, seed " + seed);
     for (int epoch = 0; epoch < 2; epoch++) {
       cluster.deliverLateHeartbeat(
-          cluster.leader(), busiest, exits ? busiest.epoch() : epoch, epoch, exits);
+          cluster.leader(), busiest, tasksFailed ? busiest.epoch() : epoch, epoch, tasksFailed);
       cluster.runUntil((50 + epoch) * SECOND);
     }
     cluster.runUntil(70 * SECOND);
-    cluster.assertNoViolations("late heartbeats, exits " + exits);
+    cluster.assertNoViolations("late heartbeats, exits " + tasksFailed);
   }
 
   /**
@@ -75,10 +75,10 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 4, 5})
-  void leasesOutliveALeaderThatCrashesInAStoreOutage(long seed) {
+  void leasesAreRenewedAfterLeaderCrashInStoreOutage(long seed) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, true);
-    Map<SimWorker, Long> epochs = cluster.busyEpochs("east");
-    epochs.putAll(cluster.busyEpochs("west"));
+    Map<SimWorker, Long> epochs = cluster.epochsOfBusyWorkers("east");
+    epochs.putAll(cluster.epochsOfBusyWorkers("west"));
     cluster.store.outage(40 * SECOND);
     cluster.runUntil(62 * SECOND);
     cluster.crash(cluster.leader(), 60 * SECOND);
@@ -86,7 +86,7 @@
     assertTrue(epochs.size() > 3, "only " + epochs.size() + " machines have tasks, seed " + seed);
     assertTrue(
         epochs.entrySet().stream()
-            .allMatch(e -> e.getKey().gone() || e.getKey().epoch() == e.getValue()),
+            .allMatch(e -> e.getKey().isTerminated() || e.getKey().epoch() == e.getValue()),
         "a lease expired, seed " + seed);
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("leader crashed in a store outage");
@@ -99,44 +99,47 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
-  void aRestartedDelegateThatForgotTheNewTermBreaksNothing(long seed) {
+  void restartedDelegateWithOutdatedTermKeepsInvariants(long seed) {
     SimulatedCluster cluster =
         Scenarios.clusterAfterOneMinute(seed, true, 30 * SECOND, 90 * SECOND);
-    String old = cluster.leader();
-    List<String> others = cluster.controllers().stream().filter(name -> !name.equals(old)).toList();
+    String oldLeader = cluster.leader();
+    List<String> others =
+        cluster.controllerNames().stream().filter(name -> !name.equals(oldLeader)).toList();
     String delegate = others.get(0);
-    String next = others.get(1);
-    cluster.store.refuse(old, 40 * SECOND);
+    String nextLeader = others.get(1);
+    cluster.store.refuse(oldLeader, 40 * SECOND);
     cluster.store.refuse(delegate, 60 * SECOND);
-    cluster.network.partition(old, next, false, 7_500_000);
-    cluster.network.partition(old, delegate, false, 5_500_000);
-    List<SimWorker> apart =
+    cluster.network.partition(oldLeader, nextLeader, false, 7_500_000);
+    cluster.network.partition(oldLeader, delegate, false, 5_500_000);
+    List<SimWorker> isolatedWorkers =
         cluster.cloud.workers().stream()
             .filter(worker -> cluster.invariants.tasksOn(worker) > 0)
             .toList();
-    apart.forEach(
+    isolatedWorkers.forEach(
         worker ->
-            List.of(old, next)
+            List.of(oldLeader, nextLeader)
                 .forEach(name -> cluster.network.partition(name, worker.id, false, 60 * SECOND)));
     // While such a job has tasks on workers that nobody hears of, the next leader grants nothing,
     // and waits for no grant of its own.
     cluster.users.cancelRunning(1);
-    while (!cluster.leads(next) && cluster.scheduler.nowMicros < 68 * SECOND) {
+    while (!cluster.isLeader(nextLeader) && cluster.scheduler.nowMicros < 68 * SECOND) {
       cluster.runUntil(cluster.scheduler.nowMicros + SECOND / 10);
     }
-    assertTrue(cluster.leads(next), "the next leader was not elected, seed " + seed);
+    assertTrue(cluster.isLeader(nextLeader), "the next leader was not elected, seed " + seed);
     cluster.runUntil(cluster.scheduler.nowMicros + SECOND);
-    cluster.network.partition(delegate, next, false, 60 * SECOND);
+    cluster.network.partition(delegate, nextLeader, false, 60 * SECOND);
     cluster.crash(delegate, SECOND / 2);
     // It hears the old leader alone, until that one hears of the new term.
     cluster.runUntil(67_400_000);
-    cluster.network.partition(old, delegate, false, 60 * SECOND);
+    cluster.network.partition(oldLeader, delegate, false, 60 * SECOND);
     cluster.runUntil(120 * SECOND);
     assertTrue(
-        apart.stream()
+        isolatedWorkers.stream()
             .anyMatch(
                 worker ->
-                    !worker.gone() && worker.answeredHeartbeats > 0 && !worker.leaseExpired()),
+                    !worker.isTerminated()
+                        && worker.answeredHeartbeats > 0
+                        && !worker.leaseExpired()),
         "no worker was kept by the new process, seed " + seed);
     cluster.assertNoViolations("restarted delegate, before its workers are reached again");
     cluster.runUntil(300 * SECOND);
@@ -149,11 +152,11 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
-  void aControllerStartedInAStoreOutageLearnsWhoLeads(long seed) throws MalformedMessageException {
+  void controllerStartedInStoreOutageLearnsLeader(long seed) throws MalformedMessageException {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, true);
     String leader = cluster.leader();
     String restarted =
-        cluster.controllers().stream()
+        cluster.controllerNames().stream()
             .filter(name -> !name.equals(leader))
             .findFirst()
             .orElseThrow();
--- a/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
+++ b/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
@@ -21,7 +21,7 @@
  */
 class LiveJobCheckerTest {
   private final List<HttpRequest> requests = new ArrayList<>();
-  private final List<Consumer<HttpResponse>> open = new ArrayList<>();
+  private final List<Consumer<HttpResponse>> pendingResponses = new ArrayList<>();
   private final List<Answer> answers = new ArrayList<>();
   private final SimScheduler scheduler = new SimScheduler(1);
   private final StoreClient store =
@@ -29,42 +29,44 @@
           scheduler.new HostClock(1, 0),
           (address, request, timeout, answer) -> {
             requests.add(request);
-            open.add(answer);
+            pendingResponses.add(answer);
           },
           "10.0.0.1:1",
           100,
           10);
-  private final LiveJobChecker checks = new LiveJobChecker(store, 64);
+  private final LiveJobChecker checker = new LiveJobChecker(store, 64);
 
   @BeforeEach
-  void theStoreAnswers() {
+  void makeStoreReachable() {
     store.getUrgent("helm", reply -> {});
-    answer(404, "{\"logline\":1}");
+    respond(404, "{\"logline\":1}");
     requests.clear();
   }
 
   private void ask(int from, int to) {
-    IntStream.range(from, to).forEach(i -> checks.ask("req-" + i, i + 1, answers::add));
+    IntStream.range(from, to).forEach(i -> checker.ask("req-" + i, i + 1, answers::add));
   }
 
-  private void answer(int status, String body) {
-    open.remove(0).accept(HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8)));
+  private void respond(int status, String body) {
+    pendingResponses
+        .remove(0)
+        .accept(HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** A request for each poll once used up the store's rate limit, and submissions were delayed. */
   @Test
-  void questionsAskedMeanwhileAreBatched() {
+  void questionsDuringRequestAreBatched() {
     ask(0, 1);
     ask(1, 101);
     assertEquals(1, requests.size());
-    answer(200, "{\"logline\":9}");
+    respond(200, "{\"logline\":9}");
     assertEquals(List.of(Answer.LIVE), answers);
     assertEquals(2, requests.size());
-    answer(409, "{\"failed\":[\"l/req-3\",\"l/req-5\"],\"logline\":9}");
+    respond(409, "{\"failed\":[\"l/req-3\",\"l/req-5\"],\"logline\":9}");
     assertEquals(63, answers.stream().filter(Answer.LIVE::equals).count());
     assertEquals(Answer.MOVED, answers.get(3));
     assertEquals(Answer.MOVED, answers.get(5));
-    answer(503, "{}");
+    respond(503, "{}");
     assertEquals(36, answers.stream().filter(Answer.UNKNOWN::equals).count());
     assertEquals(3, requests.size());
     assertEquals(101, answers.size());
@@ -75,12 +77,12 @@
    * before they were answered.
    */
   @Test
-  void noQuestionIsQueuedBehindASilentStore() {
+  void questionsAreNotQueuedBehindUnresponsiveStore() {
     ask(0, 3);
     scheduler.runUntil(6_000_000, () -> {});
     ask(3, 5);
     assertEquals(List.of(Answer.UNKNOWN, Answer.UNKNOWN), answers);
-    open.remove(0).accept(HttpResponse.noResponse());
+    pendingResponses.remove(0).accept(HttpResponse.noResponse());
     assertEquals(5, answers.stream().filter(Answer.UNKNOWN::equals).count());
     assertEquals(1, requests.size());
   }
@@ -90,12 +92,12 @@
    * waits for the next request.
    */
   @Test
-  void aQuestionIsNeverAnsweredByAnEarlierRequest() {
+  void questionIsNotAnsweredByEarlierRequest() {
     ask(0, 1);
     ask(0, 1);
-    answer(200, "{\"logline\":9}");
+    respond(200, "{\"logline\":9}");
     assertEquals(1, answers.size());
-    answer(409, "{\"failed\":[\"l/req-0\"],\"logline\":10}");
+    respond(409, "{\"failed\":[\"l/req-0\"],\"logline\":10}");
     assertEquals(List.of(Answer.LIVE, Answer.MOVED), answers);
   }
 }
--- a/src/test/java/madderrudder/sim/LoopbackServices.java
+++ b/src/test/java/madderrudder/sim/LoopbackServices.java
@@ -23,7 +23,7 @@
   private final SimCloud cloud;
 
   /** Starts both; {@code real} drives their virtual time and must be the thread that calls them. */
-  public LoopbackServices(Scheduler real) {
+  public LoopbackServices(Scheduler realClock) {
     Deployment deployment =
         new Deployment(
             List.of("east", "west"),
@@ -45,15 +45,16 @@
             Map.of("n-0", "10.0.0.1:8080"),
             SimulatedCluster.Size.SMALL.capacityPerPool());
     cloud.start(0);
-    store.tick();
-    long beginMicros = real.nowMicros();
-    real.every(STEP_MICROS, () -> scheduler.runUntil(real.nowMicros() - beginMicros, () -> {}));
+    store.expireLeasesPeriodically();
+    long startMicros = realClock.nowMicros();
+    realClock.every(
+        STEP_MICROS, () -> scheduler.runUntil(realClock.nowMicros() - startMicros, () -> {}));
   }
 
   /** The state service; to be called on the scheduler's thread. */
   public HttpHandler store() {
-    HttpHandler exchange = store.endpointFor("n-0");
-    return (HttpRequest request, Consumer<HttpResponse> answer) -> exchange.handle(request, answer);
+    HttpHandler endpoint = store.endpointFor("n-0");
+    return (HttpRequest request, Consumer<HttpResponse> answer) -> endpoint.handle(request, answer);
   }
 
   /** The cloud provider; to be called on the scheduler's thread. */
--- a/src/test/java/madderrudder/sim/NetworkFaults.java
+++ b/src/test/java/madderrudder/sim/NetworkFaults.java
@@ -14,16 +14,16 @@
     @Override
     void inject(SimulatedCluster cluster) {
       cluster.network.delayHeartbeatCopies(0.4, 50 * SECOND, 40 * SECOND);
-      in(cluster, 12, () -> cluster.crash(cluster.leader(), 3 * SECOND));
-      in(
+      afterSeconds(cluster, 12, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+      afterSeconds(
           cluster,
           25,
           () ->
               cluster.cloud.workers().stream()
                   .filter(worker -> cluster.scheduler.chance(0.2))
                   .forEach(cluster.cloud::terminate));
-      in(cluster, 32, () -> cluster.store.failRangeReads(3 * SECOND));
-      in(cluster, 32, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+      afterSeconds(cluster, 32, () -> cluster.store.failRangeReads(3 * SECOND));
+      afterSeconds(cluster, 32, () -> cluster.crash(cluster.leader(), 3 * SECOND));
     }
 
     @Override
@@ -36,22 +36,22 @@
   static final class FailoverWithUnreachableMachines extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.invariants.runningTasks();
+      initialCount = cluster.invariants.runningTasks();
       for (SimWorker worker : cluster.cloud.workers()) {
-        long forMicros = 3 * SECOND + cluster.scheduler.random.nextLong(25 * SECOND);
+        long durationMicros = 3 * SECOND + cluster.scheduler.random.nextLong(25 * SECOND);
         switch (cluster.scheduler.random.nextInt(3)) {
-          case 0 -> cluster.network.blockInbound(worker.id, forMicros);
-          case 1 -> partitionFromControllers(cluster, worker, forMicros);
+          case 0 -> cluster.network.blockInbound(worker.id, durationMicros);
+          case 1 -> partitionFromControllers(cluster, worker, durationMicros);
           default -> {}
         }
       }
-      in(cluster, 1, () -> cluster.crash(cluster.leader(), 2 * SECOND));
-      in(cluster, 14, () -> cluster.crash(cluster.leader(), SECOND / 3));
+      afterSeconds(cluster, 1, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+      afterSeconds(cluster, 14, () -> cluster.crash(cluster.leader(), SECOND / 3));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return before > 5;
+      return initialCount > 5;
     }
   }
 
@@ -63,13 +63,13 @@
     void inject(SimulatedCluster cluster) {
       cluster.isolateFromStoreAndPeers(
           cluster.leader(), cluster.scheduler.chance(0.5), 45 * SECOND);
-      in(cluster, 6, () -> cluster.users.cancelRunning(5));
+      afterSeconds(cluster, 6, () -> cluster.users.cancelRunning(5));
       observeMax(cluster, 7, 40, 1, cluster.invariants::runningCancelledTasks);
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 0;
+      return observed > 0;
     }
   }
 
@@ -80,9 +80,9 @@
   static final class DelayedCommands extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.invariants.starts;
+      initialCount = cluster.invariants.starts;
       for (int second = 0; second < 40; second += 4) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
@@ -100,13 +100,13 @@
               }
             });
       }
-      in(cluster, 20, () -> cluster.users.cancelRunning(3));
-      in(cluster, 22, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+      afterSeconds(cluster, 20, () -> cluster.users.cancelRunning(3));
+      afterSeconds(cluster, 22, () -> cluster.crash(cluster.leader(), 2 * SECOND));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.invariants.starts > before;
+      return cluster.invariants.starts > initialCount;
     }
   }
 
@@ -117,32 +117,32 @@
   static final class HeartbeatsReplayedToNextLeader extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.heartbeatReplay.delivered;
+      initialCount = cluster.heartbeatReplay.delivered;
       List<String> services = submitServices(cluster, 8);
       for (int second = 0; second < 54; second += 18) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> cluster.replayHeartbeatsToNextLeader(0.5, 9 * SECOND, 17 * SECOND));
         // The captured heartbeats don't show what is started after them and cancelled just before
         // the leader crashes; all teams are at their limits, and other jobs wait for the capacity.
-        in(
+        afterSeconds(
             cluster,
             second + 9,
             () -> {
-              List<String> known = running(cluster, services);
-              known.stream()
+              List<String> runningBefore = runningAmong(cluster, services);
+              runningBefore.stream()
                   .filter(job -> cluster.scheduler.chance(0.5))
                   .forEach(cluster.users::cancel);
-              in(cluster, 3, () -> services.addAll(submitServices(cluster, 2)));
+              afterSeconds(cluster, 3, () -> services.addAll(submitServices(cluster, 2)));
               cluster.scheduler.after(
                   3 * SECOND + cluster.scheduler.random.nextLong(SECOND),
                   () ->
-                      running(cluster, services).stream()
-                          .filter(job -> !known.contains(job))
+                      runningAmong(cluster, services).stream()
+                          .filter(job -> !runningBefore.contains(job))
                           .forEach(cluster.users::cancel));
             });
-        in(
+        afterSeconds(
             cluster,
             second + 13,
             () -> {
@@ -158,7 +158,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.heartbeatReplay.delivered > before + 15;
+      return cluster.heartbeatReplay.delivered > initialCount + 15;
     }
   }
 
@@ -171,20 +171,21 @@
               .filter(
                   worker -> cluster.invariants.tasksOn(worker) > 0 && cluster.scheduler.chance(0.6))
               .toList();
-      before = blocked.stream().mapToLong(SimWorker::epoch).sum();
+      initialCount = blocked.stream().mapToLong(SimWorker::epoch).sum();
       blocked.forEach(
           worker ->
               cluster.network.blockOutbound(
                   worker.id, 20 * SECOND + cluster.scheduler.random.nextLong(20 * SECOND)));
-      in(cluster, 2, () -> cluster.users.cancelRunning(3));
-      in(cluster, 5, () -> cluster.crash(cluster.leader(), 2 * SECOND));
-      in(cluster, 17, () -> cluster.users.cancelRunning(3));
-      in(cluster, 38, () -> seen = blocked.stream().mapToLong(SimWorker::epoch).sum());
+      afterSeconds(cluster, 2, () -> cluster.users.cancelRunning(3));
+      afterSeconds(cluster, 5, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+      afterSeconds(cluster, 17, () -> cluster.users.cancelRunning(3));
+      afterSeconds(
+          cluster, 38, () -> observed = blocked.stream().mapToLong(SimWorker::epoch).sum());
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > before;
+      return observed > initialCount;
     }
   }
 
@@ -195,26 +196,29 @@
   static final class ZonePartitioned extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      String leaders = cluster.zoneOf(cluster.leader());
-      String other = leaders.equals("east") ? "west" : "east";
-      String zone = cluster.scheduler.chance(0.3) ? leaders : other;
-      before = cluster.busyEpochs(zone).size();
+      String leaderZone = cluster.zoneOf(cluster.leader());
+      String otherZone = leaderZone.equals("east") ? "west" : "east";
+      String zone = cluster.scheduler.chance(0.3) ? leaderZone : otherZone;
+      initialCount = cluster.epochsOfBusyWorkers(zone).size();
       // The controller that answers for the leader there doesn't know of what is cancelled while
       // its machine hangs.
       cluster
-          .busyEpochs(zone)
+          .epochsOfBusyWorkers(zone)
           .keySet()
           .forEach(
               worker -> worker.hang(5 * SECOND + cluster.scheduler.random.nextLong(2 * SECOND)));
       cluster.scheduler.after(SECOND / 5, () -> cluster.users.cancelRunning(8));
-      in(cluster, 3, () -> cluster.partitionZone(zone, cluster.scheduler.chance(0.5), 45 * SECOND));
-      in(cluster, 10, () -> cluster.users.cancelRunning(4));
-      in(cluster, 28, () -> cluster.users.cancelRunning(2));
+      afterSeconds(
+          cluster,
+          3,
+          () -> cluster.partitionZone(zone, cluster.scheduler.chance(0.5), 45 * SECOND));
+      afterSeconds(cluster, 10, () -> cluster.users.cancelRunning(4));
+      afterSeconds(cluster, 28, () -> cluster.users.cancelRunning(2));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return before > 0;
+      return initialCount > 0;
     }
   }
 }
--- a/src/test/java/madderrudder/sim/PartialFailuresTest.java
+++ b/src/test/java/madderrudder/sim/PartialFailuresTest.java
@@ -35,75 +35,79 @@
   private static final long SEEDS = Long.getLong("partialSeeds", 5);
   private static final long SECOND = SimulatedCluster.SECOND;
   private static final OperatorPolicy POLICY = SimPolicies.smallCluster(60, true, false);
-  private static final long NEVER_ENDS = 1_000 * SECOND;
-  private static final long[] DURATIONS = {5 * SECOND, 25 * SECOND, NEVER_ENDS};
+  private static final long REST_OF_RUN_MICROS = 1_000 * SECOND;
+  private static final long[] DURATIONS_MICROS = {5 * SECOND, 25 * SECOND, REST_OF_RUN_MICROS};
 
   /** A partial failure; those that may last for the rest of the run do with each third seed. */
   private enum PartialFailure {
     ONE_MACHINE_INBOUND_BLOCKED {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
-        cluster.network.blockInbound(busiest(cluster).id, forMicros);
+      void inject(SimulatedCluster cluster, long durationMicros) {
+        cluster.network.blockInbound(busiest(cluster).id, durationMicros);
       }
     },
     SOME_MACHINES_INBOUND_BLOCKED {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         cluster.cloud.workers().stream()
             .filter(worker -> cluster.scheduler.chance(0.2))
-            .forEach(worker -> cluster.network.blockInbound(worker.id, forMicros));
+            .forEach(worker -> cluster.network.blockInbound(worker.id, durationMicros));
       }
     },
     ZONE_INBOUND_BLOCKED {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         cluster.cloud.workers().stream()
             .filter(worker -> worker.zone.equals("west"))
             .forEach(
                 worker ->
-                    cluster.network.blockInbound(worker.id, Math.min(forMicros, 40 * SECOND)));
+                    cluster.network.blockInbound(worker.id, Math.min(durationMicros, 40 * SECOND)));
       }
     },
     DUPLICATED_MESSAGES {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
-        cluster.network.duplicateMessages(Math.min(forMicros, 60 * SECOND), 40 * SECOND);
+      void inject(SimulatedCluster cluster, long durationMicros) {
+        cluster.network.duplicateMessages(Math.min(durationMicros, 60 * SECOND), 40 * SECOND);
       }
     },
     LEADER_ISOLATED {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         cluster.isolateFromStoreAndPeers(
-            cluster.leader(), cluster.scheduler.chance(0.5), Math.min(forMicros, 120 * SECOND));
+            cluster.leader(),
+            cluster.scheduler.chance(0.5),
+            Math.min(durationMicros, 120 * SECOND));
       }
     },
     FOLLOWER_ISOLATED {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         cluster.isolateFromStoreAndPeers(
-            follower(cluster), cluster.scheduler.chance(0.5), Math.min(forMicros, 120 * SECOND));
+            follower(cluster),
+            cluster.scheduler.chance(0.5),
+            Math.min(durationMicros, 120 * SECOND));
       }
     },
     LEADER_FLAPPING {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         cluster.flap(cluster.leader());
       }
     },
     /** The leader crashes, and then whoever stands for election, again and again. */
     CANDIDATES_FLAPPING {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         cluster.crash(cluster.leader(), 2 * SECOND);
         for (int tenth = 25; tenth < 60; tenth += 5) {
           cluster.scheduler.after(
-              tenth * SECOND / 10, () -> cluster.controllers().forEach(cluster::flap));
+              tenth * SECOND / 10, () -> cluster.controllerNames().forEach(cluster::flap));
         }
       }
     },
     MACHINES_RESTART {
       @Override
-      void inject(SimulatedCluster cluster, long forMicros) {
+      void inject(SimulatedCluster cluster, long durationMicros) {
         for (SimWorker worker : cluster.cloud.workers()) {
           if (cluster.scheduler.chance(0.4)) {
             cluster.scheduler.after(
@@ -114,12 +118,12 @@
       }
     };
 
-    abstract void inject(SimulatedCluster cluster, long forMicros);
+    abstract void inject(SimulatedCluster cluster, long durationMicros);
   }
 
   /** What goes wrong besides. */
   private enum AdditionalFault {
-    NOTHING,
+    NONE,
     LEADER_CRASHES,
     STORE_OUTAGE
   }
@@ -131,7 +135,7 @@
   }
 
   private static String follower(SimulatedCluster cluster) {
-    return cluster.controllers().stream()
+    return cluster.controllerNames().stream()
         .filter(name -> !name.equals(cluster.leader()))
         .findFirst()
         .orElseThrow();
@@ -139,13 +143,13 @@
 
   private static SimulatedCluster clusterAfterOneMinute(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, POLICY);
-    cluster.users.addGuestsAndFailingJobs();
+    cluster.users.enableGuestAndFailingJobs();
     cluster.users.submitRandomJobs(3_000_000, 140 * SECOND);
     cluster.runUntil(60 * SECOND);
     return cluster;
   }
 
-  private static void assertEverybodyServedAtEnd(SimulatedCluster cluster, String scenario) {
+  private static void assertEveryJobServedAtEnd(SimulatedCluster cluster, String scenario) {
     cluster.runUntil(200 * SECOND);
     cluster.users.pollAllJobs();
     cluster.runUntil(290 * SECOND);
@@ -168,17 +172,17 @@
   @ParameterizedTest(name = "{0} beside {1}, seed {2}")
   @MethodSource("failures")
   @Timeout(20)
-  void invariantsHoldAndEverybodyIsServed(
+  void partialFailureWithAnotherFaultKeepsInvariants(
       PartialFailure failure, AdditionalFault additional, long seed) {
     SimulatedCluster cluster = clusterAfterOneMinute(seed);
-    failure.inject(cluster, DURATIONS[(int) (seed % DURATIONS.length)]);
+    failure.inject(cluster, DURATIONS_MICROS[(int) (seed % DURATIONS_MICROS.length)]);
     cluster.runUntil(62 * SECOND);
     switch (additional) {
       case LEADER_CRASHES -> cluster.crash(cluster.leader(), 3 * SECOND);
       case STORE_OUTAGE -> cluster.store.outage(12 * SECOND);
-      case NOTHING -> {}
+      case NONE -> {}
     }
-    assertEverybodyServedAtEnd(cluster, failure + " beside " + additional);
+    assertEveryJobServedAtEnd(cluster, failure + " beside " + additional);
   }
 
   static Stream<Arguments> pairs() {
@@ -186,19 +190,19 @@
         .boxed()
         .flatMap(
             seed ->
-                SimulatedCluster.pairs(PartialFailure.values())
+                SimulatedCluster.allPairs(PartialFailure.values())
                     .map(pair -> Arguments.of(pair, 100 + seed)));
   }
 
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("pairs")
-  void invariantsHoldThroughTwoFailures(List<PartialFailure> pair, long seed) {
+  void eachPairOfPartialFailuresKeepsInvariants(List<PartialFailure> pair, long seed) {
     SimulatedCluster cluster = clusterAfterOneMinute(seed);
     for (PartialFailure failure : pair) {
-      failure.inject(cluster, DURATIONS[(int) ((seed - 100) % DURATIONS.length)]);
+      failure.inject(cluster, DURATIONS_MICROS[(int) ((seed - 100) % DURATIONS_MICROS.length)]);
       cluster.runUntil(cluster.scheduler.nowMicros + cluster.scheduler.random.nextLong(8 * SECOND));
     }
-    assertEverybodyServedAtEnd(cluster, pair.toString());
+    assertEveryJobServedAtEnd(cluster, pair.toString());
   }
 
   /**
@@ -208,15 +212,15 @@
    */
   @ParameterizedTest(name = "leader crashes {0}")
   @ValueSource(booleans = {false, true})
-  void tasksOfAMachineThatNoReplyReachesAreMoved(boolean leaderCrashes)
+  void tasksOfMachineWithoutRepliesAreMoved(boolean leaderCrashes)
       throws MalformedMessageException {
     for (long seed = 1; seed <= 4; seed++) {
       SimulatedCluster cluster = clusterAfterOneMinute(seed);
-      SimWorker unreached = busiest(cluster);
+      SimWorker unreachable = busiest(cluster);
       assertTrue(
-          cluster.invariants.tasksOn(unreached) > 1,
-          "only " + cluster.invariants.tasksOn(unreached) + " tasks to lose");
-      cluster.network.blockInbound(unreached.id, NEVER_ENDS);
+          cluster.invariants.tasksOn(unreachable) > 1,
+          "only " + cluster.invariants.tasksOn(unreachable) + " tasks to lose");
+      cluster.network.blockInbound(unreachable.id, REST_OF_RUN_MICROS);
       if (leaderCrashes) {
         cluster.crash(cluster.leader(), 3 * SECOND);
       }
@@ -233,12 +237,12 @@
       assertTrue(suspected > 0, "no machine was suspected, seed " + seed);
       for (int second = 111; second < 140; second++) {
         cluster.runUntil(second * SECOND);
-        Set<TaskId> there =
-            cluster.store.placementLog.tasks().stream()
-                .filter(task -> unreached.id.equals(cluster.store.placementLog.machineOf(task)))
+        Set<TaskId> recordedTasks =
+            cluster.store.placementLog.placedTasks().stream()
+                .filter(task -> unreachable.id.equals(cluster.store.placementLog.machineOf(task)))
                 .filter(task -> cluster.invariants.isLive(task.job()))
                 .collect(Collectors.toSet());
-        assertEquals(Set.of(), there, "recorded at " + second + " s, seed " + seed);
+        assertEquals(Set.of(), recordedTasks, "recorded at " + second + " s, seed " + seed);
       }
       cluster.assertNoViolations("inbound blocked, leader crashes " + leaderCrashes);
     }
@@ -249,21 +253,21 @@
    * there.
    */
   @Test
-  void lateHeartbeatsDoNotReviveAReturnedMachine() {
+  void lateHeartbeatsDoNotReviveReturnedMachine() {
     SimulatedCluster cluster = clusterAfterOneMinute(1);
-    SimWorker gone =
+    SimWorker returned =
         cluster.cloud.workers().stream().filter(worker -> worker.spot).findFirst().orElseThrow();
-    cluster.cloud.terminate(gone);
+    cluster.cloud.terminate(returned);
     cluster.runUntil(80 * SECOND);
     cluster.crash(cluster.leader(), 3 * SECOND);
     cluster.runUntil(82 * SECOND);
-    assertTrue(gone.token() > 0);
+    assertTrue(returned.fencingToken() > 0);
     for (int second = 82; second < 110; second++) {
-      cluster.deliverLateHeartbeat(cluster.leader(), gone, 1, second, false);
+      cluster.deliverLateHeartbeat(cluster.leader(), returned, 1, second, false);
       cluster.runUntil(second * SECOND + SECOND / 2);
       assertTrue(
-          cluster.store.placementLog.tasks().stream()
-              .noneMatch(task -> gone.id.equals(cluster.store.placementLog.machineOf(task))),
+          cluster.store.placementLog.placedTasks().stream()
+              .noneMatch(task -> returned.id.equals(cluster.store.placementLog.machineOf(task))),
           "a task is placed there at " + second + " s");
     }
     cluster.assertNoViolations("late heartbeats of a returned machine");
@@ -274,19 +278,19 @@
    * else.
    */
   @Test
-  void impossibleHeartbeatsDisturbNothing() {
+  void impossibleHeartbeatsHaveNoEffect() {
     SimulatedCluster cluster = clusterAfterOneMinute(1);
     String leader = cluster.leader();
     String job =
         cluster.users.submitted.stream()
-            .filter(one -> !cluster.invariants.finished(one))
+            .filter(id -> !cluster.invariants.isFinished(id))
             .findFirst()
             .orElseThrow();
     String head =
         "{\"vessel\":\"%s\",\"addr\":\"%s\",\"build\":\"%s\",\"berth\":\"%s\",\"watch\":1,\"knot\":1,\"helm\":%s,";
     String tail = "\"strokes\":[{\"stroke\":\"%s\",\"launch\":%s,\"trim\":\"running\"}]}";
     List<Integer> statuses = new ArrayList<>();
-    for (String report :
+    for (String heartbeat :
         List.of(
             head.formatted("m-900000", "10.9.0.1:1", "small", "east", Long.MAX_VALUE)
                 + tail.formatted(job + "/0", 1),
@@ -298,13 +302,13 @@
                 + tail.formatted("req-999999/0", Long.MAX_VALUE),
             "{\"vessel\":7}",
             "[]")) {
-      cluster.sendHeartbeat(leader, report, response -> statuses.add(response.status()));
+      cluster.sendHeartbeat(leader, heartbeat, response -> statuses.add(response.status()));
     }
     cluster.runUntil(cluster.scheduler.nowMicros + SECOND);
     assertEquals(List.of(200, 200, 400, 400, 400, 400), statuses.stream().sorted().toList());
     assertEquals(leader, cluster.leader());
     int starts = cluster.invariants.starts;
-    assertEverybodyServedAtEnd(cluster, "impossible heartbeats");
+    assertEveryJobServedAtEnd(cluster, "impossible heartbeats");
     assertTrue(cluster.invariants.starts > starts + 20, "nothing runs any more, seed 1");
   }
 
@@ -314,20 +318,21 @@
    */
   @ParameterizedTest(name = "leader {0}")
   @ValueSource(booleans = {false, true})
-  void anIsolatedControllerIsUnhealthyUntilReconnected(boolean leads) {
+  void isolatedControllerIsUnhealthyUntilReconnected(boolean leads) {
     SimulatedCluster cluster = clusterAfterOneMinute(1);
     String isolated = leads ? cluster.leader() : follower(cluster);
     cluster.isolateFromStoreAndPeers(isolated, false, 40 * SECOND);
-    assertEquals(200, cluster.statusOf(isolated, "/healthz", SECOND));
+    assertEquals(200, cluster.awaitStatus(isolated, "/healthz", SECOND));
     cluster.runUntil(70 * SECOND);
-    assertEquals(503, cluster.statusOf(isolated, "/healthz", SECOND));
-    for (String name : cluster.controllers()) {
-      assertTrue(name.equals(isolated) || cluster.statusOf(name, "/healthz", SECOND) == 200, name);
+    assertEquals(503, cluster.awaitStatus(isolated, "/healthz", SECOND));
+    for (String name : cluster.controllerNames()) {
+      assertTrue(
+          name.equals(isolated) || cluster.awaitStatus(name, "/healthz", SECOND) == 200, name);
     }
     // One request probes whether the store is back; those beside it don't wait for it.
     String job =
         cluster.users.submitted.stream()
-            .filter(one -> !cluster.invariants.finished(one))
+            .filter(id -> !cluster.invariants.isFinished(id))
             .findFirst()
             .orElseThrow();
     List<Integer> answers = new ArrayList<>();
@@ -338,8 +343,8 @@
     assertTrue(answers.size() >= 4, "only " + answers);
     assertEquals(Set.of(503), Set.copyOf(answers));
     cluster.runUntil(106 * SECOND);
-    assertEquals(200, cluster.statusOf(isolated, "/healthz", SECOND));
-    assertEquals(200, cluster.statusOf(isolated, "/v1/jobs/" + job, SECOND));
+    assertEquals(200, cluster.awaitStatus(isolated, "/healthz", SECOND));
+    assertEquals(200, cluster.awaitStatus(isolated, "/v1/jobs/" + job, SECOND));
   }
 
   /**
@@ -348,7 +353,7 @@
    * values and rates keep within their bounds, which the simulated services check.
    */
   @Test
-  void aHugeArrayCompletesBesideOrdinaryJobs() {
+  void hugeArrayCompletesWithOrdinaryJobs() {
     OperatorPolicy policy = SimPolicies.largeCluster(600, false);
     SimulatedCluster cluster = new SimulatedCluster(7, policy, SimulatedCluster.Size.LARGE);
     cluster.users.submitRandomJobs(4_000_000, 100 * SECOND);
@@ -369,7 +374,7 @@
     cluster.runUntil(260 * SECOND);
     cluster.invariants.checkAtEnd();
     cluster.assertNoViolations("huge array");
-    assertTrue(cluster.invariants.finished(huge.id()), "the huge array did not complete");
+    assertTrue(cluster.invariants.isFinished(huge.id()), "the huge array did not complete");
   }
 
   /**
@@ -378,7 +383,7 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2, 3, 5})
-  void machinesEmptiedByAnOutageAreKept(long seed) {
+  void machinesEmptiedByStoreOutageAreKept(long seed) {
     SimulatedCluster cluster = clusterAfterOneMinute(seed);
     List<SimWorker> rented =
         cluster.cloud.workers().stream().filter(worker -> !cluster.cloud.isOwned(worker)).toList();
@@ -388,7 +393,8 @@
     assertEquals(0, cluster.invariants.runningTasks(), "leases last longer than thought");
     cluster.runUntil(126 * SECOND);
     assertEquals(
-        List.of(), rented.stream().filter(SimWorker::gone).map(worker -> worker.id).toList());
-    assertEverybodyServedAtEnd(cluster, "store outage of a minute");
+        List.of(),
+        rented.stream().filter(SimWorker::isTerminated).map(worker -> worker.id).toList());
+    assertEveryJobServedAtEnd(cluster, "store outage of a minute");
   }
 }
--- a/src/test/java/madderrudder/sim/PlacementLog.java
+++ b/src/test/java/madderrudder/sim/PlacementLog.java
@@ -31,7 +31,7 @@
   }
 
   /** Reads the segments among the writes of a transaction. */
-  void read(List<JsonFields> writes) throws MalformedMessageException {
+  void applyWrites(List<JsonFields> writes) throws MalformedMessageException {
     boolean segmentWritten = false;
     for (JsonFields write : writes) {
       String key = write.text("write", "");
@@ -46,15 +46,16 @@
   }
 
   private void replay() {
-    Map<TaskId, String> before = Map.copyOf(placements);
+    Map<TaskId, String> previous = Map.copyOf(placements);
     placements.clear();
     for (LogSegment.Placement entry : LogState.of(segments.values()).placed()) {
-      String other = placements.put(entry.task(), entry.machine());
-      if (other != null) {
-        violations.add(entry.task() + " is named on " + other + " and on " + entry.machine());
+      String otherMachine = placements.put(entry.task(), entry.machine());
+      if (otherMachine != null) {
+        violations.add(
+            entry.task() + " is named on " + otherMachine + " and on " + entry.machine());
       }
       String holder =
-          entry.machine().equals(before.get(entry.task())) ? null : holderOf.apply(entry.task());
+          entry.machine().equals(previous.get(entry.task())) ? null : holderOf.apply(entry.task());
       if (holder != null && !holder.equals(entry.machine())) {
         violations.add(
             entry.task() + " is placed on " + entry.machine() + " while " + holder + " has it");
@@ -63,7 +64,7 @@
   }
 
   /** The tasks that the log places somewhere. */
-  Set<TaskId> tasks() {
+  Set<TaskId> placedTasks() {
     return placements.keySet();
   }
 
--- a/src/test/java/madderrudder/sim/RandomFaults.java
+++ b/src/test/java/madderrudder/sim/RandomFaults.java
@@ -28,85 +28,90 @@
 
   /** Injects one random fault, which lasts for half a minute at most. */
   void inject() {
-    long forMicros = SECOND * (2 + scheduler.random.nextLong(30));
+    long durationMicros = SECOND * (2 + scheduler.random.nextLong(30));
     boolean buffered = scheduler.chance(0.6);
-    String node = cluster.controllers().get(scheduler.random.nextInt(3));
+    String controller = cluster.controllerNames().get(scheduler.random.nextInt(3));
     List<SimWorker> workers = new ArrayList<>(cloud.workers());
     SimWorker worker =
         workers.isEmpty() ? null : workers.get(scheduler.random.nextInt(workers.size()));
     switch (scheduler.random.nextInt(40)) {
-      case 0 -> cluster.crash(node, 3 * SECOND);
+      case 0 -> cluster.crash(controller, 3 * SECOND);
       case 1 ->
           cluster
-              .controllers()
+              .controllerNames()
               .forEach(name -> cluster.crash(name, 2 * SECOND + scheduler.random.nextLong(SECOND)));
-      case 2 -> store.outage(forMicros);
-      case 3 -> store.refuse(node, forMicros);
-      case 4 -> network.partition(node, "store", buffered, forMicros);
-      case 5 -> cluster.partitionFromWorkers(node, buffered, forMicros);
+      case 2 -> store.outage(durationMicros);
+      case 3 -> store.refuse(controller, durationMicros);
+      case 4 -> network.partition(controller, "store", buffered, durationMicros);
+      case 5 -> cluster.partitionFromWorkers(controller, buffered, durationMicros);
       case 6 ->
           cluster
-              .controllers()
-              .forEach(other -> network.partition(node, other, buffered, forMicros));
-      case 7 -> cloud.outage(forMicros);
-      case 8 -> network.partition(node, "cloud", buffered, forMicros);
-      case 9 -> cluster.isolate(node, buffered, forMicros);
-      case 10 -> cluster.pause(node, forMicros);
-      case 11 -> cluster.partitionControllers(forMicros);
-      case 12 -> store.slowDown(30, forMicros);
+              .controllerNames()
+              .forEach(other -> network.partition(controller, other, buffered, durationMicros));
+      case 7 -> cloud.outage(durationMicros);
+      case 8 -> network.partition(controller, "cloud", buffered, durationMicros);
+      case 9 -> cluster.isolate(controller, buffered, durationMicros);
+      case 10 -> cluster.pause(controller, durationMicros);
+      case 11 -> cluster.partitionControllers(durationMicros);
+      case 12 -> store.slowDown(30, durationMicros);
       case 13 ->
           cluster.partitionZone(
-              cluster.deployment.zones().get(scheduler.random.nextInt(2)), buffered, forMicros);
+              cluster.deployment.zones().get(scheduler.random.nextInt(2)),
+              buffered,
+              durationMicros);
       // For longer than a lease or not; each controller restarts by itself, and may crash again
       // soon after.
       case 14 -> {
-        cluster.crashAll(forMicros, 2 * SECOND + scheduler.random.nextLong(30 * SECOND), SECOND);
+        cluster.crashAll(
+            durationMicros, 2 * SECOND + scheduler.random.nextLong(30 * SECOND), SECOND);
         scheduler.after(
-            forMicros + scheduler.random.nextLong(3 * SECOND),
-            () -> cluster.crash(cluster.controllers().get(0), 2 * SECOND));
+            durationMicros + scheduler.random.nextLong(3 * SECOND),
+            () -> cluster.crash(cluster.controllerNames().get(0), 2 * SECOND));
       }
       case 15 -> {
-        store.outage(forMicros);
+        store.outage(durationMicros);
         cluster.crashAll(
-            forMicros + scheduler.random.nextLong(2 * SECOND), forMicros / 2, forMicros / 3);
+            durationMicros + scheduler.random.nextLong(2 * SECOND),
+            durationMicros / 2,
+            durationMicros / 3);
       }
-      case 16 -> blockInboundOfSome(workers, forMicros);
-      case 17 -> network.duplicateMessages(forMicros, forMicros + 10 * SECOND);
-      case 18 -> cluster.isolateFromStoreAndPeers(node, buffered, forMicros);
-      case 19 -> cluster.flap(node);
-      case 20 -> cluster.controllers().forEach(cluster::flap);
-      case 21 -> users.pollMoreOften(8, forMicros);
+      case 16 -> blockInboundOfSome(workers, durationMicros);
+      case 17 -> network.duplicateMessages(durationMicros, durationMicros + 10 * SECOND);
+      case 18 -> cluster.isolateFromStoreAndPeers(controller, buffered, durationMicros);
+      case 19 -> cluster.flap(controller);
+      case 20 -> cluster.controllerNames().forEach(cluster::flap);
+      case 21 -> users.pollMoreOften(8, durationMicros);
       case 22 ->
-          cloud.slowBoots(
-              scheduler.chance(0.5) ? 0.6 : 0, scheduler.chance(0.5) ? 5 : 0.05, forMicros);
+          cloud.overrideBoots(
+              scheduler.chance(0.5) ? 0.6 : 0, scheduler.chance(0.5) ? 5 : 0.05, durationMicros);
       case 23 -> refuseLeaderThenAll();
-      case 24 -> store.delayCommits(0.3, forMicros);
-      case 25 -> network.delayHeartbeatCopies(0.4, forMicros, 40 * SECOND);
-      case 26 -> store.failRangeReads(forMicros / 2);
+      case 24 -> store.delayCommits(0.3, durationMicros);
+      case 25 -> network.delayHeartbeatCopies(0.4, durationMicros, 40 * SECOND);
+      case 26 -> store.failRangeReads(durationMicros / 2);
       case 27 ->
           workers.stream()
-              .filter(one -> scheduler.chance(0.3))
+              .filter(candidate -> scheduler.chance(0.3))
               .forEach(
-                  one ->
+                  candidate ->
                       network.partition(
                           cluster.leader(),
-                          one.id,
+                          candidate.id,
                           true,
                           SECOND + scheduler.random.nextLong(8 * SECOND)));
-      case 28 -> cluster.cancelAndHang(5, forMicros);
-      case 29 -> users.cancelAtCompletion(0.6, forMicros);
+      case 28 -> cluster.cancelJobsAndHangMachines(5, durationMicros);
+      case 29 -> users.cancelAtCompletion(0.6, durationMicros);
       case 30 ->
           workers.stream()
-              .filter(one -> scheduler.chance(0.3))
-              .forEach(one -> network.blockOutbound(one.id, forMicros));
-      case 31 -> users.sendInvalidRequests(forMicros);
-      case 32 -> users.pollClosely(forMicros);
-      case 33 -> store.loseReplies(0.3, forMicros);
-      case 34 -> cluster.replayHeartbeatsToNextLeader(0.4, forMicros, forMicros);
-      case 35 -> network.slowDown(150, forMicros);
+              .filter(candidate -> scheduler.chance(0.3))
+              .forEach(candidate -> network.blockOutbound(candidate.id, durationMicros));
+      case 31 -> users.sendInvalidRequests(durationMicros);
+      case 32 -> users.pollImmediately(durationMicros);
+      case 33 -> store.loseReplies(0.3, durationMicros);
+      case 34 -> cluster.replayHeartbeatsToNextLeader(0.4, durationMicros, durationMicros);
+      case 35 -> network.slowDown(150, durationMicros);
       default -> {
         if (worker != null) {
-          workerFault(worker, buffered, forMicros);
+          injectWorkerFault(worker, buffered, durationMicros);
         }
       }
     }
@@ -129,30 +134,30 @@
   }
 
   /** One machine, a tenth of them or a zone sends heartbeats, and nothing reaches it. */
-  private void blockInboundOfSome(List<SimWorker> workers, long forMicros) {
-    int which = scheduler.random.nextInt(3);
+  private void blockInboundOfSome(List<SimWorker> workers, long durationMicros) {
+    int scope = scheduler.random.nextInt(3);
     String zone = cluster.deployment.zones().get(scheduler.random.nextInt(2));
     for (SimWorker worker : workers) {
       boolean blocked =
-          switch (which) {
+          switch (scope) {
             case 0 -> worker == workers.get(0);
             case 1 -> scheduler.chance(0.1);
             default -> worker.zone.equals(zone);
           };
       if (blocked) {
-        network.blockInbound(worker.id, forMicros);
+        network.blockInbound(worker.id, durationMicros);
       }
     }
   }
 
-  private void workerFault(SimWorker worker, boolean buffered, long forMicros) {
+  private void injectWorkerFault(SimWorker worker, boolean buffered, long durationMicros) {
     switch (scheduler.random.nextInt(5)) {
       case 4 -> worker.restart(scheduler.chance(0.5));
-      case 0 -> worker.hang(forMicros);
+      case 0 -> worker.hang(durationMicros);
       case 1 ->
           cluster
-              .controllers()
-              .forEach(name -> network.partition(name, worker.id, buffered, forMicros));
+              .controllerNames()
+              .forEach(name -> network.partition(name, worker.id, buffered, durationMicros));
       case 2 -> {
         if (worker.spot) {
           worker.announceReclaim(8 * SECOND);
--- a/src/test/java/madderrudder/sim/RandomFaultsTest.java
+++ b/src/test/java/madderrudder/sim/RandomFaultsTest.java
@@ -20,10 +20,10 @@
   private static final long SECOND = SimulatedCluster.SECOND;
 
   /** The last faults last for half a minute. */
-  private static final long FAULTS_OVER = 250 * SECOND;
+  private static final long FAULTS_OVER_MICROS = 250 * SECOND;
 
-  private static final long CANCEL_AT = 340 * SECOND;
-  private static final long END = 460 * SECOND;
+  private static final long CANCEL_AT_MICROS = 340 * SECOND;
+  private static final long END_MICROS = 460 * SECOND;
 
   static LongStream seeds() {
     // In the last one a task was forgotten whose end was not yet recorded.
@@ -37,18 +37,18 @@
 
   @ParameterizedTest(name = "seed {0}")
   @MethodSource("seeds")
-  void invariantsHoldAndEveryJobEnds(long seed) {
+  void randomFaultsKeepInvariantsAndEveryJobEnds(long seed) {
     SimulatedCluster cluster = Scenarios.smallCluster(seed);
-    cluster.users.addGuestsAndFailingJobs();
+    cluster.users.enableGuestAndFailingJobs();
     cluster.users.retryUnknownCancellations();
     Scenarios.injectRandomFaults(cluster);
-    cluster.runUntil(FAULTS_OVER);
+    cluster.runUntil(FAULTS_OVER_MICROS);
     cluster.users.pollAllJobs();
     cluster.checkStarvationEverySecond();
-    cluster.runUntil(CANCEL_AT);
+    cluster.runUntil(CANCEL_AT_MICROS);
     cluster.invariants.checkAtEnd();
     cluster.users.cancelAll();
-    cluster.runUntil(END);
+    cluster.runUntil(END_MICROS);
     InvariantChecker invariants = cluster.invariants;
     cluster.assertNoViolations("random faults");
     assertTrue(invariants.starts > 50, "only " + invariants.starts + " starts, seed " + seed);
@@ -61,9 +61,9 @@
             + invariants.failingJobs.size()
             + " jobs that fail everywhere, seed "
             + seed);
-    List<String> open =
-        cluster.users.submitted.stream().filter(job -> !invariants.finished(job)).toList();
-    assertEquals(List.of(), open, "jobs that never ended, seed " + seed);
+    List<String> unfinished =
+        cluster.users.submitted.stream().filter(job -> !invariants.isFinished(job)).toList();
+    assertEquals(List.of(), unfinished, "jobs that never ended, seed " + seed);
   }
 
   /**
@@ -73,11 +73,11 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @MethodSource("largeSeeds")
-  void invariantsHoldInALargeCluster(long seed) {
+  void randomFaultsInLargeClusterKeepInvariants(long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(
             seed, SimPolicies.largeCluster(600, true), SimulatedCluster.Size.LARGE);
-    cluster.users.addGuestsAndFailingJobs();
+    cluster.users.enableGuestAndFailingJobs();
     cluster.users.retryUnknownCancellations();
     cluster.users.submitRandomJobs(2_000_000, 80 * SECOND);
     RandomFaults faults = new RandomFaults(cluster);
@@ -114,7 +114,7 @@
     for (long seed = 1; seed <= 4; seed++) {
       SimulatedCluster cluster = Scenarios.smallCluster(seed);
       Scenarios.injectRandomFaults(cluster);
-      cluster.runUntil(Scenarios.FAULTS_END);
+      cluster.runUntil(Scenarios.FAULTS_END_MICROS);
       cluster.assertNoViolations("gangs");
       started += cluster.invariants.gangs.started;
     }
--- a/src/test/java/madderrudder/sim/RateLimit.java
+++ b/src/test/java/madderrudder/sim/RateLimit.java
@@ -21,7 +21,7 @@
   }
 
   /** Takes the tokens of one request with so many writes, or none if there are too few. */
-  boolean allows(int writes, long nowMicros) {
+  boolean tryAcquire(int writes, long nowMicros) {
     double seconds = (nowMicros - refilledAtMicros) / 1e6;
     refilledAtMicros = nowMicros;
     requestTokens = Math.min(requestsPerSecond, requestTokens + seconds * requestsPerSecond);
--- a/src/test/java/madderrudder/sim/RunTimeLearningTest.java
+++ b/src/test/java/madderrudder/sim/RunTimeLearningTest.java
@@ -19,19 +19,20 @@
 class RunTimeLearningTest {
   private static final long SECOND = SimulatedCluster.SECOND;
 
-  private static SimulatedCluster cluster(long seed, SimulatedCluster.Size size) {
+  private static SimulatedCluster clusterWithLearning(long seed, SimulatedCluster.Size size) {
     OperatorPolicy policy = SimPolicies.largeCluster(600, true);
     SimulatedCluster cluster = new SimulatedCluster(seed, policy, size);
     cluster.users.submitRandomJobs(2_000_000, 200 * SECOND);
     return cluster;
   }
 
-  private static JsonFields learned(SimulatedCluster cluster) throws MalformedMessageException {
+  private static JsonFields runTimeMetrics(SimulatedCluster cluster)
+      throws MalformedMessageException {
     return cluster.query(cluster.leader(), "/metrics").object("run_times");
   }
 
-  private static long runs(SimulatedCluster cluster) throws MalformedMessageException {
-    JsonFields classes = learned(cluster).object("ratio_to_guess");
+  private static long learnedSweepRuns(SimulatedCluster cluster) throws MalformedMessageException {
+    JsonFields classes = runTimeMetrics(cluster).object("ratio_to_guess");
     return classes.has("sweep") ? classes.object("sweep").count("runs") : 0;
   }
 
@@ -43,16 +44,19 @@
   }
 
   @Test
-  void aNewLeaderKnowsWhatEarlierOnesLearned() throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(2, SimulatedCluster.Size.SMALL);
+  void newLeaderLoadsRunTimesOfEarlierLeaders() throws MalformedMessageException {
+    SimulatedCluster cluster = clusterWithLearning(2, SimulatedCluster.Size.SMALL);
     cluster.runUntil(120 * SECOND);
-    assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs learned");
-    long kinds = learned(cluster).count("kinds");
+    assertTrue(
+        learnedSweepRuns(cluster) >= 8, "only " + learnedSweepRuns(cluster) + " runs learned");
+    long kinds = runTimeMetrics(cluster).count("kinds");
     failOver(cluster, 128);
-    JsonFields after = learned(cluster);
+    JsonFields after = runTimeMetrics(cluster);
     assertTrue(
         after.count("learned") < 8, "already it has itself learned " + after.count("learned"));
-    assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs known after the failover");
+    assertTrue(
+        learnedSweepRuns(cluster) >= 8,
+        "only " + learnedSweepRuns(cluster) + " runs known after the failover");
     assertTrue(after.count("kinds") >= kinds / 2, after.count("kinds") + " kinds of " + kinds);
     cluster.assertNoViolations("failover");
   }
@@ -72,7 +76,7 @@
         "{\"d\":\"AQAAAAAAAAAAeJwDAAAAAAE=\"}"
       })
   void unreadableRunTimesAreIgnoredAtFailover(String value) throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(2, SimulatedCluster.Size.SMALL);
+    SimulatedCluster cluster = clusterWithLearning(2, SimulatedCluster.Size.SMALL);
     cluster.runUntil(100 * SECOND);
     String before = cluster.leader();
     cluster.crash(before, 200 * SECOND);
@@ -84,7 +88,7 @@
     int starts = cluster.invariants.starts;
     cluster.runUntil(200 * SECOND);
     assertTrue(cluster.invariants.starts > starts, "nothing starts any more");
-    assertTrue(learned(cluster).count("learned") > 0, "nothing is learned any more");
+    assertTrue(runTimeMetrics(cluster).count("learned") > 0, "nothing is learned any more");
     cluster.assertNoViolations("unreadable run times");
   }
 
@@ -93,8 +97,8 @@
    * of run times too.
    */
   @Test
-  void aReplacedLeaderWritesNoRunTimes() {
-    SimulatedCluster cluster = cluster(3, SimulatedCluster.Size.SMALL);
+  void replacedLeaderWritesNoRunTimes() {
+    SimulatedCluster cluster = clusterWithLearning(3, SimulatedCluster.Size.SMALL);
     for (int round = 0; round < 4; round++) {
       cluster.runUntil((50 + 35 * round) * SECOND);
       String before = cluster.leader();
@@ -111,8 +115,8 @@
 
   /** With about 400 machines, at most a hundredth of all writes are of run times. */
   @Test
-  void learningTakesFewWrites() throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(4, SimulatedCluster.Size.LARGE);
+  void runTimesTakeAtMostOnePercentOfWrites() throws MalformedMessageException {
+    SimulatedCluster cluster = clusterWithLearning(4, SimulatedCluster.Size.LARGE);
     cluster.runUntil(60 * SECOND);
     long written = cluster.store.writesApplied;
     long runTimes = cluster.store.runTimeWrites;
@@ -123,31 +127,31 @@
     assertTrue(
         100 * runTimes <= written, runTimes + " of " + written + " writes were of run times");
     assertTrue(
-        learned(cluster).count("learned") > 500,
-        "only " + learned(cluster).count("learned") + " runs learned");
+        runTimeMetrics(cluster).count("learned") > 500,
+        "only " + runTimeMetrics(cluster).count("learned") + " runs learned");
   }
 
   /** Operators collect what has run, a part a request. */
   @Test
-  void theHistoryOfRunsIsServedInParts() throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(5, SimulatedCluster.Size.LARGE);
+  void historyOfRunsIsServedInPages() throws MalformedMessageException {
+    SimulatedCluster cluster = clusterWithLearning(5, SimulatedCluster.Size.LARGE);
     cluster.runUntil(90 * SECOND);
     long next = 0;
     int runs = 0;
     while (true) {
-      JsonFields part = cluster.query(cluster.leader(), "/history/" + next);
-      assertEquals(0, part.count("missed"));
-      if (part.objects("runs").isEmpty()) {
+      JsonFields page = cluster.query(cluster.leader(), "/history/" + next);
+      assertEquals(0, page.count("missed"));
+      if (page.objects("runs").isEmpty()) {
         break;
       }
-      runs += part.objects("runs").size();
-      assertEquals(runs, part.count("next"));
-      next = part.count("next");
+      runs += page.objects("runs").size();
+      assertEquals(runs, page.count("next"));
+      next = page.count("next");
     }
     assertTrue(runs > 500, "only " + runs + " runs");
     String follower =
-        cluster.controllers().stream()
-            .filter(name -> !cluster.leads(name))
+        cluster.controllerNames().stream()
+            .filter(name -> !cluster.isLeader(name))
             .findFirst()
             .orElseThrow();
     assertTrue(cluster.query(follower, "/history/0").text("error").contains(cluster.leader()));
--- a/src/test/java/madderrudder/sim/Scenarios.java
+++ b/src/test/java/madderrudder/sim/Scenarios.java
@@ -5,20 +5,20 @@
 /** The beginnings that several tests share: a small cluster with random users. */
 final class Scenarios {
   /** Random faults and submissions end here; the last faults go on for half a minute. */
-  static final long FAULTS_END = 210 * SimulatedCluster.SECOND;
+  static final long FAULTS_END_MICROS = 210 * SimulatedCluster.SECOND;
 
   private Scenarios() {}
 
   /** A small cluster at its start, whose controllers believe in the given times of workers. */
-  static SimulatedCluster smallCluster(long seed, Deployment.WorkerTimes believed) {
+  static SimulatedCluster smallCluster(long seed, Deployment.WorkerTimes configured) {
     SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
             SimulatedCluster.defaultWorkerTimes(),
-            believed,
+            configured,
             SimPolicies.smallCluster(20, true, true),
             SimulatedCluster.Size.SMALL);
-    cluster.users.submitRandomJobs(3_000_000, FAULTS_END);
+    cluster.users.submitRandomJobs(3_000_000, FAULTS_END_MICROS);
     return cluster;
   }
 
@@ -30,7 +30,7 @@
   static void injectRandomFaults(SimulatedCluster cluster) {
     RandomFaults faults = new RandomFaults(cluster);
     for (long atMicros = 10 * SimulatedCluster.SECOND;
-        atMicros < FAULTS_END;
+        atMicros < FAULTS_END_MICROS;
         atMicros += SimulatedCluster.SECOND * (5 + cluster.scheduler.random.nextLong(20))) {
       cluster.scheduler.after(atMicros, faults::inject);
     }
@@ -63,7 +63,7 @@
             times,
             SimPolicies.smallCluster(20, delegation, false),
             SimulatedCluster.Size.SMALL);
-    cluster.users.submitRandomJobs(3_000_000, FAULTS_END);
+    cluster.users.submitRandomJobs(3_000_000, FAULTS_END_MICROS);
     cluster.runUntil(60 * SimulatedCluster.SECOND);
     return cluster;
   }
--- a/src/test/java/madderrudder/sim/SimCloud.java
+++ b/src/test/java/madderrudder/sim/SimCloud.java
@@ -20,7 +20,7 @@
  * that lags, and machines that boot slowly or never.
  */
 final class SimCloud implements HttpHandler {
-  private static final Map<String, Resources> TYPES =
+  private static final Map<String, Resources> CAPACITY_BY_TYPE =
       Map.of("small", Resources.of(4, 0, 16), "big", Resources.of(16, 0, 64));
 
   private static final double DEFAULT_BOOT_FAILURE_RATE = 0.05;
@@ -29,7 +29,7 @@
   private final SimNetwork network;
   private final InvariantChecker invariants;
   private final Deployment deployment;
-  private final Map<String, String> nodes;
+  private final Map<String, String> controllerAddresses;
 
   /** Machines to be had of each type, zone and purchase kind. */
   private final int capacityPerPool;
@@ -38,13 +38,13 @@
   private final Map<String, List<String>> rentalsByRequest = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
   private int machinesCreated;
-  private int owned;
+  private int ownedMachines;
 
   /** Machines that were returned and had never started a task. */
   int returnedUnused;
 
-  int calls;
-  private boolean down;
+  int requests;
+  private boolean unavailable;
   private double bootFailureRate = DEFAULT_BOOT_FAILURE_RATE;
   private double bootTimeFactor = 1;
 
@@ -71,38 +71,38 @@
       SimNetwork network,
       InvariantChecker invariants,
       Deployment deployment,
-      Map<String, String> nodes,
+      Map<String, String> controllerAddresses,
       int capacityPerPool) {
     this.capacityPerPool = capacityPerPool;
     this.scheduler = scheduler;
     this.network = network;
     this.invariants = invariants;
     this.deployment = deployment;
-    this.nodes = nodes;
+    this.controllerAddresses = controllerAddresses;
   }
 
-  void start(int owned) {
-    this.owned = owned;
-    for (int i = 0; i < owned; i++) {
-      boot(add(i % 2 == 0 ? "small" : "big", deployment.zones().get(i % 2), false));
+  void start(int ownedMachines) {
+    this.ownedMachines = ownedMachines;
+    for (int i = 0; i < ownedMachines; i++) {
+      completeBoot(addMachine(i % 2 == 0 ? "small" : "big", deployment.zones().get(i % 2), false));
     }
     snapshot();
   }
 
-  void outage(long forMicros) {
-    down = true;
-    scheduler.after(forMicros, () -> down = false);
+  void outage(long durationMicros) {
+    unavailable = true;
+    scheduler.after(durationMicros, () -> unavailable = false);
   }
 
   /**
    * For the time given, this share of rented machines never comes up, and the others take so many
    * times as long to boot.
    */
-  void slowBoots(double failureRate, double timeFactor, long forMicros) {
+  void overrideBoots(double failureRate, double timeFactor, long durationMicros) {
     bootFailureRate = failureRate;
     bootTimeFactor = timeFactor;
     scheduler.after(
-        forMicros,
+        durationMicros,
         () -> {
           bootFailureRate = DEFAULT_BOOT_FAILURE_RATE;
           bootTimeFactor = 1;
@@ -111,7 +111,7 @@
 
   /** Whether the machine was there from the start; such machines are never returned. */
   boolean isOwned(SimWorker worker) {
-    return worker.id.compareTo(String.format("m-%06d", owned)) < 0;
+    return worker.id.compareTo(String.format("m-%06d", ownedMachines)) < 0;
   }
 
   /** All machines ever created, with those that never came up. */
@@ -122,26 +122,26 @@
   List<SimWorker> workers() {
     return machines.values().stream()
         .map(m -> m.worker)
-        .filter(w -> w != null && !w.gone())
+        .filter(w -> w != null && !w.isTerminated())
         .toList();
   }
 
   /** The machine ends: the cloud reclaims it, or it dies. */
   void terminate(SimWorker worker) {
     network.stopServing(worker.address);
-    worker.vanish();
+    worker.terminate();
     if (worker.spot) {
       machines.remove(worker.id);
     }
   }
 
-  private Machine add(String type, String zone, boolean spot) {
+  private Machine addMachine(String type, String zone, boolean spot) {
     Machine machine = new Machine(String.format("m-%06d", machinesCreated++), type, zone, spot);
     machines.put(machine.id, machine);
     return machine;
   }
 
-  private void boot(Machine machine) {
+  private void completeBoot(Machine machine) {
     if (machines.get(machine.id) == machine) {
       machine.worker =
           new SimWorker(
@@ -157,8 +157,8 @@
               machine.type,
               machine.zone,
               machine.spot,
-              TYPES.get(machine.type),
-              nodes);
+              CAPACITY_BY_TYPE.get(machine.type),
+              controllerAddresses);
     }
   }
 
@@ -189,10 +189,12 @@
 
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> answer) {
-    calls++;
+    requests++;
     scheduler.after(
         80_000,
-        () -> answer.accept(down ? HttpResponse.of(503, Json.error("trouble")) : handle(request)));
+        () ->
+            answer.accept(
+                unavailable ? HttpResponse.of(503, Json.error("trouble")) : handle(request)));
   }
 
   private HttpResponse handle(HttpRequest request) {
@@ -220,13 +222,13 @@
 
   private HttpResponse list() {
     long lag = deployment.cloud().listLagMicros();
-    Snapshot best = snapshots.get(0);
+    Snapshot newestVisible = snapshots.get(0);
     for (Snapshot snapshot : snapshots) {
       if (snapshot.atMicros() <= scheduler.nowMicros - lag - scheduler.random.nextLong(lag)) {
-        best = snapshot;
+        newestVisible = snapshot;
       }
     }
-    return HttpResponse.of(200, best.body());
+    return HttpResponse.of(200, newestVisible.body());
   }
 
   private HttpResponse rent(JsonFields in) throws MalformedMessageException {
@@ -248,12 +250,12 @@
               .count();
       rented = new ArrayList<>();
       for (long i = existing; i < capacityPerPool && rented.size() < in.count("how_many"); i++) {
-        Machine machine = add(in.text("build"), in.text("berth"), in.flag("driftwood"));
+        Machine machine = addMachine(in.text("build"), in.text("berth"), in.flag("driftwood"));
         rented.add(machine.id);
         if (!scheduler.chance(bootFailureRate)) {
           scheduler.after(
               (long) (bootTimeFactor * (1_000_000 + scheduler.random.nextLong(15_000_000))),
-              () -> boot(machine));
+              () -> completeBoot(machine));
         }
       }
       if (rented.isEmpty()) {
@@ -279,7 +281,7 @@
         out -> {
           out.writeArrayFieldStart("builds");
           for (String type : List.of("small", "big")) {
-            Resources capacity = TYPES.get(type);
+            Resources capacity = CAPACITY_BY_TYPE.get(type);
             out.writeStartObject();
             out.writeStringField("label", type);
             out.writeNumberField("cores", capacity.milliCpus() / 1000.0);
--- a/src/test/java/madderrudder/sim/SimGangs.java
+++ b/src/test/java/madderrudder/sim/SimGangs.java
@@ -12,8 +12,8 @@
  * has it.
  */
 final class SimGangs {
-  private final Map<Gang, Map<Integer, Member>> gathered = new HashMap<>();
-  private final Set<Gang> running = new HashSet<>();
+  private final Map<Gang, Map<Integer, Member>> membersByGang = new HashMap<>();
+  private final Set<Gang> runningGangs = new HashSet<>();
   int started;
 
   /** One attempt of a gang. */
@@ -29,9 +29,9 @@
   }
 
   void join(Gang gang, int task, int tasks, Member member) {
-    Map<Integer, Member> members = gathered.computeIfAbsent(gang, g -> new TreeMap<>());
+    Map<Integer, Member> members = membersByGang.computeIfAbsent(gang, g -> new TreeMap<>());
     members.put(task, member);
-    if (members.size() == tasks && running.add(gang)) {
+    if (members.size() == tasks && runningGangs.add(gang)) {
       started++;
       List.copyOf(members.values()).forEach(Member::allGathered);
     }
@@ -39,16 +39,16 @@
 
   /** A task has left its machine; if the gang runs, the others will notice. */
   void leave(Gang gang, int task, Member member) {
-    Map<Integer, Member> members = gathered.getOrDefault(gang, new TreeMap<>());
-    if (members.remove(task, member) && running.remove(gang)) {
+    Map<Integer, Member> members = membersByGang.getOrDefault(gang, new TreeMap<>());
+    if (members.remove(task, member) && runningGangs.remove(gang)) {
       List.copyOf(members.values()).forEach(Member::peerLost);
     }
   }
 
   /** All tasks of a gang complete together, unless one has been lost. */
   void complete(Gang gang) {
-    if (running.remove(gang)) {
-      List.copyOf(gathered.remove(gang).values()).forEach(Member::completed);
+    if (runningGangs.remove(gang)) {
+      List.copyOf(membersByGang.remove(gang).values()).forEach(Member::completed);
     }
   }
 }
--- a/src/test/java/madderrudder/sim/SimNetwork.java
+++ b/src/test/java/madderrudder/sim/SimNetwork.java
@@ -37,7 +37,7 @@
   private final Set<String> outboundBlocked = new HashSet<>();
 
   /** Copies of heartbeats that wait for the next leader. */
-  private final List<Consumer<String>> captured = new ArrayList<>();
+  private final List<Consumer<String>> capturedHeartbeats = new ArrayList<>();
 
   private double captureRate;
   private int latencyFactor = 1;
@@ -84,54 +84,54 @@
     zones.put(host, zone);
   }
 
-  void partition(String a, String b, boolean buffered, long forMicros) {
-    partition(linkName(a, b), buffered, forMicros);
+  void partition(String a, String b, boolean buffered, long durationMicros) {
+    partition(linkName(a, b), buffered, durationMicros);
   }
 
   /**
    * Partitions a zone from everything else; what is in it, now or later, goes on talking inside.
    */
-  void partitionZone(String zone, boolean buffered, long forMicros) {
-    partition(zone, buffered, forMicros);
+  void partitionZone(String zone, boolean buffered, long durationMicros) {
+    partition(zone, buffered, durationMicros);
   }
 
   /** What the host sends arrives, and no reply and no message reaches it. */
-  void blockInbound(String host, long forMicros) {
+  void blockInbound(String host, long durationMicros) {
     if (inboundBlocked.add(host)) {
-      scheduler.after(forMicros, () -> inboundBlocked.remove(host));
+      scheduler.after(durationMicros, () -> inboundBlocked.remove(host));
     }
   }
 
   /** All links take so many times as long. */
-  void slowDown(int factor, long forMicros) {
+  void slowDown(int factor, long durationMicros) {
     latencyFactor = factor;
-    scheduler.after(forMicros, () -> latencyFactor = 1);
+    scheduler.after(durationMicros, () -> latencyFactor = 1);
   }
 
   /**
    * The machine reaches no controller, while direct commands reach it, and its replies to them come
    * back.
    */
-  void blockOutbound(String machine, long forMicros) {
+  void blockOutbound(String machine, long durationMicros) {
     if (outboundBlocked.add(machine)) {
-      scheduler.after(forMicros, () -> outboundBlocked.remove(machine));
+      scheduler.after(durationMicros, () -> outboundBlocked.remove(machine));
     }
   }
 
   /** Keeps a copy of this share of heartbeats until {@link #deliverCaptured}. */
-  void captureHeartbeats(double share, long forMicros) {
+  void captureHeartbeats(double share, long durationMicros) {
     captureRate = share;
-    scheduler.after(forMicros, () -> captureRate = 0);
+    scheduler.after(durationMicros, () -> captureRate = 0);
   }
 
   /** Delivers the captured copies to the address, if a controller is there; returns how many. */
   int deliverCaptured(String address) {
-    List.copyOf(captured).forEach(copy -> copy.accept(address));
-    return endpoints.containsKey(address) ? captured.size() : 0;
+    List.copyOf(capturedHeartbeats).forEach(copy -> copy.accept(address));
+    return endpoints.containsKey(address) ? capturedHeartbeats.size() : 0;
   }
 
   void discardCaptured() {
-    captured.clear();
+    capturedHeartbeats.clear();
   }
 
   /**
@@ -139,28 +139,28 @@
    * of a heartbeat to any controller, of everything else to its receiver. Replies to copies are
    * dropped.
    */
-  void duplicateMessages(long forMicros, long lateMicros) {
-    duplicatesUntilMicros = Math.max(duplicatesUntilMicros, scheduler.nowMicros + forMicros);
-    maxDuplicateDelayMicros = lateMicros;
+  void duplicateMessages(long durationMicros, long maxDelayMicros) {
+    duplicatesUntilMicros = Math.max(duplicatesUntilMicros, scheduler.nowMicros + durationMicros);
+    maxDuplicateDelayMicros = maxDelayMicros;
   }
 
   /**
    * Delivers a copy of this share of heartbeats to any controller, between two seconds and so long
    * later.
    */
-  void delayHeartbeatCopies(double share, long forMicros, long lateMicros) {
+  void delayHeartbeatCopies(double share, long durationMicros, long maxDelayMicros) {
     lateHeartbeatRate = share;
-    lateHeartbeatsUntilMicros = scheduler.nowMicros + forMicros;
-    maxHeartbeatDelayMicros = lateMicros;
+    lateHeartbeatsUntilMicros = scheduler.nowMicros + durationMicros;
+    maxHeartbeatDelayMicros = maxDelayMicros;
   }
 
-  private void deliverLateCopy(String from, HttpRequest report) {
+  private void deliverLateCopy(String from, HttpRequest heartbeat) {
     if (scheduler.nowMicros < lateHeartbeatsUntilMicros && scheduler.chance(lateHeartbeatRate)) {
       scheduler.after(
           2 * SimulatedCluster.SECOND + scheduler.random.nextLong(maxHeartbeatDelayMicros),
           () -> {
             lateHeartbeats++;
-            deliver(from, randomController(), report, response -> {});
+            deliver(from, randomController(), heartbeat, response -> {});
           });
     }
   }
@@ -171,11 +171,11 @@
     }
   }
 
-  private void partition(String key, boolean buffered, long forMicros) {
+  private void partition(String key, boolean buffered, long durationMicros) {
     Partition partition = new Partition(buffered);
     if (partitions.putIfAbsent(key, partition) == null) {
       scheduler.after(
-          forMicros,
+          durationMicros,
           () -> {
             partitions.remove(key);
             partition.messages.forEach(message -> scheduler.after(LATENCY_MICROS, message));
@@ -185,12 +185,12 @@
 
   private Partition partitionBetween(String from, String to) {
     Partition partition = partitions.get(linkName(from, to));
-    String one = zones.get(from);
-    String other = zones.get(to);
-    if (partition != null || Objects.equals(one, other)) {
+    String fromZone = zones.get(from);
+    String toZone = zones.get(to);
+    if (partition != null || Objects.equals(fromZone, toZone)) {
       return partition;
     }
-    return partitions.containsKey(one) ? partitions.get(one) : partitions.get(other);
+    return partitions.containsKey(fromZone) ? partitions.get(fromZone) : partitions.get(toZone);
   }
 
   /** Transmits one message, unless it is lost or a partition buffers it. */
@@ -212,11 +212,11 @@
   /** The HTTP client of a host. */
   HttpCaller clientOf(String from, Scheduler clock) {
     return (address, request, timeoutMicros, answer) -> {
-      boolean[] settled = new boolean[1];
+      boolean[] answered = new boolean[1];
       Consumer<HttpResponse> once =
           response -> {
-            if (!settled[0]) {
-              settled[0] = true;
+            if (!answered[0]) {
+              answered[0] = true;
               answer.accept(response);
             }
           };
@@ -241,7 +241,7 @@
       if (request.path().equals("/hello")) {
         deliverLateCopy(from, request);
         if (captureRate > 0 && scheduler.chance(captureRate)) {
-          captured.add(to -> deliver(from, to, request, response -> {}));
+          capturedHeartbeats.add(to -> deliver(from, to, request, response -> {}));
         }
       }
       duplicate(
@@ -255,23 +255,25 @@
   }
 
   private String randomController() {
-    List<String> controllers =
+    List<String> controllerAddresses =
         endpoints.keySet().stream()
             .filter(address -> address.startsWith("10.0."))
             .sorted()
             .toList();
-    return controllers.isEmpty()
+    return controllerAddresses.isEmpty()
         ? ""
-        : controllers.get(scheduler.random.nextInt(controllers.size()));
+        : controllerAddresses.get(scheduler.random.nextInt(controllerAddresses.size()));
   }
 
   private void deliver(
-      String from, String address, HttpRequest request, Consumer<HttpResponse> back) {
+      String from, String address, HttpRequest request, Consumer<HttpResponse> onResponse) {
     Endpoint target = endpoints.get(address);
     if (target != null) {
       target
           .handler()
-          .handle(request, response -> transmit(target.host(), from, () -> back.accept(response)));
+          .handle(
+              request,
+              response -> transmit(target.host(), from, () -> onResponse.accept(response)));
     }
   }
 
--- a/src/test/java/madderrudder/sim/SimScheduler.java
+++ b/src/test/java/madderrudder/sim/SimScheduler.java
@@ -68,30 +68,30 @@
      * Pauses the process while its clocks run on; what was due meanwhile follows at once
      * afterwards, in its order.
      */
-    void pause(long forMicros) {
+    void pause(long durationMicros) {
       boolean paused = nowMicros < pausedUntilMicros;
-      pausedUntilMicros = Math.max(pausedUntilMicros, nowMicros + forMicros);
+      pausedUntilMicros = Math.max(pausedUntilMicros, nowMicros + durationMicros);
       if (!paused) {
-        resumeLater();
+        scheduleResume();
       }
     }
 
-    private void resumeLater() {
+    private void scheduleResume() {
       SimScheduler.this.after(
           pausedUntilMicros - nowMicros,
           () -> {
             if (nowMicros < pausedUntilMicros) {
-              resumeLater();
+              scheduleResume();
               return;
             }
             List<Runnable> waiting = List.copyOf(deferred);
             deferred.clear();
-            waiting.forEach(this::whenAwake);
+            waiting.forEach(this::runOrDefer);
           });
     }
 
     /** Runs the action as the process: later if it is paused, never if it has ended. */
-    void whenAwake(Runnable action) {
+    void runOrDefer(Runnable action) {
       if (ended) {
         return;
       }
@@ -118,7 +118,7 @@
       SimScheduler.this.after(
           (long) Math.ceil(delayMicros / rate),
           () -> {
-            whenAwake(
+            runOrDefer(
                 () -> {
                   if (!cancelled[0]) {
                     action.run();
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -31,11 +31,11 @@
   private final RateLimit rateLimit;
   private final int maxWrites;
   private final int maxValueBytes;
-  private final TreeMap<String, Entry> keys = new TreeMap<>();
-  private final List<Event> log = new ArrayList<>();
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final List<Event> eventLog = new ArrayList<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Runnable> watches = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> refusedHosts = new HashSet<>();
   final List<String> violations = new ArrayList<>();
 
   /** Where the log of placements has each task. */
@@ -43,7 +43,7 @@
 
   private long revision = 100;
   private long nextLease = 1;
-  private boolean down;
+  private boolean unavailable;
   long requests;
   long writesApplied;
   long runTimeWrites;
@@ -75,12 +75,12 @@
     maxValueBytes = limits.valueBytes();
   }
 
-  void outage(long forMicros) {
-    down = true;
+  void outage(long durationMicros) {
+    unavailable = true;
     scheduler.after(
-        forMicros,
+        durationMicros,
         () -> {
-          down = false;
+          unavailable = false;
           leases
               .values()
               .forEach(lease -> lease.expiresMicros = scheduler.nowMicros + lease.durationMicros);
@@ -89,30 +89,30 @@
   }
 
   /** All requests take so many times as long. */
-  void slowDown(int factor, long forMicros) {
+  void slowDown(int factor, long durationMicros) {
     latencyFactor = factor;
-    scheduler.after(forMicros, () -> latencyFactor = 1);
+    scheduler.after(durationMicros, () -> latencyFactor = 1);
   }
 
   /** Range reads get 429, while all else is served. */
-  void failRangeReads(long forMicros) {
+  void failRangeReads(long durationMicros) {
     rangeReadsFail = true;
-    scheduler.after(forMicros, () -> rangeReadsFail = false);
+    scheduler.after(durationMicros, () -> rangeReadsFail = false);
   }
 
   /**
    * Delays this share of transactions: they get no reply, and are applied 2 to 12 s later, after
    * newer ones.
    */
-  void delayCommits(double share, long forMicros) {
+  void delayCommits(double share, long durationMicros) {
     delayedCommitRate = share;
-    scheduler.after(forMicros, () -> delayedCommitRate = 0);
+    scheduler.after(durationMicros, () -> delayedCommitRate = 0);
   }
 
   /** Applies this share of transactions at once and drops their reply. */
-  void loseReplies(double share, long forMicros) {
+  void loseReplies(double share, long durationMicros) {
     lostReplyRate = share;
-    scheduler.after(forMicros, () -> lostReplyRate = 0);
+    scheduler.after(durationMicros, () -> lostReplyRate = 0);
   }
 
   private void commitLater(JsonFields transaction) {
@@ -120,7 +120,7 @@
         2 * SimulatedCluster.SECOND + scheduler.random.nextLong(10 * SimulatedCluster.SECOND),
         () -> {
           expireLeases();
-          if (down) {
+          if (unavailable) {
             commitLater(transaction);
             return;
           }
@@ -132,9 +132,9 @@
         });
   }
 
-  void refuse(String host, long forMicros) {
-    refused.add(host);
-    scheduler.after(forMicros, () -> refused.remove(host));
+  void refuse(String host, long durationMicros) {
+    refusedHosts.add(host);
+    scheduler.after(durationMicros, () -> refusedHosts.remove(host));
   }
 
   HttpHandler endpointFor(String host) {
@@ -152,11 +152,11 @@
       String path = request.path();
       int writes =
           path.equals("/commit") ? Json.readObject(request.body()).objects("writes").size() : 0;
-      if (!rateLimit.allows(writes, scheduler.nowMicros)) {
+      if (!rateLimit.tryAcquire(writes, scheduler.nowMicros)) {
         answer.accept(HttpResponse.of(429, Json.error("too many")));
       } else if (path.equals("/follow")) {
         watch(host, query(request), answer, scheduler.nowMicros);
-      } else if (down || refused.contains(host)) {
+      } else if (unavailable || refusedHosts.contains(host)) {
         answer.accept(HttpResponse.of(503, Json.error("trouble")));
       } else if (path.equals("/commit")
           && delayedCommitRate > 0
@@ -210,7 +210,7 @@
   }
 
   private void expireLeases() {
-    if (!down) {
+    if (!unavailable) {
       List.copyOf(leases.entrySet()).stream()
           .filter(lease -> lease.getValue().expiresMicros <= scheduler.nowMicros)
           .forEach(lease -> endLease(lease.getKey()));
@@ -219,30 +219,30 @@
 
   private void endLease(long lease) {
     leases.remove(lease);
-    List<String> attached =
-        keys.entrySet().stream()
+    List<String> attachedKeys =
+        entries.entrySet().stream()
             .filter(e -> e.getValue().lease() == lease)
             .map(Map.Entry::getKey)
             .toList();
-    if (!attached.isEmpty()) {
+    if (!attachedKeys.isEmpty()) {
       revision++;
-      attached.forEach(key -> put(key, null, 0));
+      attachedKeys.forEach(key -> put(key, null, 0));
       notifyWatches();
     }
   }
 
   private void put(String key, byte[] data, long lease) {
     if (data == null) {
-      keys.remove(key);
+      entries.remove(key);
     } else {
-      keys.put(key, new Entry(data, revision, lease));
+      entries.put(key, new Entry(data, revision, lease));
     }
-    log.add(new Event(key, data, revision));
+    eventLog.add(new Event(key, data, revision));
   }
 
   /** Overwrites all values under the prefix with the data; returns how many. */
   int corrupt(String prefix, byte[] data) {
-    List<String> damaged = keys.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
+    List<String> damaged = entries.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
     damaged.forEach(key -> put(key, data, 0));
     return damaged.size();
   }
@@ -259,23 +259,23 @@
         return;
       }
     }
-    List<String> failed = new ArrayList<>();
+    List<String> failedConditions = new ArrayList<>();
     boolean conditionalOnTerm = false;
     for (JsonFields condition : in.objects("when")) {
       conditionalOnTerm |= condition.text("path").equals(Keys.TERM);
-      Entry entry = keys.get(condition.text("path"));
+      Entry entry = entries.get(condition.text("path"));
       if ((entry == null ? 0 : entry.version()) != condition.count("entry")) {
-        failed.add(condition.text("path"));
+        failedConditions.add(condition.text("path"));
       }
     }
-    if (!failed.isEmpty()) {
+    if (!failedConditions.isEmpty()) {
       answer.accept(
           HttpResponse.of(
               409,
               Json.object(
                   out -> {
                     out.writeArrayFieldStart("failed");
-                    for (String key : failed) {
+                    for (String key : failedConditions) {
                       out.writeString(key);
                     }
                     out.writeEndArray();
@@ -284,7 +284,7 @@
       return;
     }
     revision++;
-    placementLog.read(writes);
+    placementLog.applyWrites(writes);
     for (JsonFields write : writes) {
       String key = write.text(write.has("drop") ? "drop" : "write");
       if (key.startsWith(Keys.RUN_TIMES)) {
@@ -294,9 +294,9 @@
         }
       }
       writesApplied++;
-      if ((key.startsWith(Keys.FINISHED) && keys.containsKey(key))
+      if ((key.startsWith(Keys.FINISHED) && entries.containsKey(key))
           || (key.startsWith(Keys.LIVE)
-              && keys.containsKey(Keys.FINISHED + key.substring(Keys.LIVE.length()))
+              && entries.containsKey(Keys.FINISHED + key.substring(Keys.LIVE.length()))
               && !write.has("drop"))) {
         violations.add(key + " is written again after its end");
       }
@@ -319,7 +319,7 @@
    */
   boolean recordsDone(TaskId task) {
     int chunk = task.index() / JobRecords.CHUNK;
-    Entry progress = keys.get("p/" + task.job() + "/" + chunk);
+    Entry progress = entries.get("p/" + task.job() + "/" + chunk);
     BitSet completed = new BitSet();
     try {
       if (progress != null) {
@@ -328,11 +328,11 @@
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
-    return completed.get(task.index()) || !keys.containsKey("l/" + task.job());
+    return completed.get(task.index()) || !entries.containsKey("l/" + task.job());
   }
 
   private void read(String key, Consumer<HttpResponse> answer) {
-    Entry entry = keys.get(key);
+    Entry entry = entries.get(key);
     if (entry == null) {
       answer.accept(
           HttpResponse.of(404, Json.object(out -> out.writeNumberField("logline", revision))));
@@ -350,20 +350,20 @@
 
   private void range(Map<String, String> query, Consumer<HttpResponse> answer) {
     String prefix = query.get("under");
-    int most = Math.min(7, Integer.parseInt(query.get("most")));
+    int limit = Math.min(7, Integer.parseInt(query.get("most")));
     List<Map.Entry<String, Entry>> rows =
-        keys
+        entries
             .tailMap(query.getOrDefault("since", prefix), !query.containsKey("since"))
             .entrySet()
             .stream()
             .filter(e -> e.getKey().startsWith(prefix))
-            .limit(most + 1)
+            .limit(limit + 1)
             .toList();
     answer.accept(
         ok(
             out -> {
               out.writeArrayFieldStart("rows");
-              for (var row : rows.subList(0, Math.min(most, rows.size()))) {
+              for (var row : rows.subList(0, Math.min(limit, rows.size()))) {
                 out.writeStartObject();
                 out.writeStringField("path", row.getKey());
                 out.writeFieldName("data");
@@ -372,7 +372,7 @@
                 out.writeEndObject();
               }
               out.writeEndArray();
-              out.writeBooleanField("more", rows.size() > most);
+              out.writeBooleanField("more", rows.size() > limit);
               out.writeNumberField("logline", revision);
             }));
   }
@@ -385,11 +385,13 @@
     boolean[] answered = new boolean[1];
     Runnable deliver =
         () -> {
-          if (answered[0] || down || refused.contains(host)) {
+          if (answered[0] || unavailable || refusedHosts.contains(host)) {
             return;
           }
           List<Event> events =
-              log.stream().filter(e -> e.revision() > since && e.key().startsWith(prefix)).toList();
+              eventLog.stream()
+                  .filter(e -> e.revision() > since && e.key().startsWith(prefix))
+                  .toList();
           if (events.isEmpty() && scheduler.nowMicros < expiresMicros) {
             return;
           }
@@ -428,8 +430,8 @@
   }
 
   /** Expires leases even while nobody calls. */
-  void tick() {
+  void expireLeasesPeriodically() {
     expireLeases();
-    scheduler.after(50_000, this::tick);
+    scheduler.after(50_000, this::expireLeasesPeriodically);
   }
 }
--- a/src/test/java/madderrudder/sim/SimTask.java
+++ b/src/test/java/madderrudder/sim/SimTask.java
@@ -16,7 +16,7 @@
   String exitReason;
 
   /** Its place in its gang, or null. */
-  SimGangs.Member member;
+  SimGangs.Member gangMember;
 
   SimTask(TaskId id, long attempt, Resources demand) {
     this.id = id;
--- a/src/test/java/madderrudder/sim/SimUsers.java
+++ b/src/test/java/madderrudder/sim/SimUsers.java
@@ -24,31 +24,31 @@
  * each time through any controller. What they are answered goes to the {@link InvariantChecker}.
  */
 final class SimUsers {
-  private static final long POLL_MICROS = 3_000_000;
-  private static final long RETRY_MICROS = 1_200_000;
-  private static final long POLL_ALL_MICROS = 10_000_000;
-  private static final List<Priority> ORDINARY_PRIORITIES =
+  private static final long POLL_INTERVAL_MICROS = 3_000_000;
+  private static final long RETRY_DELAY_MICROS = 1_200_000;
+  private static final long POLL_ALL_INTERVAL_MICROS = 10_000_000;
+  private static final List<Priority> BATCH_PRIORITIES =
       List.of(Priority.HIGH, Priority.NORMAL, Priority.LOW);
-  static final String GUEST = "duende";
+  static final String GUEST_TEAM = "duende";
 
   /** The job class of each kind of job. */
-  static final Map<JobKind, String> CLASSES =
+  static final Map<JobKind, String> JOB_CLASSES =
       Map.of(JobKind.SERVICE, "desk", JobKind.GANG, "train", JobKind.ARRAY, "sweep");
 
   private final SimScheduler scheduler;
   private final InvariantChecker invariants;
   private final Deployment deployment;
-  private final HttpCaller calls;
+  private final HttpCaller httpCaller;
   private final SimScheduler.HostClock clock;
-  private final List<String> nodes;
+  private final List<String> controllerAddresses;
   private final int maxTasks;
   final List<String> submitted = new ArrayList<>();
-  private boolean guestsAndFailures;
-  private boolean retriesUnknown;
-  private long pollMicros = POLL_MICROS;
+  private boolean guestAndFailingJobsEnabled;
+  private boolean retriesUnknownCancellations;
+  private long pollIntervalMicros = POLL_INTERVAL_MICROS;
   private int jobCount;
-  private double cancelAtCompletion;
-  private long closePollsUntilMicros;
+  private double cancelAtCompletionRate;
+  private long immediatePollsUntilMicros;
 
   /**
    * Jobs cancelled at the moment at which their last task ended; polls within milliseconds of a
@@ -56,7 +56,7 @@
    */
   int cancelledAtCompletion;
 
-  int closePolls;
+  int immediatePolls;
   int invalidRequests;
 
   SimUsers(
@@ -64,17 +64,17 @@
       SimNetwork network,
       InvariantChecker invariants,
       Deployment deployment,
-      Map<String, String> nodes,
+      Map<String, String> controllerAddresses,
       int maxTasks) {
     this.maxTasks = maxTasks;
     this.scheduler = scheduler;
     this.invariants = invariants;
     this.deployment = deployment;
-    this.nodes = List.copyOf(nodes.values());
+    this.controllerAddresses = List.copyOf(controllerAddresses.values());
     clock = scheduler.new HostClock(1, 0);
-    calls = network.clientOf("users", clock);
+    httpCaller = network.clientOf("users", clock);
     invariants.onJobCompleted = this::onCompletion;
-    invariants.onJobNews = this::pollClosely;
+    invariants.onStateConfirmed = this::pollImmediately;
   }
 
   void submitRandomJobs(long everyMicros, long untilMicros) {
@@ -84,7 +84,7 @@
           if (scheduler.nowMicros < untilMicros) {
             JobSpec job = randomJob();
             invariants.jobSubmitted(job);
-            if (guestsAndFailures && scheduler.chance(0.06)) {
+            if (guestAndFailingJobsEnabled && scheduler.chance(0.06)) {
               invariants.failingJobs.add(job.id());
               clock.after(
                   30_000_000 + scheduler.random.nextLong(90_000_000), () -> cancel(job.id()));
@@ -110,7 +110,7 @@
   /** Cancels all jobs that have not ended, and goes on until the cancellation is confirmed. */
   void cancelAll() {
     retryUnknownCancellations();
-    submitted.stream().filter(job -> !invariants.finished(job)).forEach(this::cancel);
+    submitted.stream().filter(job -> !invariants.isFinished(job)).forEach(this::cancel);
   }
 
   /**
@@ -124,17 +124,17 @@
   }
 
   /** Like {@link #cancelRunning}, but each at a random moment within a fifth of a second. */
-  List<String> cancelRunningSoon(int max) {
+  List<String> cancelRunningStaggered(int max) {
     List<String> cancelled = runningJobs(max);
     cancelled.forEach(job -> clock.after(scheduler.random.nextLong(200_000), () -> cancel(job)));
     return cancelled;
   }
 
   /** Like {@link #cancelRunning}, but through the controller named. */
-  void cancelRunningAt(String node, int max) {
+  void cancelRunningThrough(String address, int max) {
     runningJobs(max)
         .forEach(
-            job -> cancel(job, "10.0.0." + (1 + Integer.parseInt(node.substring(5))) + ":8080"));
+            job -> cancel(job, "10.0.0." + (1 + Integer.parseInt(address.substring(5))) + ":8080"));
   }
 
   private List<String> runningJobs(int max) {
@@ -143,7 +143,7 @@
             job ->
                 invariants.isLive(job)
                     && invariants.heldTasks().stream().anyMatch(task -> task.job().equals(job)))
-        .sorted(Comparator.comparing(job -> invariants.spec(job).kind() != JobKind.SERVICE))
+        .sorted(Comparator.comparing(job -> invariants.specOf(job).kind() != JobKind.SERVICE))
         .limit(max)
         .toList();
   }
@@ -152,19 +152,19 @@
    * For the time given, this share of the jobs that end is cancelled, submitted again and polled
    * around the moment of the end.
    */
-  void cancelAtCompletion(double share, long forMicros) {
-    cancelAtCompletion = share;
-    clock.after(forMicros, () -> cancelAtCompletion = 0);
+  void cancelAtCompletion(double share, long durationMicros) {
+    cancelAtCompletionRate = share;
+    clock.after(durationMicros, () -> cancelAtCompletionRate = 0);
   }
 
   private void onCompletion(String job) {
-    if (cancelAtCompletion > 0 && scheduler.chance(cancelAtCompletion)) {
+    if (cancelAtCompletionRate > 0 && scheduler.chance(cancelAtCompletionRate)) {
       cancelledAtCompletion++;
-      for (String node : nodes) {
-        long around = scheduler.random.nextLong(700_000);
-        clock.after(around, () -> cancel(job, node));
-        clock.after(around + scheduler.random.nextLong(60_000), () -> query(job, node));
-        clock.after(scheduler.random.nextLong(700_000), () -> submitOnce(job, node));
+      for (String address : controllerAddresses) {
+        long delayMicros = scheduler.random.nextLong(700_000);
+        clock.after(delayMicros, () -> cancel(job, address));
+        clock.after(delayMicros + scheduler.random.nextLong(60_000), () -> query(job, address));
+        clock.after(scheduler.random.nextLong(700_000), () -> resubmit(job, address));
       }
     }
   }
@@ -173,20 +173,20 @@
    * For the time given, whatever a user is answered is polled through every controller again within
    * milliseconds, and submitted again; some of it is cancelled.
    */
-  void pollClosely(long forMicros) {
-    closePollsUntilMicros = scheduler.nowMicros + forMicros;
+  void pollImmediately(long durationMicros) {
+    immediatePollsUntilMicros = scheduler.nowMicros + durationMicros;
   }
 
-  private void pollClosely(String job) {
-    if (scheduler.nowMicros >= closePollsUntilMicros) {
+  private void pollImmediately(String job) {
+    if (scheduler.nowMicros >= immediatePollsUntilMicros) {
       return;
     }
-    for (String node : nodes) {
-      for (int look = 0; look < 3; look++) {
-        closePolls++;
-        clock.after(scheduler.random.nextLong(40_000), () -> query(job, node));
+    for (String address : controllerAddresses) {
+      for (int i = 0; i < 3; i++) {
+        immediatePolls++;
+        clock.after(scheduler.random.nextLong(40_000), () -> query(job, address));
       }
-      clock.after(scheduler.random.nextLong(40_000), () -> submitOnce(job, node));
+      clock.after(scheduler.random.nextLong(40_000), () -> resubmit(job, address));
     }
     if (scheduler.chance(0.15)) {
       clock.after(scheduler.random.nextLong(40_000), () -> cancel(job));
@@ -197,25 +197,25 @@
    * For the time given, users submit again what has not ended, cancel what is done, and send jobs
    * that fit no machine, lack a field or have an invalid one.
    */
-  void sendInvalidRequests(long forMicros) {
-    long untilMicros = scheduler.nowMicros + forMicros;
+  void sendInvalidRequests(long durationMicros) {
+    long untilMicros = scheduler.nowMicros + durationMicros;
     clock.after(
         200_000,
         () -> {
-          String known = submitted.get(scheduler.random.nextInt(submitted.size()));
-          if (invariants.isLive(known)) {
-            submitOnce(known, anyNode());
-          } else if (invariants.finished(known)) {
-            cancel(known);
+          String job = submitted.get(scheduler.random.nextInt(submitted.size()));
+          if (invariants.isLive(job)) {
+            resubmit(job, randomControllerAddress());
+          } else if (invariants.isFinished(job)) {
+            cancel(job);
           }
-          submitInvalid();
+          submitInvalidJob();
           if (scheduler.nowMicros < untilMicros) {
             sendInvalidRequests(untilMicros - scheduler.nowMicros);
           }
         });
   }
 
-  private void submitInvalid() {
+  private void submitInvalidJob() {
     invalidRequests++;
     JobSpec job = randomJob();
     String id = "req-" + (800_000_000 + invalidRequests);
@@ -223,9 +223,9 @@
         new String(Json.object(out -> JobCodec.write(out, job)), StandardCharsets.UTF_8)
             .replace(job.id(), id);
     String invalid = InvalidJobs.from(valid, scheduler.random);
-    String node = anyNode();
-    calls.call(
-        node,
+    String address = randomControllerAddress();
+    httpCaller.call(
+        address,
         HttpRequest.post("/v1/jobs", invalid.getBytes(StandardCharsets.UTF_8)),
         5_000_000,
         response -> {
@@ -238,25 +238,25 @@
    * From now on a team without a guaranteed quota has jobs too, and some jobs fail on every
    * machine.
    */
-  void addGuestsAndFailingJobs() {
-    guestsAndFailures = true;
+  void enableGuestAndFailingJobs() {
+    guestAndFailingJobsEnabled = true;
   }
 
   /** From now on users cancel again until it is confirmed, also if the job was unknown at first. */
   void retryUnknownCancellations() {
-    retriesUnknown = true;
+    retriesUnknownCancellations = true;
   }
 
   /** All users poll so many times as often for a while. */
-  void pollMoreOften(int factor, long forMicros) {
-    pollMicros = POLL_MICROS / factor;
-    clock.after(forMicros, () -> pollMicros = POLL_MICROS);
+  void pollMoreOften(int factor, long durationMicros) {
+    pollIntervalMicros = POLL_INTERVAL_MICROS / factor;
+    clock.after(durationMicros, () -> pollIntervalMicros = POLL_INTERVAL_MICROS);
   }
 
   /** From now on all jobs are polled, again and again, also those that have ended. */
   void pollAllJobs() {
     submitted.forEach(this::query);
-    clock.after(POLL_ALL_MICROS, this::pollAllJobs);
+    clock.after(POLL_ALL_INTERVAL_MICROS, this::pollAllJobs);
   }
 
   /** Submits one more job besides the random ones. */
@@ -275,17 +275,17 @@
         };
     List<String> teams =
         deployment.teams().keySet().stream()
-            .filter(team -> guestsAndFailures || !team.equals(GUEST))
+            .filter(team -> guestAndFailingJobsEnabled || !team.equals(GUEST_TEAM))
             .toList();
     Priority priority =
         kind == JobKind.SERVICE
             ? Priority.PRODUCTION
-            : ORDINARY_PRIORITIES.get(scheduler.random.nextInt(ORDINARY_PRIORITIES.size()));
+            : BATCH_PRIORITIES.get(scheduler.random.nextInt(BATCH_PRIORITIES.size()));
     // A gang's task may take all of a small machine.
     double cpus = kind == JobKind.GANG ? 4 : 1 + scheduler.random.nextInt(4);
     return new JobSpec(
         String.format("req-%06d", jobCount++),
-        CLASSES.get(kind),
+        JOB_CLASSES.get(kind),
         teams.get(scheduler.random.nextInt(teams.size())),
         kind,
         priority,
@@ -312,34 +312,37 @@
     };
   }
 
-  private String anyNode() {
-    return nodes.get(scheduler.random.nextInt(nodes.size()));
+  private String randomControllerAddress() {
+    return controllerAddresses.get(scheduler.random.nextInt(controllerAddresses.size()));
   }
 
-  private void call(HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer) {
-    calls.call(anyNode(), request, timeoutMicros, answer);
+  private void callRandomController(
+      HttpRequest request, long timeoutMicros, Consumer<HttpResponse> answer) {
+    httpCaller.call(randomControllerAddress(), request, timeoutMicros, answer);
   }
 
   /** Submits once more what was submitted before. */
-  private void submitOnce(String job, String node) {
-    byte[] body = Json.object(out -> JobCodec.write(out, invariants.spec(job)));
-    long askedMicros = scheduler.nowMicros;
-    calls.call(
-        node,
+  private void resubmit(String job, String address) {
+    byte[] body = Json.object(out -> JobCodec.write(out, invariants.specOf(job)));
+    long requestedAtMicros = scheduler.nowMicros;
+    httpCaller.call(
+        address,
         HttpRequest.post("/v1/jobs", body),
         5_000_000,
         response ->
-            invariants.jobAnswered(job, response.status(), state(response), true, askedMicros));
+            invariants.jobAnswered(
+                job, response.status(), stateIn(response), true, requestedAtMicros));
   }
 
   private void submit(JobSpec job) {
     byte[] body = Json.object(out -> JobCodec.write(out, job));
-    long askedMicros = scheduler.nowMicros;
-    call(
+    long requestedAtMicros = scheduler.nowMicros;
+    callRandomController(
         HttpRequest.post("/v1/jobs", body),
         5_000_000,
         response -> {
-          invariants.jobAnswered(job.id(), response.status(), state(response), true, askedMicros);
+          invariants.jobAnswered(
+              job.id(), response.status(), stateIn(response), true, requestedAtMicros);
           if (response.status() == 200 || response.status() == 201) {
             if (scheduler.chance(0.2)) {
               clock.after(scheduler.random.nextLong(90_000_000), () -> submit(job));
@@ -347,7 +350,7 @@
               poll(job.id());
             }
           } else {
-            clock.after(RETRY_MICROS, () -> submit(job));
+            clock.after(RETRY_DELAY_MICROS, () -> submit(job));
           }
         });
   }
@@ -355,47 +358,48 @@
   private void poll(String job) {
     query(job);
     // Goes on for a while after the end, since the end must stay what it was.
-    if (!invariants.finished(job) || scheduler.chance(0.7)) {
-      clock.after(pollMicros, () -> poll(job));
+    if (!invariants.isFinished(job) || scheduler.chance(0.7)) {
+      clock.after(pollIntervalMicros, () -> poll(job));
     }
   }
 
   private void query(String job) {
-    query(job, anyNode());
+    query(job, randomControllerAddress());
   }
 
-  private void query(String job, String node) {
-    long askedMicros = scheduler.nowMicros;
-    calls.call(
-        node,
+  private void query(String job, String address) {
+    long requestedAtMicros = scheduler.nowMicros;
+    httpCaller.call(
+        address,
         HttpRequest.get("/v1/jobs/" + job),
         2_000_000,
         response ->
-            invariants.jobAnswered(job, response.status(), state(response), false, askedMicros));
+            invariants.jobAnswered(
+                job, response.status(), stateIn(response), false, requestedAtMicros));
   }
 
   void cancel(String job) {
-    cancel(job, anyNode());
+    cancel(job, randomControllerAddress());
   }
 
-  private void cancel(String job, String node) {
+  private void cancel(String job, String address) {
     invariants.cancellationRequested(job);
-    long askedMicros = scheduler.nowMicros;
-    calls.call(
-        node,
+    long requestedAtMicros = scheduler.nowMicros;
+    httpCaller.call(
+        address,
         HttpRequest.post("/v1/jobs/" + job + "/withdraw", new byte[0]),
         5_000_000,
         response -> {
           // Before its submission got through, a job is rightly unknown.
           if (response.status() == 200) {
-            invariants.jobAnswered(job, 200, state(response), false, askedMicros);
-          } else if (response.status() != 404 || retriesUnknown) {
-            clock.after(RETRY_MICROS, () -> cancel(job));
+            invariants.jobAnswered(job, 200, stateIn(response), false, requestedAtMicros);
+          } else if (response.status() != 404 || retriesUnknownCancellations) {
+            clock.after(RETRY_DELAY_MICROS, () -> cancel(job));
           }
         });
   }
 
-  private static String state(HttpResponse response) {
+  private static String stateIn(HttpResponse response) {
     try {
       JsonFields in =
           response.status() == 200 || response.status() == 201
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -40,12 +40,12 @@
   final boolean spot;
   private final SimScheduler scheduler;
   private final SimScheduler.HostClock clock;
-  private final HttpCaller calls;
+  private final HttpCaller httpCaller;
   private final InvariantChecker invariants;
   private final Deployment.WorkerTimes times;
   private final Resources capacity;
-  private final Map<String, String> addresses;
-  private final List<String> controllers;
+  private final Map<String, String> controllerAddresses;
+  private final List<String> controllerNames;
   private final Map<String, SimTask> tasks = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
   private final List<Runnable> deferred = new ArrayList<>();
@@ -53,14 +53,14 @@
   int answeredHeartbeats;
   private long epoch = 1;
   private long sequence;
-  private long token;
+  private long fencingToken;
   private int controllerIndex;
-  private Scheduler.Timer next;
-  private boolean inFlight;
-  private boolean reportPending;
-  private boolean gone;
+  private Scheduler.Timer nextHeartbeat;
+  private boolean heartbeatInFlight;
+  private boolean earlyHeartbeatRequested;
+  private boolean terminated;
   private boolean hanging;
-  private long lastAnsweredSentMicros;
+  private long leaseStartMicros;
   private long reclaimAtMicros = -1;
 
   SimWorker(
@@ -74,7 +74,7 @@
       String zone,
       boolean spot,
       Resources capacity,
-      Map<String, String> addresses) {
+      Map<String, String> controllerAddresses) {
     this.scheduler = scheduler;
     this.invariants = invariants;
     this.times = times;
@@ -84,76 +84,76 @@
     this.zone = zone;
     this.spot = spot;
     this.capacity = capacity;
-    this.addresses = addresses;
-    controllers = List.copyOf(addresses.keySet());
-    clock = scheduler.new HostClock(SimulatedCluster.clockRate(scheduler), 0);
-    calls = network.clientOf(id, clock);
-    controllerIndex = scheduler.random.nextInt(controllers.size());
+    this.controllerAddresses = controllerAddresses;
+    controllerNames = List.copyOf(controllerAddresses.keySet());
+    clock = scheduler.new HostClock(SimulatedCluster.randomClockRate(scheduler), 0);
+    httpCaller = network.clientOf(id, clock);
+    controllerIndex = scheduler.random.nextInt(controllerNames.size());
     network.setZone(id, zone);
     network.serve(address, id, this);
-    lastAnsweredSentMicros = clock.nowMicros();
-    reportAfter(scheduler.random.nextLong(times.reportMicros()));
-    watchLease();
+    leaseStartMicros = clock.nowMicros();
+    scheduleHeartbeat(scheduler.random.nextLong(times.reportMicros()));
+    checkLeasePeriodically();
   }
 
-  private void watchLease() {
+  private void checkLeasePeriodically() {
     clock.after(
         100_000,
         () -> {
           expireLease();
-          watchLease();
+          checkLeasePeriodically();
         });
   }
 
   private void expireLease() {
     // A machine that hangs does not run its tasks either, and may go on only within its lease.
     if (leaseExpired()) {
-      tasks.values().forEach(this::leaveMachine);
+      tasks.values().forEach(this::notifyTaskRemoved);
       tasks.clear();
       epoch++;
-      lastAnsweredSentMicros = clock.nowMicros();
-      reportSoon();
+      leaseStartMicros = clock.nowMicros();
+      requestEarlyHeartbeat();
     }
   }
 
   /** The machine and everything on it is gone. */
-  void vanish() {
-    gone = true;
+  void terminate() {
+    terminated = true;
     clock.ended = true;
-    tasks.values().forEach(this::leaveMachine);
+    tasks.values().forEach(this::notifyTaskRemoved);
     tasks.clear();
   }
 
   /** The machine restarts and loses all that is on it, in its old epoch or in the next. */
-  void restart(boolean newSession) {
-    tasks.values().forEach(this::leaveMachine);
+  void restart(boolean startsNewEpoch) {
+    tasks.values().forEach(this::notifyTaskRemoved);
     tasks.clear();
     deferred.clear();
-    inFlight = false;
-    if (newSession) {
+    heartbeatInFlight = false;
+    if (startsNewEpoch) {
       epoch++;
     }
-    lastAnsweredSentMicros = newSession ? clock.nowMicros() : lastAnsweredSentMicros;
-    reportSoon();
+    leaseStartMicros = startsNewEpoch ? clock.nowMicros() : leaseStartMicros;
+    requestEarlyHeartbeat();
   }
 
-  boolean gone() {
-    return gone;
+  boolean isTerminated() {
+    return terminated;
   }
 
   void announceReclaim(long inMicros) {
     reclaimAtMicros = clock.nowMicros() + inMicros;
-    reportSoon();
+    requestEarlyHeartbeat();
   }
 
   /** Hangs for a while; what arrives meanwhile is handled afterwards. */
-  void hang(long forMicros) {
+  void hang(long durationMicros) {
     hanging = true;
     scheduler.after(
-        forMicros,
+        durationMicros,
         () -> {
           hanging = false;
-          if (!gone) {
+          if (!terminated) {
             expireLease();
             List<Runnable> waiting = List.copyOf(deferred);
             deferred.clear();
@@ -162,17 +162,17 @@
         });
   }
 
-  private Scheduler.Timer afterAwake(long delayMicros, Runnable action) {
-    return clock.after(delayMicros, () -> whenAwake(action));
+  private Scheduler.Timer schedule(long delayMicros, Runnable action) {
+    return clock.after(delayMicros, () -> runOrDefer(action));
   }
 
   /** Runs the action, later if the machine hangs, never if it is gone. */
-  private void whenAwake(Runnable action) {
-    if (gone) {
+  private void runOrDefer(Runnable action) {
+    if (terminated) {
       return;
     }
     if (hanging) {
-      deferred.add(() -> whenAwake(action));
+      deferred.add(() -> runOrDefer(action));
     } else {
       action.run();
     }
@@ -192,63 +192,63 @@
    * noticed yet.
    */
   boolean leaseExpired() {
-    return gone || clock.nowMicros() - lastAnsweredSentMicros > times.leaseMicros();
+    return terminated || clock.nowMicros() - leaseStartMicros > times.leaseMicros();
   }
 
-  long token() {
-    return token;
+  long fencingToken() {
+    return fencingToken;
   }
 
   long epoch() {
     return epoch;
   }
 
-  private void leaveMachine(SimTask task) {
+  private void notifyTaskRemoved(SimTask task) {
     invariants.taskRemoved(task.id, this);
     if (task.state.equals("running") || task.state.equals("gathering")) {
       invariants.taskExited(task.id, this);
     }
-    if (task.member != null) {
+    if (task.gangMember != null) {
       invariants.gangs.leave(
-          new SimGangs.Gang(task.id.job(), task.attempt), task.id.index(), task.member);
+          new SimGangs.Gang(task.id.job(), task.attempt), task.id.index(), task.gangMember);
     }
   }
 
-  private void reportSoon() {
-    if (!reportPending) {
-      reportPending = true;
-      reportAfter(500_000);
+  private void requestEarlyHeartbeat() {
+    if (!earlyHeartbeatRequested) {
+      earlyHeartbeatRequested = true;
+      scheduleHeartbeat(500_000);
     }
   }
 
-  private void reportAfter(long delayMicros) {
-    if (next != null) {
-      next.cancel();
+  private void scheduleHeartbeat(long delayMicros) {
+    if (nextHeartbeat != null) {
+      nextHeartbeat.cancel();
     }
-    next = afterAwake(delayMicros, this::report);
+    nextHeartbeat = schedule(delayMicros, this::sendHeartbeat);
   }
 
-  private void report() {
-    if (inFlight || gone) {
+  private void sendHeartbeat() {
+    if (heartbeatInFlight || terminated) {
       return;
     }
     if (hanging) {
-      deferred.add(this::report);
+      deferred.add(this::sendHeartbeat);
       return;
     }
-    inFlight = true;
-    reportPending = false;
+    heartbeatInFlight = true;
+    earlyHeartbeatRequested = false;
     long sentMicros = clock.nowMicros();
     long sentEpoch = epoch;
-    calls.call(
-        addresses.get(controllers.get(controllerIndex)),
-        HttpRequest.post("/hello", body()),
+    httpCaller.call(
+        controllerAddresses.get(controllerNames.get(controllerIndex)),
+        HttpRequest.post("/hello", nextHeartbeatBody()),
         REPLY_TIMEOUT_MICROS,
-        response -> whenAwake(() -> onReply(response, sentMicros, sentEpoch)));
+        response -> runOrDefer(() -> onReply(response, sentMicros, sentEpoch)));
   }
 
   private void onReply(HttpResponse response, long sentMicros, long sentEpoch) {
-    inFlight = false;
+    heartbeatInFlight = false;
     long nextMicros = (long) (times.reportMicros() * (0.75 + scheduler.random.nextDouble() / 2));
     try {
       boolean inTime = clock.nowMicros() - sentMicros <= REPLY_TIMEOUT_MICROS;
@@ -257,33 +257,35 @@
           () -> "an answer of " + response.body().length + " bytes");
       if (inTime && response.status() == 200) {
         JsonFields in = Json.readObject(response.body());
-        long given = in.count("helm", 0);
-        if (given >= token && sentEpoch == epoch) {
-          token = given;
-          lastAnsweredSentMicros = sentMicros;
+        long replyToken = in.count("helm", 0);
+        if (replyToken >= fencingToken && sentEpoch == epoch) {
+          fencingToken = replyToken;
+          leaseStartMicros = sentMicros;
           answeredHeartbeats++;
           execute(in.objects("orders"));
         }
       } else if (inTime && response.status() == 421) {
-        String harbor = Json.readObject(response.body()).text("harbor", "");
-        int named = controllers.indexOf(harbor);
+        String leaderName = Json.readObject(response.body()).text("harbor", "");
+        int namedIndex = controllerNames.indexOf(leaderName);
         nextMicros =
-            named >= 0 && named != controllerIndex ? scheduler.random.nextLong(500_000) : 1_000_000;
+            namedIndex >= 0 && namedIndex != controllerIndex
+                ? scheduler.random.nextLong(500_000)
+                : 1_000_000;
         controllerIndex =
-            named >= 0 && named != controllerIndex
-                ? named
-                : (controllerIndex + 1) % controllers.size();
+            namedIndex >= 0 && namedIndex != controllerIndex
+                ? namedIndex
+                : (controllerIndex + 1) % controllerNames.size();
       } else {
-        controllerIndex = (controllerIndex + 1) % controllers.size();
+        controllerIndex = (controllerIndex + 1) % controllerNames.size();
         nextMicros = 1_000_000;
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError("a worker got nonsense", e);
     }
-    reportAfter(reportPending ? Math.min(nextMicros, 500_000) : nextMicros);
+    scheduleHeartbeat(earlyHeartbeatRequested ? Math.min(nextMicros, 500_000) : nextMicros);
   }
 
-  private byte[] body() {
+  private byte[] nextHeartbeatBody() {
     sequence++;
     byte[] body =
         Json.object(
@@ -295,7 +297,7 @@
               out.writeBooleanField("driftwood", spot);
               out.writeNumberField("watch", epoch);
               out.writeNumberField("knot", sequence);
-              out.writeNumberField("helm", token);
+              out.writeNumberField("helm", fencingToken);
               if (reclaimAtMicros >= 0) {
                 out.writeNumberField(
                     "recall_s", Math.max(0, reclaimAtMicros - clock.nowMicros()) / 1e6);
@@ -317,31 +319,31 @@
 
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> answer) {
-    whenAwake(
+    runOrDefer(
         () -> {
           try {
             expireLease();
             JsonFields in = Json.readObject(request.body());
-            boolean fits = in.count("helm") >= token && in.count("watch") == epoch;
-            if (fits) {
-              token = in.count("helm");
+            boolean isCurrent = in.count("helm") >= fencingToken && in.count("watch") == epoch;
+            if (isCurrent) {
+              fencingToken = in.count("helm");
               execute(in.objects("orders"));
             }
-            answer.accept(HttpResponse.of(fits ? 200 : 409, body()));
+            answer.accept(HttpResponse.of(isCurrent ? 200 : 409, nextHeartbeatBody()));
           } catch (MalformedMessageException e) {
             throw new AssertionError("a worker got nonsense", e);
           }
         });
   }
 
-  private void execute(List<JsonFields> orders) throws MalformedMessageException {
-    for (JsonFields order : orders) {
-      String key = order.text("stroke") + "@" + order.count("launch");
-      SimTask task = tasks.get(key);
-      switch (order.text("order")) {
+  private void execute(List<JsonFields> commands) throws MalformedMessageException {
+    for (JsonFields command : commands) {
+      String attemptKey = command.text("stroke") + "@" + command.count("launch");
+      SimTask task = tasks.get(attemptKey);
+      switch (command.text("order")) {
         case "start" -> {
           if (task == null) {
-            start(key, TaskId.parse(order.text("stroke")), order.count("launch"));
+            start(attemptKey, TaskId.parse(command.text("stroke")), command.count("launch"));
           }
         }
         case "stop" -> {
@@ -353,74 +355,74 @@
         default -> {
           if (task != null && !task.active()) {
             if (task.exitReason.equals("done")) {
-              invariants.taskForgotten(task.id, this);
+              invariants.taskRecordDropped(task.id, this);
             }
-            tasks.remove(key);
+            tasks.remove(attemptKey);
           }
         }
       }
     }
   }
 
-  private void start(String key, TaskId id, long attempt) {
-    JobSpec job = invariants.spec(id.job());
+  private void start(String attemptKey, TaskId id, long attempt) {
+    JobSpec job = invariants.specOf(id.job());
     SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.perTask());
     if (job == null) {
       // Nobody has submitted it, as far as the users' uploads tell.
       task.state = "ended";
       task.exitReason = "unknown";
-      tasks.put(key, task);
-      reportSoon();
+      tasks.put(attemptKey, task);
+      requestEarlyHeartbeat();
       return;
     }
     Resources free = free();
     boolean busy = tasks.values().stream().anyMatch(other -> other.active() && other.id.equals(id));
-    tasks.put(key, task);
+    tasks.put(attemptKey, task);
     if (busy || !task.demand.fits(free)) {
       task.state = "ended";
       task.exitReason = busy ? "busy" : "no_room";
       invariants.rejectedStarts++;
-      reportSoon();
+      requestEarlyHeartbeat();
       return;
     }
     invariants.taskReceived(id, this);
     long fetchMicros =
         images.contains(job.image()) ? 1_000 : 500_000 + scheduler.random.nextLong(5_000_000);
-    afterAwake(fetchMicros, () -> imageFetched(task, job));
+    schedule(fetchMicros, () -> imageFetched(task, job));
   }
 
   private void imageFetched(SimTask task, JobSpec job) {
-    if (!isIn(task, "fetching")) {
+    if (!isHeldInState(task, "fetching")) {
       return;
     }
     images.add(job.image());
     starts++;
     invariants.taskStarted(task.id, this);
     task.state = job.kind() == JobKind.GANG ? "gathering" : "running";
-    reportSoon();
+    requestEarlyHeartbeat();
     if (invariants.failingJobs.contains(job.id())) {
       invariants.failedAttempts++;
       exit(task, "error");
     } else if (invariants.isCompleted(task.id)) {
       exit(task, "done");
     } else if (job.kind() == JobKind.GANG) {
-      gather(task, job);
+      joinGang(task, job);
     } else if (job.kind() != JobKind.SERVICE) {
       int steps = invariants.staggeredJobs.contains(job.id()) ? 1 + 3 * task.id.index() : 1;
       long runMicros =
           (long) (steps * job.estimateMicros() * (0.5 + scheduler.random.nextDouble()));
-      afterAwake(
+      schedule(
           runMicros,
           () -> {
-            if (isIn(task, "running")) {
-              endRun(task);
+            if (isHeldInState(task, "running")) {
+              finishRun(task);
             }
           });
     }
   }
 
   /** A few runs fail; each must then run again. */
-  private void endRun(SimTask task) {
+  private void finishRun(SimTask task) {
     if (scheduler.chance(0.03)) {
       exit(task, "error");
     } else {
@@ -430,26 +432,26 @@
   }
 
   /** Whether the task is still here and in the state. */
-  private boolean isIn(SimTask task, String state) {
+  private boolean isHeldInState(SimTask task, String state) {
     return task.state.equals(state) && tasks.containsValue(task);
   }
 
-  private void gather(SimTask task, JobSpec job) {
+  private void joinGang(SimTask task, JobSpec job) {
     SimGangs.Gang gang = new SimGangs.Gang(job.id(), task.attempt);
-    task.member =
+    task.gangMember =
         new SimGangs.Member() {
           @Override
           public void allGathered() {
             task.state = "running";
-            reportSoon();
+            requestEarlyHeartbeat();
             if (task.id.index() == 0) {
               invariants.jobStarted(job.id());
               long runMicros =
                   (long) (job.estimateMicros() * (0.5 + scheduler.random.nextDouble()));
-              afterAwake(
+              schedule(
                   runMicros,
                   () -> {
-                    if (isIn(task, "running")) {
+                    if (isHeldInState(task, "running")) {
                       invariants.gangs.complete(gang);
                     }
                   });
@@ -458,7 +460,7 @@
 
           @Override
           public void peerLost() {
-            afterAwake(
+            schedule(
                 scheduler.random.nextLong(times.gangPeerMicros()),
                 () -> {
                   if (task.active() && tasks.containsValue(task)) {
@@ -473,20 +475,20 @@
             exit(task, "done");
           }
         };
-    afterAwake(
+    schedule(
         times.gangWaitMicros(),
         () -> {
-          if (isIn(task, "gathering")) {
+          if (isHeldInState(task, "gathering")) {
             exit(task, "alone");
           }
         });
-    invariants.gangs.join(gang, task.id.index(), job.tasks(), task.member);
+    invariants.gangs.join(gang, task.id.index(), job.tasks(), task.gangMember);
   }
 
   private void exit(SimTask task, String exitReason) {
-    leaveMachine(task);
+    notifyTaskRemoved(task);
     task.state = "ended";
     task.exitReason = exitReason;
-    reportSoon();
+    requestEarlyHeartbeat();
   }
 }
