--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -56,11 +56,11 @@
   final Deployment deployment;
 
   /** What the controllers' settings say; tests of the checker have it differ. */
-  private final Deployment believedDeployment;
+  private final Deployment configuredDeployment;
 
   private final long seed;
   private final OperatorPolicy policy;
-  private final Map<String, String> addresses = new LinkedHashMap<>();
+  private final Map<String, String> controllerAddresses = new LinkedHashMap<>();
   private final Map<String, ControllerProcess> processes = new LinkedHashMap<>();
 
   final HeartbeatReplay heartbeatReplay = new HeartbeatReplay(this);
@@ -105,19 +105,19 @@
 
   /**
    * @param workers the times that the workers keep
-   * @param believed the times that the controllers take them to keep
+   * @param configured the times that the controllers take them to keep
    */
   SimulatedCluster(
       long seed,
       Deployment.WorkerTimes workers,
-      Deployment.WorkerTimes believed,
+      Deployment.WorkerTimes configured,
       OperatorPolicy policy,
       Size size) {
     this.seed = seed;
     this.policy = policy;
     scheduler = new SimScheduler(seed);
     deployment = deployment(workers, size);
-    believedDeployment = deployment(believed, size);
+    configuredDeployment = deployment(configured, size);
     network = new SimNetwork(scheduler, MESSAGE_LOSS);
     invariants = new InvariantChecker(scheduler, deployment);
     store = new SimStore(scheduler, deployment.state());
@@ -125,15 +125,23 @@
     invariants.recordsDone = store::recordsDone;
     store.placementLog.holderOf = invariants::holderOf;
     for (int i = 0; i < 3; i++) {
-      addresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
+      controllerAddresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
     }
     cloud =
-        new SimCloud(scheduler, network, invariants, deployment, addresses, size.capacityPerPool());
-    users = new SimUsers(scheduler, network, invariants, deployment, addresses, size.maxTasks());
+        new SimCloud(
+            scheduler,
+            network,
+            invariants,
+            deployment,
+            controllerAddresses,
+            size.capacityPerPool());
+    users =
+        new SimUsers(
+            scheduler, network, invariants, deployment, controllerAddresses, size.maxTasks());
     network.serve("10.2.0.2:1", "cloud", cloud);
-    store.tick();
+    store.expireLeasesPeriodically();
     cloud.start(size.ownedMachines());
-    controllers().forEach(this::start);
+    controllerNames().forEach(this::start);
   }
 
   private static Deployment deployment(Deployment.WorkerTimes times, Size size) {
@@ -155,14 +163,14 @@
     for (String name : List.of("alto", "basso", "canto")) {
       teams.put(name, new TeamQuota(name, Resources.of(size.guaranteedCpus(), 0, 0), limit));
     }
-    teams.put(SimUsers.GUEST, new TeamQuota(SimUsers.GUEST, Resources.NONE, limit));
+    teams.put(SimUsers.GUEST_TEAM, new TeamQuota(SimUsers.GUEST_TEAM, Resources.NONE, limit));
     return teams;
   }
 
   private static ServiceLevelObjectives objectives() {
     Map<String, Long> startWithin = new HashMap<>();
     Map<String, List<Long>> endWithin = new HashMap<>();
-    for (String name : SimUsers.CLASSES.values()) {
+    for (String name : SimUsers.JOB_CLASSES.values()) {
       startWithin.put(name, SECOND);
       endWithin.put(name, List.of(60 * SECOND));
     }
@@ -175,66 +183,66 @@
   }
 
   /** Each two of the values, once. */
-  static <T> Stream<List<T>> pairs(T[] all) {
+  static <T> Stream<List<T>> allPairs(T[] all) {
     return IntStream.range(0, all.length)
         .boxed()
         .flatMap(i -> IntStream.range(i + 1, all.length).mapToObj(j -> List.of(all[i], all[j])));
   }
 
-  List<String> controllers() {
-    return List.copyOf(addresses.keySet());
+  List<String> controllerNames() {
+    return List.copyOf(controllerAddresses.keySet());
   }
 
   /** Where the controller serves users and workers. */
   String addressOf(String name) {
-    return addresses.get(name);
+    return controllerAddresses.get(name);
   }
 
-  private Map<String, String> peersOf(String name) {
-    Map<String, String> peers = new LinkedHashMap<>(addresses);
+  private Map<String, String> peerAddressesOf(String name) {
+    Map<String, String> peers = new LinkedHashMap<>(controllerAddresses);
     peers.remove(name);
     return peers;
   }
 
   void start(String name) {
     SimScheduler.HostClock clock =
-        scheduler.new HostClock(clockRate(scheduler), scheduler.random.nextLong(500_000));
+        scheduler.new HostClock(randomClockRate(scheduler), scheduler.random.nextLong(500_000));
     // Each controller has its own address of the store, so that it alone can be refused.
-    String storeAddress = "10.2.1." + (controllers().indexOf(name) + 1) + ":1";
+    String storeAddress = "10.2.1." + (controllerNames().indexOf(name) + 1) + ":1";
     network.serve(storeAddress, "store", store.endpointFor(name));
     network.setZone(name, zoneOf(name));
     PlatformSettings settings =
         new PlatformSettings(
             name,
             zoneOf(name),
-            addresses.get(name),
+            controllerAddresses.get(name),
             "10.0.0.9:1",
-            peersOf(name),
+            peerAddressesOf(name),
             "10.2.0.2:1",
             storeAddress,
-            believedDeployment,
+            configuredDeployment,
             1000);
     ControllerNode node =
         new ControllerNode(
             clock,
             network.clientOf(name, clock),
-            peersFor(name),
+            peerMessengerOf(name),
             scheduler.random.split(),
             settings,
             policy);
     processes.put(name, new ControllerProcess(node, clock));
     network.serve(
-        addresses.get(name),
+        controllerAddresses.get(name),
         name,
-        (request, answer) -> clock.whenAwake(() -> node.handle(request, answer)));
+        (request, answer) -> clock.runOrDefer(() -> node.handle(request, answer)));
     node.start();
   }
 
-  private PeerMessenger peersFor(String name) {
+  private PeerMessenger peerMessengerOf(String name) {
     return new PeerMessenger() {
       @Override
       public void broadcast(ByteBuffer frame) {
-        controllers().stream()
+        controllerNames().stream()
             .filter(other -> !other.equals(name))
             .forEach(other -> send(other, frame));
       }
@@ -249,14 +257,14 @@
   }
 
   /** The rate of a clock: wrong by 0.05 % at most, and often by just that. */
-  static double clockRate(SimScheduler scheduler) {
+  static double randomClockRate(SimScheduler scheduler) {
     double off = scheduler.random.nextInt(3) - 1;
     return 1 + 0.0005 * (off == 0 ? 2 * scheduler.random.nextDouble() - 1 : off);
   }
 
   /** Every other controller is in the second zone. */
   String zoneOf(String name) {
-    return deployment.zones().get(controllers().indexOf(name) % 2);
+    return deployment.zones().get(controllerNames().indexOf(name) % 2);
   }
 
   private void receive(String name, byte[] bytes) {
@@ -264,11 +272,11 @@
     if (target != null) {
       // The length prefix is read by the transport.
       ByteBuffer body = ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice();
-      target.clock().whenAwake(() -> target.node().receive(body));
+      target.clock().runOrDefer(() -> target.node().receive(body));
     }
   }
 
-  boolean leads(String name) {
+  boolean isLeader(String name) {
     return processes.containsKey(name) && processes.get(name).node().leads();
   }
 
@@ -300,12 +308,12 @@
   }
 
   /** The highest term that a controller knows of. */
-  long term() {
-    return controllers().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
+  long highestTerm() {
+    return controllerNames().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
   }
 
   /** The workers of a zone that run tasks, with their epochs. */
-  Map<SimWorker, Long> busyEpochs(String zone) {
+  Map<SimWorker, Long> epochsOfBusyWorkers(String zone) {
     Map<SimWorker, Long> epochs = new LinkedHashMap<>();
     cloud.workers().stream()
         .filter(worker -> worker.zone.equals(zone) && invariants.tasksOn(worker) > 0)
@@ -315,7 +323,10 @@
 
   /** The controller that leads, or the first one if none does. */
   String leader() {
-    return controllers().stream().filter(this::leads).findFirst().orElse(controllers().get(0));
+    return controllerNames().stream()
+        .filter(this::isLeader)
+        .findFirst()
+        .orElse(controllerNames().get(0));
   }
 
   /**
@@ -323,7 +334,7 @@
    * one that was delayed for long; its reply is dropped.
    */
   void deliverLateHeartbeat(
-      String node, SimWorker worker, long epoch, long sequence, boolean exits) {
+      String name, SimWorker worker, long epoch, long sequence, boolean tasksFailed) {
     HttpRequest heartbeat =
         HttpRequest.post(
             "/hello",
@@ -334,93 +345,93 @@
                   out.writeStringField("berth", worker.zone);
                   out.writeNumberField("watch", epoch);
                   out.writeNumberField("knot", sequence);
-                  out.writeNumberField("helm", worker.token());
+                  out.writeNumberField("helm", worker.fencingToken());
                   out.writeArrayFieldStart("strokes");
-                  if (exits) {
+                  if (tasksFailed) {
                     worker.writeTasks(out, true);
                   }
                   out.writeEndArray();
                 }));
     network
         .clientOf("late", scheduler.new HostClock(1, 0))
-        .call(addresses.get(node), heartbeat, SECOND, response -> {});
+        .call(controllerAddresses.get(name), heartbeat, SECOND, response -> {});
   }
 
   /** The status of a controller's answer within the time, 0 for none. */
-  int statusOf(String node, String path, long withinMicros) {
+  int awaitStatus(String name, String path, long waitMicros) {
     int[] status = new int[1];
-    requestStatus(node, path, got -> status[0] = got);
-    runUntil(scheduler.nowMicros + withinMicros);
+    requestStatus(name, path, got -> status[0] = got);
+    runUntil(scheduler.nowMicros + waitMicros);
     return status[0];
   }
 
-  void requestStatus(String node, String path, IntConsumer status) {
+  void requestStatus(String name, String path, IntConsumer status) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
         .call(
-            addresses.get(node),
+            controllerAddresses.get(name),
             HttpRequest.get(path),
             2 * SECOND,
             response -> status.accept(response.status()));
   }
 
   /** Sends a heartbeat with the given body, whatever it says. */
-  void sendHeartbeat(String node, String body, Consumer<HttpResponse> answer) {
+  void sendHeartbeat(String name, String body, Consumer<HttpResponse> answer) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
         .call(
-            addresses.get(node),
+            controllerAddresses.get(name),
             HttpRequest.post("/hello", body.getBytes(StandardCharsets.UTF_8)),
             2 * SECOND,
             answer);
   }
 
   /** Partitions a controller from everybody but users and cloud. */
-  void isolate(String node, boolean buffered, long forMicros) {
-    partitionFromWorkers(node, buffered, forMicros);
-    network.partition(node, "store", buffered, forMicros);
-    controllers().forEach(other -> network.partition(node, other, buffered, forMicros));
+  void isolate(String name, boolean buffered, long durationMicros) {
+    partitionFromWorkers(name, buffered, durationMicros);
+    network.partition(name, "store", buffered, durationMicros);
+    controllerNames().forEach(other -> network.partition(name, other, buffered, durationMicros));
   }
 
   /** Ends a controller process and starts another of its name after the time. */
-  void crash(String name, long forMicros) {
+  void crash(String name, long durationMicros) {
     ControllerProcess ended = processes.remove(name);
     if (ended != null) {
       ended.clock().ended = true;
-      network.stopServing(addresses.get(name));
-      scheduler.after(forMicros, () -> start(name));
+      network.stopServing(controllerAddresses.get(name));
+      scheduler.after(durationMicros, () -> start(name));
     }
   }
 
   /** Pauses a controller process; see {@link SimScheduler.HostClock#pause}. */
-  void pause(String name, long forMicros) {
+  void pause(String name, long durationMicros) {
     ControllerProcess paused = processes.get(name);
     if (paused != null) {
-      paused.clock().pause(forMicros);
+      paused.clock().pause(durationMicros);
     }
   }
 
   /** Partitions all controllers from one another. */
-  void partitionControllers(long forMicros) {
-    for (String one : controllers()) {
-      controllers().forEach(other -> network.partition(one, other, false, forMicros));
+  void partitionControllers(long durationMicros) {
+    for (String one : controllerNames()) {
+      controllerNames().forEach(other -> network.partition(one, other, false, durationMicros));
     }
   }
 
   /** See {@link SimNetwork#partitionZone}. */
-  void partitionZone(String zone, boolean buffered, long forMicros) {
-    network.partitionZone(zone, buffered, forMicros);
+  void partitionZone(String zone, boolean buffered, long durationMicros) {
+    network.partitionZone(zone, buffered, durationMicros);
   }
 
   /** Partitions a controller from all workers that are there now. */
-  void partitionFromWorkers(String node, boolean buffered, long forMicros) {
-    cloud.workers().forEach(worker -> network.partition(node, worker.id, buffered, forMicros));
+  void partitionFromWorkers(String name, boolean buffered, long durationMicros) {
+    cloud.workers().forEach(worker -> network.partition(name, worker.id, buffered, durationMicros));
   }
 
   /** All controllers crash; each restarts after its own time. */
-  void crashAll(long... forMicros) {
-    for (int i = 0; i < controllers().size(); i++) {
-      crash(controllers().get(i), forMicros[Math.min(i, forMicros.length - 1)]);
+  void crashAll(long... durationMicros) {
+    for (int i = 0; i < controllerNames().size(); i++) {
+      crash(controllerNames().get(i), durationMicros[Math.min(i, durationMicros.length - 1)]);
     }
   }
 
@@ -430,7 +441,7 @@
    */
   Set<TaskId> divergentTasks() {
     Set<TaskId> tasks = new HashSet<>(invariants.heldTasks());
-    tasks.addAll(store.placementLog.tasks());
+    tasks.addAll(store.placementLog.placedTasks());
     tasks.removeIf(
         task ->
             !invariants.isLive(task.job())
@@ -443,17 +454,17 @@
    * Users cancel running jobs within a fifth of a second, and up to eight of their machines hang
    * for so long.
    */
-  void cancelAndHang(int most, long hangMicros) {
+  void cancelJobsAndHangMachines(int maxJobs, long hangMicros) {
     Set<SimWorker> machines = new LinkedHashSet<>();
-    for (String job : users.cancelRunningSoon(most)) {
+    for (String job : users.cancelRunningStaggered(maxJobs)) {
       machines.addAll(invariants.machinesOf(job));
     }
     machines.stream().limit(8).forEach(machine -> machine.hang(hangMicros));
   }
 
   /** See {@link HeartbeatReplay}. */
-  void replayHeartbeatsToNextLeader(double share, long captureMicros, long withinMicros) {
-    heartbeatReplay.start(share, captureMicros, withinMicros);
+  void replayHeartbeatsToNextLeader(double share, long captureMicros, long waitMicros) {
+    heartbeatReplay.start(share, captureMicros, waitMicros);
   }
 
   /** From now on, checks every second which jobs wait though there is capacity. */
@@ -463,19 +474,19 @@
   }
 
   /** Leaves a controller workers, users and cloud, but neither store nor other controllers. */
-  void isolateFromStoreAndPeers(String node, boolean buffered, long forMicros) {
-    network.partition(node, "store", buffered, forMicros);
-    controllers().stream()
-        .filter(other -> !other.equals(node))
-        .forEach(other -> network.partition(node, other, buffered, forMicros));
+  void isolateFromStoreAndPeers(String name, boolean buffered, long durationMicros) {
+    network.partition(name, "store", buffered, durationMicros);
+    controllerNames().stream()
+        .filter(other -> !other.equals(name))
+        .forEach(other -> network.partition(name, other, buffered, durationMicros));
   }
 
   /** The process crashes and is back within half a second, up to four times in a row. */
-  void flap(String node) {
+  void flap(String name) {
     long atMicros = 0;
     do {
       scheduler.after(
-          atMicros, () -> crash(node, SECOND / 20 + scheduler.random.nextLong(SECOND * 9 / 20)));
+          atMicros, () -> crash(name, SECOND / 20 + scheduler.random.nextLong(SECOND * 9 / 20)));
       atMicros += SECOND / 2 + scheduler.random.nextLong(SECOND);
     } while (atMicros < 4 * SECOND && scheduler.chance(0.6));
   }
--- a/src/test/java/madderrudder/sim/StoreFaults.java
+++ b/src/test/java/madderrudder/sim/StoreFaults.java
@@ -12,10 +12,13 @@
     @Override
     void inject(SimulatedCluster cluster) {
       cluster.store.delayCommits(0.3, 45 * SECOND);
-      in(cluster, 10, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
-      in(cluster, 18, () -> cluster.crash(cluster.leader(), SECOND / 2));
-      in(cluster, 26, () -> cluster.users.cancelRunning(4));
-      in(cluster, 30, () -> cluster.controllers().forEach(name -> cluster.crash(name, 2 * SECOND)));
+      afterSeconds(cluster, 10, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
+      afterSeconds(cluster, 18, () -> cluster.crash(cluster.leader(), SECOND / 2));
+      afterSeconds(cluster, 26, () -> cluster.users.cancelRunning(4));
+      afterSeconds(
+          cluster,
+          30,
+          () -> cluster.controllerNames().forEach(name -> cluster.crash(name, 2 * SECOND)));
     }
 
     @Override
@@ -31,19 +34,22 @@
   static final class LostReplies extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.store.lostReplies;
+      initialCount = cluster.store.lostReplies;
       cluster.store.loseReplies(0.3, 50 * SECOND);
-      cluster.users.pollClosely(50 * SECOND);
-      in(cluster, 9, () -> cluster.pause(cluster.leader(), 5 * SECOND));
-      in(cluster, 18, () -> cluster.crash(cluster.leader(), SECOND / 2));
-      in(cluster, 26, () -> cluster.users.cancelRunning(5));
-      in(cluster, 30, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
-      in(cluster, 38, () -> cluster.controllers().forEach(name -> cluster.crash(name, 2 * SECOND)));
+      cluster.users.pollImmediately(50 * SECOND);
+      afterSeconds(cluster, 9, () -> cluster.pause(cluster.leader(), 5 * SECOND));
+      afterSeconds(cluster, 18, () -> cluster.crash(cluster.leader(), SECOND / 2));
+      afterSeconds(cluster, 26, () -> cluster.users.cancelRunning(5));
+      afterSeconds(cluster, 30, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
+      afterSeconds(
+          cluster,
+          38,
+          () -> cluster.controllerNames().forEach(name -> cluster.crash(name, 2 * SECOND)));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.store.lostReplies > before + 5;
+      return cluster.store.lostReplies > initialCount + 5;
     }
   }
 
@@ -55,23 +61,23 @@
     @Override
     void inject(SimulatedCluster cluster) {
       String leader = cluster.leader();
-      for (String other : cluster.controllers()) {
+      for (String other : cluster.controllerNames()) {
         if (!other.equals(leader)) {
-          cluster.users.cancelRunningAt(other, 4);
+          cluster.users.cancelRunningThrough(other, 4);
         }
       }
       cluster.store.refuse(leader, 34 * SECOND);
       cluster.scheduler.after(
           SECOND + cluster.scheduler.random.nextLong(SECOND),
           () -> {
-            seen = cluster.invariants.runningCancelledTasks();
+            observed = cluster.invariants.runningCancelledTasks();
             cluster.store.outage(33 * SECOND);
           });
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 0;
+      return observed > 0;
     }
   }
 
@@ -85,16 +91,16 @@
       cluster.users.pollMoreOften(6, 60 * SECOND);
       cluster.store.slowDown(90, 20 * SECOND);
       for (int second = 1; second < 22; second += 3) {
-        in(cluster, second, () -> cluster.users.cancelRunning(1));
+        afterSeconds(cluster, second, () -> cluster.users.cancelRunning(1));
       }
-      in(cluster, 16, () -> cluster.store.refuse(cluster.leader(), 12 * SECOND));
-      in(cluster, 19, () -> cluster.store.outage(32 * SECOND));
+      afterSeconds(cluster, 16, () -> cluster.store.refuse(cluster.leader(), 12 * SECOND));
+      afterSeconds(cluster, 19, () -> cluster.store.outage(32 * SECOND));
       observeMax(cluster, 1, 50, 1, cluster.invariants::runningCancelledTasks);
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 0;
+      return observed > 0;
     }
   }
 }
--- a/src/test/java/madderrudder/sim/UserFaults.java
+++ b/src/test/java/madderrudder/sim/UserFaults.java
@@ -10,7 +10,7 @@
   static final class CancellationAtCompletion extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.users.cancelledAtCompletion;
+      initialCount = cluster.users.cancelledAtCompletion;
       cluster.users.cancelAtCompletion(0.8, 60 * SECOND);
       // With a slower store, more writes and reads of different controllers overlap.
       cluster.store.slowDown(cluster.scheduler.chance(0.5) ? 12 : 1, 60 * SECOND);
@@ -18,7 +18,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.users.cancelledAtCompletion > before + 2;
+      return cluster.users.cancelledAtCompletion > initialCount + 2;
     }
   }
 
@@ -26,25 +26,27 @@
    * Users ask every controller within milliseconds after each change, submit again and cancel;
    * controllers are slow, partitioned or new.
    */
-  static final class ClosePolling extends FaultScript {
+  static final class ImmediatePolling extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.users.closePolls;
-      cluster.users.pollClosely(55 * SECOND);
-      in(
+      initialCount = cluster.users.immediatePolls;
+      cluster.users.pollImmediately(55 * SECOND);
+      afterSeconds(
           cluster,
           5,
-          () -> cluster.network.partition(cluster.controllers().get(0), "store", true, 6 * SECOND));
-      in(cluster, 14, () -> cluster.flap(cluster.controllers().get(1)));
-      in(cluster, 20, () -> cluster.pause(cluster.controllers().get(2), 4 * SECOND));
-      in(cluster, 26, () -> cluster.store.slowDown(60, 10 * SECOND));
-      in(cluster, 30, () -> cluster.users.cancelRunning(5));
-      in(cluster, 40, () -> cluster.crash(cluster.leader(), SECOND));
+          () ->
+              cluster.network.partition(
+                  cluster.controllerNames().get(0), "store", true, 6 * SECOND));
+      afterSeconds(cluster, 14, () -> cluster.flap(cluster.controllerNames().get(1)));
+      afterSeconds(cluster, 20, () -> cluster.pause(cluster.controllerNames().get(2), 4 * SECOND));
+      afterSeconds(cluster, 26, () -> cluster.store.slowDown(60, 10 * SECOND));
+      afterSeconds(cluster, 30, () -> cluster.users.cancelRunning(5));
+      afterSeconds(cluster, 40, () -> cluster.crash(cluster.leader(), SECOND));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.users.closePolls > before + 60;
+      return cluster.users.immediatePolls > initialCount + 60;
     }
   }
 
@@ -52,15 +54,18 @@
   static final class InvalidRequests extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.users.invalidRequests;
+      initialCount = cluster.users.invalidRequests;
       cluster.users.sendInvalidRequests(60 * SECOND);
-      in(cluster, 8, () -> cluster.cloud.outage(30 * SECOND));
-      in(cluster, 10, () -> cluster.controllers().forEach(name -> cluster.crash(name, 2 * SECOND)));
+      afterSeconds(cluster, 8, () -> cluster.cloud.outage(30 * SECOND));
+      afterSeconds(
+          cluster,
+          10,
+          () -> cluster.controllerNames().forEach(name -> cluster.crash(name, 2 * SECOND)));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.users.invalidRequests > before + 200;
+      return cluster.users.invalidRequests > initialCount + 200;
     }
   }
 
@@ -72,14 +77,15 @@
     @Override
     void inject(SimulatedCluster cluster) {
       for (int second = 0; second < 40; second += 10) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
-              cluster.cancelAndHang(6, 3 * SECOND + cluster.scheduler.random.nextLong(15 * SECOND));
-              seen = Math.max(seen, cluster.invariants.runningTasks());
+              cluster.cancelJobsAndHangMachines(
+                  6, 3 * SECOND + cluster.scheduler.random.nextLong(15 * SECOND));
+              observed = Math.max(observed, cluster.invariants.runningTasks());
             });
-        in(
+        afterSeconds(
             cluster,
             second + 1,
             () -> {
@@ -92,7 +98,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 5;
+      return observed > 5;
     }
   }
 }
--- a/src/test/java/madderrudder/sim/WorkloadFaults.java
+++ b/src/test/java/madderrudder/sim/WorkloadFaults.java
@@ -19,29 +19,29 @@
     @Override
     void inject(SimulatedCluster cluster) {
       submitServices(cluster, 9);
-      whenAtLimit(
+      whenAllTeamsAtLimit(
           cluster,
           50,
           () -> {
-            long forMicros = 12 * SECOND + cluster.scheduler.random.nextLong(10 * SECOND);
+            long durationMicros = 12 * SECOND + cluster.scheduler.random.nextLong(10 * SECOND);
             for (String job : cluster.users.cancelRunning(8)) {
               for (SimWorker worker : cluster.invariants.machinesOf(job)) {
                 if (cluster.scheduler.chance(0.5)) {
                   worker.hang(SECOND + cluster.scheduler.random.nextLong(9 * SECOND));
                 } else {
-                  partitionFromControllers(cluster, worker, forMicros);
+                  partitionFromControllers(cluster, worker, durationMicros);
                 }
               }
             }
-            in(cluster, 1, () -> cluster.crash(cluster.leader(), 2 * SECOND));
-            in(cluster, 12, () -> cluster.crash(cluster.leader(), SECOND / 3));
-            in(cluster, 20, () -> cluster.users.cancelRunning(6));
+            afterSeconds(cluster, 1, () -> cluster.crash(cluster.leader(), 2 * SECOND));
+            afterSeconds(cluster, 12, () -> cluster.crash(cluster.leader(), SECOND / 3));
+            afterSeconds(cluster, 20, () -> cluster.users.cancelRunning(6));
           });
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 0;
+      return observed > 0;
     }
   }
 
@@ -53,7 +53,7 @@
     @Override
     void inject(SimulatedCluster cluster) {
       submitServices(cluster, 9);
-      whenAtLimit(
+      whenAllTeamsAtLimit(
           cluster,
           50,
           () -> {
@@ -68,14 +68,14 @@
                     });
             cluster.crash(cluster.leader(), 2 * SECOND);
             for (int second = 1; second < 10; second += 2) {
-              in(cluster, second, () -> cluster.users.cancelRunning(2));
+              afterSeconds(cluster, second, () -> cluster.users.cancelRunning(2));
             }
           });
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 0;
+      return observed > 0;
     }
   }
 
@@ -83,7 +83,7 @@
   static final class JobBurst extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.users.submitted.size();
+      initialCount = cluster.users.submitted.size();
       for (int quarter = 0; quarter < 200; quarter++) {
         JobSpec job =
             JobSpecBuilder.job(String.format("req-6%05d", quarter), "swarm")
@@ -99,13 +99,13 @@
               () -> cluster.users.cancel(job.id()));
         }
       }
-      in(cluster, 20, () -> cluster.crash(cluster.leader(), SECOND));
-      in(cluster, 35, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
+      afterSeconds(cluster, 20, () -> cluster.crash(cluster.leader(), SECOND));
+      afterSeconds(cluster, 35, () -> cluster.store.refuse(cluster.leader(), 5 * SECOND));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.users.submitted.size() >= before + 200;
+      return cluster.users.submitted.size() >= initialCount + 200;
     }
   }
 
@@ -124,15 +124,15 @@
                 .image("img-" + i % 4, 1)
                 .estimateMicros(6_000_000)
                 .build();
-        in(cluster, i / 4, () -> cluster.users.submitJob(job));
+        afterSeconds(cluster, i / 4, () -> cluster.users.submitJob(job));
       }
       observeMax(cluster, 12, 40, 4, cluster.invariants::waitingTasks);
-      in(cluster, 20, () -> cluster.crash(cluster.leader(), 3 * SECOND));
+      afterSeconds(cluster, 20, () -> cluster.crash(cluster.leader(), 3 * SECOND));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 20;
+      return observed > 20;
     }
   }
 
@@ -152,10 +152,10 @@
                 .oneZone(!array || i % 2 == 1)
                 .estimateMicros(8_000_000)
                 .build();
-        in(cluster, i, () -> cluster.users.submitJob(job));
+        afterSeconds(cluster, i, () -> cluster.users.submitJob(job));
       }
       for (int second = 8; second < 36; second += 7) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () ->
@@ -164,10 +164,10 @@
                         worker ->
                             worker.zone.equals("east")
                                 && cluster.invariants.tasksOn(worker) > 0
-                                && (seen < 2 || cluster.scheduler.chance(0.4)))
+                                && (observed < 2 || cluster.scheduler.chance(0.4)))
                     .forEach(
                         worker -> {
-                          seen++;
+                          observed++;
                           if (cluster.scheduler.chance(0.5)) {
                             cluster.cloud.terminate(worker);
                           } else {
@@ -175,7 +175,7 @@
                           }
                         }));
       }
-      in(
+      afterSeconds(
           cluster,
           20,
           () -> cluster.partitionZone("east", cluster.scheduler.chance(0.5), 13 * SECOND));
@@ -183,7 +183,7 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 1;
+      return observed > 1;
     }
   }
 }
--- a/src/test/java/madderrudder/sim/ZonePartitionTest.java
+++ b/src/test/java/madderrudder/sim/ZonePartitionTest.java
@@ -28,10 +28,10 @@
    * Whether the workers of the leader's other zone that have tasks keep them through a partition of
    * the zone. One that has none any more is free to lose its lease.
    */
-  private static boolean tasksOutliveZonePartition(long seed, boolean delegation) {
+  private static boolean leasesOutliveZonePartition(long seed, boolean delegation) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, delegation);
     String zone = Scenarios.zoneWithoutLeader(cluster);
-    Map<SimWorker, Long> epochs = cluster.busyEpochs(zone);
+    Map<SimWorker, Long> epochs = cluster.epochsOfBusyWorkers(zone);
     assertTrue(epochs.size() > 1, "only " + epochs.size() + " machines have tasks, seed " + seed);
     cluster.partitionZone(zone, seed % 2 == 0, 40 * SECOND);
     boolean kept = true;
@@ -42,7 +42,8 @@
               .toList();
       cluster.runUntil(second * SECOND);
       kept &=
-          busy.stream().allMatch(worker -> worker.gone() || worker.epoch() == epochs.get(worker));
+          busy.stream()
+              .allMatch(worker -> worker.isTerminated() || worker.epoch() == epochs.get(worker));
     }
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("zone partition, delegation " + delegation);
@@ -55,12 +56,12 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
-  void leasesOutliveTheZonePartitionWithDelegationOnly(long seed) {
+  void leasesOutliveZonePartitionWithDelegationOnly(long seed) {
     assertTrue(
-        tasksOutliveZonePartition(seed, true),
+        leasesOutliveZonePartition(seed, true),
         "leases expired though a controller is in the zone, seed " + seed);
     assertFalse(
-        tasksOutliveZonePartition(seed, false), "leases last without delegation, seed " + seed);
+        leasesOutliveZonePartition(seed, false), "leases last without delegation, seed " + seed);
   }
 
   /** What goes wrong beside the partition of a zone, from its beginning on. */
@@ -68,31 +69,32 @@
     /** A delegate is paused for longer than its grant, and then goes on answering. */
     PAUSED_DELEGATE {
       @Override
-      void inject(SimulatedCluster cluster, String leader, List<String> inside) {
-        cluster.scheduler.after(8 * SECOND, () -> cluster.pause(inside.get(0), 55 * SECOND));
+      void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
+        cluster.scheduler.after(
+            8 * SECOND, () -> cluster.pause(zoneControllers.get(0), 55 * SECOND));
       }
     },
     /** Users are told of cancellations by others, and some tasks end by themselves. */
     CANCELLATIONS {
       @Override
-      void inject(SimulatedCluster cluster, String leader, List<String> inside) {
+      void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
         cluster.scheduler.after(2 * SECOND, cluster.users::cancelAll);
       }
     },
     /** Controllers of the zone crash, and are back under the same name within their grant. */
     RESTARTED_DELEGATES {
       @Override
-      void inject(SimulatedCluster cluster, String leader, List<String> inside) {
-        inside.forEach(
+      void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
+        zoneControllers.forEach(
             name -> cluster.scheduler.after(12 * SECOND, () -> cluster.crash(name, 2 * SECOND)));
       }
     },
     /** The leader loses its lease, and leads again in a higher term, its first grants still out. */
     LEADER_REELECTED {
       @Override
-      void inject(SimulatedCluster cluster, String leader, List<String> inside) {
+      void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
         cluster.network.partition(leader, "store", true, 8 * SECOND);
-        cluster.controllers().stream()
+        cluster.controllerNames().stream()
             .filter(name -> !name.equals(leader))
             .forEach(name -> cluster.network.partition(name, "store", false, 20 * SECOND));
       }
@@ -100,26 +102,26 @@
     /** No controller reaches another or the store, while workers reach all; no zone partition. */
     ALL_CONTROLLERS_ISOLATED {
       @Override
-      void inject(SimulatedCluster cluster, String leader, List<String> inside) {
+      void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
         cluster.partitionControllers(60 * SECOND);
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(name -> cluster.network.partition(name, "store", true, 45 * SECOND));
       }
     },
     /** Workers lose one way after the other, and move between the controllers that answer. */
     MOVING_WORKERS {
       @Override
-      void inject(SimulatedCluster cluster, String leader, List<String> inside) {
+      void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
         for (int i = 0; i < 10; i++) {
-          String node = cluster.controllers().get(i % 3);
+          String controller = cluster.controllerNames().get(i % 3);
           cluster.scheduler.after(
-              4L * i * SECOND, () -> cluster.partitionFromWorkers(node, true, 5 * SECOND));
+              4L * i * SECOND, () -> cluster.partitionFromWorkers(controller, true, 5 * SECOND));
         }
       }
     };
 
-    abstract void inject(SimulatedCluster cluster, String leader, List<String> inside);
+    abstract void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers);
   }
 
   static Stream<Arguments> additionalFaults() {
@@ -130,15 +132,17 @@
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("additionalFaults")
   @Timeout(20)
-  void invariantsHoldBesideAZonePartition(AdditionalFault fault, long seed) {
+  void zonePartitionWithAnotherFaultKeepsInvariants(AdditionalFault fault, long seed) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, true);
     String zone = Scenarios.zoneWithoutLeader(cluster);
-    List<String> inside =
-        cluster.controllers().stream().filter(name -> cluster.zoneOf(name).equals(zone)).toList();
+    List<String> zoneControllers =
+        cluster.controllerNames().stream()
+            .filter(name -> cluster.zoneOf(name).equals(zone))
+            .toList();
     if (fault != AdditionalFault.ALL_CONTROLLERS_ISOLATED) {
       cluster.partitionZone(zone, seed % 2 == 0, 70 * SECOND);
     }
-    fault.inject(cluster, cluster.leader(), inside);
+    fault.inject(cluster, cluster.leader(), zoneControllers);
     int starts = cluster.invariants.starts;
     cluster.runUntil(200 * SECOND);
     cluster.assertNoViolations("zone partition beside " + fault);
@@ -153,7 +157,7 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2, 3, 4, 5})
-  void workersWithoutAWayToTheLeaderAreServedThroughOthers(long seed) {
+  void workersCutOffFromLeaderGetStartsThroughOtherControllers(long seed) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, true);
     String zone = Scenarios.zoneWithoutLeader(cluster);
     String leader = cluster.leader();
@@ -161,17 +165,17 @@
         .filter(worker -> worker.zone.equals(zone))
         .forEach(
             worker -> cluster.network.partition(leader, worker.id, seed % 2 == 0, 60 * SECOND));
-    Map<SimWorker, Long> epochs = cluster.busyEpochs(zone);
+    Map<SimWorker, Long> epochs = cluster.epochsOfBusyWorkers(zone);
     cluster.runUntil(80 * SECOND);
-    int started = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
+    int startedBefore = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
     cluster.runUntil(118 * SECOND);
     assertEquals(leader, cluster.leader(), "leader, seed " + seed);
     assertTrue(
         epochs.entrySet().stream()
-            .allMatch(e -> e.getKey().gone() || e.getKey().epoch() == e.getValue()),
+            .allMatch(e -> e.getKey().isTerminated() || e.getKey().epoch() == e.getValue()),
         "a lease expired, seed " + seed);
-    int later = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
-    assertTrue(later > started, "nothing started there, seed " + seed);
+    int startedAtEnd = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
+    assertTrue(startedAtEnd > startedBefore, "nothing started there, seed " + seed);
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("workers without a way to the leader");
   }
