--- a/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
+++ b/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
@@ -15,17 +15,18 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The store refuses the leader alone, other controllers confirm cancellations, and then the store
- * is unavailable to all for longer than the cancellation time, while workers go on reporting. The
- * tasks of those jobs are gone in time all the same, whatever becomes of the leader. A longer
- * search: {@code mvn -B test -Dtest=CancellationInStoreOutageTest -DargLine=-DoutageSeeds=50}.
+ * Guards against cancelled tasks that run past their deadline: the store refuses the leader alone,
+ * other controllers confirm cancellations, and then the store is unavailable to all for longer than
+ * the cancellation time, while workers go on sending heartbeats. The leader may not have read the
+ * cancellations; the tasks must nevertheless end in time, whatever happens to the leader. To run
+ * more seeds: {@code mvn -B test -Dtest=CancellationInStoreOutageTest -DargLine=-DoutageSeeds=50}.
  */
 @Timeout(120)
 class CancellationInStoreOutageTest {
   private static final long SEEDS = Long.getLong("outageSeeds", 2);
   private static final long SECOND = SimulatedCluster.SECOND;
 
-  /** The times of a deployment's workers. */
+  /** Worker times of a deployment, named after the time within which cancelled tasks must end. */
   private enum WorkerTimesCase {
     CANCEL_WITHIN_30_S(SimulatedCluster.defaultWorkerTimes()),
     CANCEL_WITHIN_52_S(
@@ -39,7 +40,7 @@
       this.workers = workers;
     }
 
-    /** How long heartbeats may be answered without reading the store. */
+    /** The time for which heartbeats may be answered without a read of the store. */
     long answerWindowMicros() {
       return workers.cancelMicros() - workers.leaseMicros() - 2 * SECOND;
     }
@@ -49,7 +50,10 @@
   private enum LeaderFate {
     /** The leader keeps its lease through the outage. */
     KEEPS_LEADING,
-    /** It crashes in the outage, and another process of its name starts soon after. */
+    /**
+     * The leader crashes during the outage, and another process with its name starts within about
+     * three seconds.
+     */
     RESTARTED {
       @Override
       void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
@@ -59,7 +63,7 @@
                 cluster.crash(leader, SECOND / 10 + cluster.scheduler.random.nextLong(3 * SECOND)));
       }
     },
-    /** It is paused in the outage, and then goes on. */
+    /** The leader is paused during the outage and then continues. */
     PAUSED {
       @Override
       void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
@@ -70,7 +74,7 @@
                     leader, cluster.scheduler.random.nextLong(times.answerWindowMicros())));
       }
     },
-    /** The other controllers can't reach it either. */
+    /** The leader is also partitioned from the other controllers. */
     ISOLATED {
       @Override
       void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
@@ -82,7 +86,9 @@
                         leader, other, cluster.scheduler.chance(0.5), times.answerWindowMicros()));
       }
     },
-    /** Workers can't reach it, and their heartbeats are relayed by others. */
+    /**
+     * The workers of a zone can't reach the leader, and other controllers relay their heartbeats.
+     */
     HEARTBEATS_RELAYED {
       @Override
       void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
@@ -100,7 +106,10 @@
             .anyMatch(name -> cluster.metric(name, "reports_passed_on") > 0);
       }
     },
-    /** Its lease expires before the outage; another is elected, and can't read the store. */
+    /**
+     * The leader's lease expires before the outage. The elected successor can't read the stored
+     * state.
+     */
     SUCCESSOR_CANNOT_READ {
       @Override
       void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
@@ -111,8 +120,8 @@
       }
     },
     /**
-     * All are refused until the leader hardly answers any more; another is elected, and then nobody
-     * reaches the store.
+     * The store refuses all controllers until shortly before the leader may no longer answer
+     * heartbeats. Another controller is elected immediately before the outage.
      */
     ELECTED_BRIEFLY_BEFORE {
       @Override
@@ -127,13 +136,15 @@
       }
     };
 
+    /** Schedules what happens to the leader during the outage. */
     void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {}
 
+    /** Whether the intended situation occurred. */
     boolean tookEffect(SimulatedCluster cluster) {
       return true;
     }
 
-    /** What comes between the confirmations and the outage. */
+    /** Injects faults between the confirmations and the outage. */
     void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {}
   }
 
@@ -190,9 +201,9 @@
     }
     assertTrue(
         runningCancelledTasks > 0,
-        "no task of a cancelled job was running when the store went away, " + scenario);
-    // Without delegation nothing is granted, and a leader that has not read what there is keeps
-    // silent.
+        "no task of a cancelled job was running when the outage began, " + scenario);
+    // Without delegation no controller holds a grant, and a leader that has not read the stored
+    // state answers no heartbeats.
     assertTrue(
         answeredInOutage > 0
             || (scenario.leaderFate() == LeaderFate.SUCCESSOR_CANNOT_READ
@@ -200,7 +211,7 @@
         "no heartbeat was answered after the confirmations, " + scenario);
     assertTrue(
         scenario.leaderFate().tookEffect(cluster) || !scenario.delegation(),
-        "did not come about, " + scenario);
+        "the intended situation did not occur, " + scenario);
     cluster.runUntil(cluster.scheduler.nowMicros + 2 * workers.cancelMicros());
     cluster.assertNoViolations(scenario);
     assertTrue(
@@ -213,7 +224,8 @@
   }
 
   /**
-   * A reply to an outdated heartbeat renews the lease too, and so must say what is to be stopped.
+   * Guards against replies that renew a lease without stopping unknown tasks: a reply to an
+   * outdated heartbeat renews the lease too, so it must contain the stop commands.
    */
   @Test
   void everyHeartbeatReplyStopsUnknownTasks() {
--- a/src/test/java/madderrudder/sim/ColdStartMeasurement.java
+++ b/src/test/java/madderrudder/sim/ColdStartMeasurement.java
@@ -11,17 +11,26 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * Measures cold starts, after all controllers were down, in virtual time: {@code
- * ColdStartMeasurement MACHINES DOWN_S BACK SEED...}. Not a test: it prints a line a seed, for
- * docs/measurements.md and for comparison with earlier sources.
+ * Measures cold starts in virtual time, after all controllers were down. Not a test. The arguments
+ * are {@code MACHINES DOWN_S BACK SEED...}: the size of the cluster, the seconds for which the
+ * controllers are down, the number of controllers that restart, and the seeds. Prints one line for
+ * each seed, for docs/measurements.md and for comparison with earlier versions of the sources.
  */
 final class ColdStartMeasurement {
   private static final long SECOND = SimulatedCluster.SECOND;
+
+  /** The resolution of the measured times. */
   private static final long STEP_MICROS = SECOND / 4;
+
+  /** The time at which all controllers crash. */
   private static final int CRASH_AT_S = 60;
+
+  /** How long the cluster is observed after the restart. */
   private static final int OBSERVED_S = 40;
 
-  /** Commands within this time belong to the cold start; later ones are ordinary. */
+  /**
+   * Commands within this time after the restart count as part of the cold start; later ones do not.
+   */
   private static final int COLD_START_S = 10;
 
   private ColdStartMeasurement() {}
@@ -120,7 +129,8 @@
   }
 
   /**
-   * Replicas of services that were accepted before the controllers went down and are on no machine.
+   * The number of replicas that no worker holds, of live services accepted before the controllers
+   * crashed.
    */
   private static int lackingReplicas(SimulatedCluster cluster) {
     Set<TaskId> held = new HashSet<>(cluster.invariants.heldTasks());
--- a/src/test/java/madderrudder/sim/ColdStartTest.java
+++ b/src/test/java/madderrudder/sim/ColdStartTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Cold start, after all controllers were down: what runs is reconciled with what is recorded,
- * without needless commands. Other seeds: {@code mvn -B test -Dtest=ColdStartTest
- * -DargLine="-Dseed=7 -DcoldSeeds=50"}.
+ * Cold starts, after all controllers were down. Guards against a new leader that stops, restarts or
+ * loses tasks while it reconciles the stored records with the tasks that workers hold. To run other
+ * seeds: {@code mvn -B test -Dtest=ColdStartTest -DargLine="-Dseed=7 -DcoldSeeds=50"}.
  */
 @Timeout(60)
 class ColdStartTest {
@@ -26,8 +26,8 @@
   private static final long SEED = Long.getLong("seed", 1);
 
   /**
-   * The time in which all workers are heard of: two heartbeat intervals, of 1.5 s with a quarter
-   * more, and a try at each controller.
+   * The time within which every worker has sent the leader a heartbeat: two heartbeat intervals of
+   * 1.5 s plus a quarter, and an attempt at each controller.
    */
   private static final long RECONCILED_WITHIN_S = 7;
 
@@ -41,9 +41,10 @@
   }
 
   /**
-   * A task whose record diverges from the truth now and six seconds later is not just starting or
-   * ending: that takes less, with a lost reply too. A worker whose reply was lost tries each
-   * controller in turn, and waits five seconds at one that is down.
+   * The tasks whose record diverges from the actual state both at the given time and at least six
+   * seconds later. A task that is just starting or ending diverges for a shorter time, even if a
+   * reply is lost. After a lost reply, the worker tries each controller in turn and waits five
+   * seconds for each that is down, which {@code controllersDown} allows for.
    */
   private static Set<TaskId> lastingDivergentTasks(
       SimulatedCluster cluster, long atSecond, int controllersDown) {
@@ -54,7 +55,10 @@
     return divergent;
   }
 
-  /** All down for less and for more than a lease of 10 s; one, two or three of them come back. */
+  /**
+   * All controllers are down for less or for more than the lease of 10 s; one, two or three of them
+   * restart.
+   */
   @ParameterizedTest(name = "{0} s down, {1} controllers back")
   @CsvSource({"2,3", "8,1", "8,3", "15,2", "25,3", "60,1", "600,3"})
   void coldStartReconcilesRecordsWithoutNeedlessCommands(int downS, int controllersBack) {
@@ -71,7 +75,8 @@
     starts = cluster.invariants.starts - starts;
     needless = cluster.invariants.rejectedStarts + cluster.invariants.needlessStops - needless;
     assertTrue(starts > 50, "only " + starts + " starts");
-    // Quotas have work preempted at any time: in the minute before, 2.4 in 100 starts were in vain.
+    // Quotas cause preemptions at any time: in the minute before the crash, there are 2.4 needless
+    // commands per 100 starts.
     assertTrue(
         20 * needless <= starts, needless + " needless commands beside " + starts + " starts");
     assertEquals(
@@ -80,7 +85,7 @@
     cluster.assertNoViolations(downS + " s down, " + controllersBack + " controllers back");
   }
 
-  /** What else goes wrong before or during the cold start. */
+  /** An additional fault before or during the cold start. */
   private enum AdditionalFault {
     MACHINES_LOST {
       @Override
@@ -172,13 +177,13 @@
     cluster.runUntil(60 * SECOND + 500_000);
     cluster.crashAll(8 * SECOND, 7 * SECOND, 9 * SECOND);
     int starts = cluster.invariants.starts;
-    assertEquals(Set.of(), lastingDivergentTasks(cluster, 140, 0), "records that diverge");
+    assertEquals(Set.of(), lastingDivergentTasks(cluster, 140, 0), "tasks whose record diverges");
     cluster.users.pollAllJobs();
     cluster.runUntil(230 * SECOND);
     cluster.invariants.checkAtEnd();
-    cluster.assertNoViolations("cold start beside " + fault);
+    cluster.assertNoViolations("cold start with " + fault);
     assertTrue(
         fault == AdditionalFault.ALL_CANCELLED_BEFORE || cluster.invariants.starts > starts,
-        "nothing starts any more");
+        "no task was started after the cold start");
   }
 }
--- a/src/test/java/madderrudder/sim/FailoverFaults.java
+++ b/src/test/java/madderrudder/sim/FailoverFaults.java
@@ -3,13 +3,13 @@
 import madderrudder.protocol.JobSpec;
 
 /**
- * Scripts of controllers that crash, flap and take over from each other. See {@link
+ * Scripts with controllers that crash, restart repeatedly and take over from each other. See {@link
  * FaultCombination}.
  */
 final class FailoverFaults {
   private FailoverFaults() {}
 
-  /** Jobs of two and three tasks, which end far apart, and a failover after each end. */
+  /** Jobs of two or three tasks that end far apart, with a failover after each end. */
   static final class FailoverBetweenTaskEnds extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Leadership moves away and back, all controllers crash, and one is back within a second: several
-   * terms within a lease.
+   * Leadership changes repeatedly, then all controllers crash and one restarts within a second:
+   * several terms within one lease.
    */
   static final class RepeatedFailovers extends FaultScript {
     @Override
@@ -84,8 +84,8 @@
   }
 
   /**
-   * New machines are up within two seconds and get work at once while writes lag and the leader
-   * crashes.
+   * New machines boot within two seconds and are given tasks immediately, while writes are delayed
+   * and the leader crashes.
    */
   static final class FastBootsDuringFailovers extends FaultScript {
     @Override
@@ -112,12 +112,13 @@
     }
   }
 
-  /** Jobs are cancelled in the seconds of a failover, up to one every tenth of a second. */
+  /** Jobs are cancelled during failovers, up to one every 100 ms. */
   static final class CancellationsDuringFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
       initialCount = cluster.highestTerm();
-      // Records that are read slowly, in several ranges, change between two ranges.
+      // With a slow store, the new leader reads the records in several slow range reads, and
+      // records change between two of them.
       cluster.store.slowDown(30, 45 * SECOND);
       submitServices(cluster, 8);
       for (int second = 5; second < 40; second += 9) {
@@ -145,7 +146,7 @@
   }
 
   /**
-   * All controllers are down for longer than a lease, with cancellations just before and right
+   * All controllers are down for longer than a lease, with cancellations immediately before and
    * after.
    */
   static final class AllControllersDown extends FaultScript {
@@ -171,8 +172,8 @@
   }
 
   /**
-   * The leader changes ten times within a minute, also in a store outage; processes are back within
-   * a fraction of a second.
+   * The leader changes about ten times within a minute, also during a store outage; crashed
+   * processes restart within a second.
    */
   static final class LeaderFlapping extends FaultScript {
     @Override
--- a/src/test/java/madderrudder/sim/FaultCombinationsTest.java
+++ b/src/test/java/madderrudder/sim/FaultCombinationsTest.java
@@ -16,30 +16,36 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Plays each {@link FaultCombination} alone and each two of them together. Every invariant is
- * checked after each step; at the end nobody may be forgotten or left unserved; and the situation
- * must really have come about, so that no script passes without testing anything. (The store outage
- * after a confirmed cancellation has a test of its own, {@link CancellationInStoreOutageTest}.) A
- * longer search: {@code mvn -B test -Dtest=FaultCombinationsTest -DargLine=-DcombinationSeeds=100}.
+ * Runs each {@link FaultCombination} alone and each pair of them together. The invariants are
+ * checked after each step; at the end, no job may be forgotten or unserved. The intended situation
+ * must have occurred, so that no script passes without testing anything. The store outage after a
+ * confirmed cancellation has its own test, {@link CancellationInStoreOutageTest}. To run more
+ * seeds: {@code mvn -B test -Dtest=FaultCombinationsTest -DargLine=-DcombinationSeeds=100}.
  */
 @Timeout(120)
 @Execution(ExecutionMode.CONCURRENT)
 class FaultCombinationsTest {
   private static final long SEEDS = Long.getLong("combinationSeeds", 3);
 
-  /** Up to this seed each combination must come about; later seeds may leave nothing to break. */
+  /**
+   * Up to this seed, the situation of each combination must occur. With other seeds, the random
+   * load may leave nothing for a script to disturb.
+   */
   private static final int LAST_SEED_REQUIRED_TO_TAKE_EFFECT = 3;
 
-  /** How many further seeds are tried if a pair does not come about; all are checked. */
+  /**
+   * The number of further seeds to run if a pair does not take effect. The invariants are checked
+   * in each of these runs.
+   */
   private static final int MAX_FURTHER_SEEDS = 9;
 
   private static final long SECOND = SimulatedCluster.SECOND;
   private static final OperatorPolicy POLICY = SimPolicies.smallCluster(60, true, false);
 
   /**
-   * Plays the combinations one shortly after the other and checks all invariants.
+   * Injects the combinations shortly after each other and checks all invariants.
    *
-   * @return whether all of them have come about
+   * @return whether the intended situations of all of them occurred
    */
   private static boolean runAndCheck(List<FaultCombination> combinations, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, POLICY);
@@ -63,7 +69,7 @@
     assertEquals(
         1,
         cluster.controllerNames().stream().filter(cluster::isLeader).count(),
-        () -> "leaders, " + combinations + ", seed " + seed);
+        () -> "number of leaders, " + combinations + ", seed " + seed);
     return tookEffect;
   }
 
@@ -80,7 +86,7 @@
   void eachCombinationAloneKeepsInvariants(FaultCombination combination, long seed) {
     assertTrue(
         runAndCheck(List.of(combination), seed) || seed > LAST_SEED_REQUIRED_TO_TAKE_EFFECT,
-        combination + " did not come about, seed " + seed);
+        combination + " did not take effect, seed " + seed);
   }
 
   static Stream<Arguments> pairs() {
@@ -95,11 +101,11 @@
   @ParameterizedTest(name = "{0}, from seed {1}")
   @MethodSource("pairs")
   void eachPairOfCombinationsKeepsInvariants(List<FaultCombination> pair, long firstSeed) {
-    // One of them may leave nothing for the other to break; then further seeds are played, and
-    // checked as well.
+    // One script may leave nothing for the other to disturb. Further seeds are then run and checked
+    // too.
     assertTrue(
         LongStream.rangeClosed(firstSeed, firstSeed + MAX_FURTHER_SEEDS)
             .anyMatch(seed -> runAndCheck(pair, seed)),
-        pair + " did not come about from seed " + firstSeed);
+        pair + " did not take effect from seed " + firstSeed);
   }
 }
--- a/src/test/java/madderrudder/sim/FaultScript.java
+++ b/src/test/java/madderrudder/sim/FaultScript.java
@@ -9,30 +9,34 @@
 import madderrudder.protocol.Resources;
 
 /**
- * A script of faults that takes a minute of virtual time at most, and tells whether the situation
- * that it is about has come about. One instance serves one run. The order of random draws is part
- * of a script: a seed replays it only as long as the order stays.
+ * A script that injects faults within about a minute of virtual time, and tells afterwards whether
+ * the intended situation occurred. An instance serves one run. The number and order of random draws
+ * must stay as they are, since a change makes every seed a different run.
  */
 abstract class FaultScript {
   static final long SECOND = SimulatedCluster.SECOND;
   static final List<String> TEAMS = List.of("alto", "basso", "canto");
 
-  /** What each task of {@link #submitServices} takes. */
+  /** The resources of each task of {@link #submitServices}. */
   private static final Resources SERVICE_TASK = Resources.of(4, 0, 8);
 
-  /** A count when the script began, for comparison at its end. */
+  /** A count at the start of the script, for comparison at its end. */
   long initialCount;
 
-  /** How often, or how much of, what the script is about has been observed. */
+  /** How often, or to which extent, the intended situation was observed. */
   long observed;
 
-  /** Schedules the faults. */
+  /** Injects the first faults and schedules the others. */
   abstract void inject(SimulatedCluster cluster);
 
-  /** Whether the situation has come about; asked once all faults are over. */
+  /** Whether the intended situation occurred; called once all faults are over. */
   abstract boolean tookEffect(SimulatedCluster cluster);
 
-  /** Submits services of every team, more than its limit allows, and cancels them later. */
+  /**
+   * Submits {@code perTeam} services of each team, and schedules the cancellation of each 45 to 84
+   * s later. The teams reach their limits if there are enough services. Returns the ids of the
+   * services.
+   */
   static List<String> submitServices(SimulatedCluster cluster, int perTeam) {
     List<String> jobs = new ArrayList<>();
     for (int i = 0; i < TEAMS.size() * perTeam; i++) {
@@ -52,7 +56,7 @@
     return jobs;
   }
 
-  /** Those of the jobs that are live and have a task on a machine. */
+  /** Those of the jobs that are live and have a running task. */
   static List<String> runningAmong(SimulatedCluster cluster, List<String> jobs) {
     return jobs.stream()
         .filter(
@@ -61,8 +65,8 @@
   }
 
   /**
-   * Runs the action, and counts it as seen, at the first of so many seconds at which every team is
-   * at its limit.
+   * Checks every second, for the given number of seconds, whether all teams are at their limits.
+   * Runs the action, and increments {@link #observed}, the first time they are.
    */
   void whenAllTeamsAtLimit(SimulatedCluster cluster, int seconds, Runnable action) {
     if (TEAMS.stream().allMatch(team -> cluster.invariants.isAtLimit(team, SERVICE_TASK))) {
@@ -73,7 +77,10 @@
     }
   }
 
-  /** Keeps in {@link #observed} the highest value at the seconds given, the last one excluded. */
+  /**
+   * Samples the value every {@code step} seconds, from {@code fromSecond} to {@code toSecond}
+   * exclusive, and keeps the highest sample in {@link #observed}.
+   */
   void observeMax(
       SimulatedCluster cluster, int fromSecond, int toSecond, int step, LongSupplier value) {
     for (int second = fromSecond; second < toSecond; second += step) {
@@ -81,7 +88,10 @@
     }
   }
 
-  /** Partitions a worker from each controller; a coin decides each time whether it buffers. */
+  /**
+   * Partitions a worker from each controller; whether the partition buffers messages is drawn for
+   * each controller.
+   */
   static void partitionFromControllers(
       SimulatedCluster cluster, SimWorker worker, long durationMicros) {
     for (String name : cluster.controllerNames()) {
@@ -89,6 +99,7 @@
     }
   }
 
+  /** Schedules the action. */
   static void afterSeconds(SimulatedCluster cluster, int seconds, Runnable action) {
     cluster.scheduler.after(seconds * SECOND, action);
   }
--- a/src/test/java/madderrudder/sim/FreeCapacity.java
+++ b/src/test/java/madderrudder/sim/FreeCapacity.java
@@ -6,14 +6,17 @@
 import madderrudder.protocol.JobSpec;
 import madderrudder.protocol.TaskId;
 
-/** How much of a job fits on the machines as they are, by its constraints on placement. */
+/**
+ * Counts how many tasks of a job fit into the free capacity of the machines under its placement
+ * constraints.
+ */
 final class FreeCapacity {
   private FreeCapacity() {}
 
   /**
-   * How many more tasks of the job fit.
+   * The number of further tasks of the job that fit.
    *
-   * @param held the workers that hold tasks, of all jobs
+   * @param held the worker that holds each task, for the tasks of all jobs
    */
   static int tasksThatFit(JobSpec job, Map<TaskId, SimWorker> held, List<SimWorker> machines) {
     Map<String, Integer> tasksByZone = new HashMap<>();
--- a/src/test/java/madderrudder/sim/HeartbeatReplay.java
+++ b/src/test/java/madderrudder/sim/HeartbeatReplay.java
@@ -1,15 +1,15 @@
 package madderrudder.sim;
 
 /**
- * Captures copies of heartbeats and delivers them to every controller just as another one becomes
- * leader, and again seconds later, after it has acted on newer ones.
+ * Captures copies of heartbeats and delivers them to every controller right after a leader change,
+ * and again seconds later, when the new leader has acted on newer heartbeats.
  */
 final class HeartbeatReplay {
   private static final long SECOND = SimulatedCluster.SECOND;
 
   private final SimulatedCluster cluster;
 
-  /** Copies that have reached a controller. */
+  /** The number of copies delivered to controllers. */
   int delivered;
 
   HeartbeatReplay(SimulatedCluster cluster) {
@@ -17,8 +17,8 @@
   }
 
   /**
-   * Captures this share of heartbeats for the first time given, and waits for another leader for
-   * the second.
+   * Captures this share of heartbeats for {@code captureMicros}, and waits up to {@code waitMicros}
+   * for a leader of a higher term; discards the copies if there is none.
    */
   void start(double share, long captureMicros, long waitMicros) {
     cluster.network.captureHeartbeats(share, captureMicros);
--- a/src/test/java/madderrudder/sim/InvalidJobs.java
+++ b/src/test/java/madderrudder/sim/InvalidJobs.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Submissions that must be refused, each made of a valid one. */
+/** Derives submissions that must be rejected from a valid one. */
 final class InvalidJobs {
-  /** All fields but those that may be null. */
+  /** All fields of a submission except those that may be null. */
   static final List<String> REQUIRED_FIELDS =
       List.of(
           "id",
@@ -26,11 +26,14 @@
           "mark_s",
           "stow_s");
 
+  /** A regular expression for a JSON text, number, literal or flat array. */
   private static final String VALUE_PATTERN = "(?:\"[^\"]*\"|[^,}\\[]+|\\[[^\\]]*\\])";
+
+  /** Values that are invalid for every required field. */
   private static final List<String> WRONG_VALUES =
       List.of("null", "[]", "{}", "-1", "1e300", "[7]");
 
-  /** Values that no deployment can run. */
+  /** Fields with values that are invalid or that no deployment can satisfy. */
   private static final List<String[]> IMPOSSIBLE_VALUES =
       List.of(
           new String[] {"cores", "5000.0"},
@@ -44,6 +47,10 @@
 
   private InvalidJobs() {}
 
+  /**
+   * Returns the job with one random field removed, made invalid, or set to a value that can't be
+   * satisfied.
+   */
   static String from(String validJob, SplittableRandom random) {
     String field = REQUIRED_FIELDS.get(random.nextInt(REQUIRED_FIELDS.size()));
     return switch (random.nextInt(3)) {
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -22,15 +22,22 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * Checks the service's promises against what really happens in the simulation. Users, workers and
- * store report each event here, and {@link #check} runs after each step; a violation is recorded
- * with the rule's name, the virtual time and what was involved, and {@link
- * SimulatedCluster#assertNoViolations} fails on it. The rules have the names that the users' bench
- * gives them (ran_twice, ran_cancelled, quota, wrong_place, forgotten, ...).
+ * Checks that the controllers' answers and commands agree with the actual state of the simulation.
+ * The simulated users and workers report each event here, and {@link #check} runs after each step.
+ * A violation is recorded with the name of the rule, the virtual time and the objects involved;
+ * {@link SimulatedCluster#assertNoViolations} then fails. The rules have the same names as in the
+ * users' bench (ran_twice, ran_cancelled, quota, wrong_place, forgotten, ...).
  */
 final class InvariantChecker {
+  /** At the end of a run, the longest time since a user last received an answer about a job. */
   private static final long MAX_UNANSWERED_MICROS = 75 * SimulatedCluster.SECOND;
+
+  /**
+   * The longest time from the submission to the start of the largest jobs; see {@link #checkAtEnd}.
+   */
   private static final long MAX_LARGEST_JOB_START_MICROS = 240 * SimulatedCluster.SECOND;
+
+  /** The longest time for which a job may wait although there is capacity for it. */
   private static final long MAX_STARVATION_MICROS = 90 * SimulatedCluster.SECOND;
 
   private final SimScheduler scheduler;
@@ -44,8 +51,8 @@
   private final Map<TaskId, SimWorker> runningOn = new HashMap<>();
 
   /**
-   * Workers that hold a task in any state in which it may still run; they may hold it before it is
-   * on the machine.
+   * The worker that holds each task, in any state in which the task may still run, also while the
+   * machine fetches its image.
    */
   private final Map<TaskId, SimWorker> holders = new HashMap<>();
 
@@ -53,58 +60,78 @@
   private final Deque<CancelDeadline> cancelDeadlines = new ArrayDeque<>();
   final List<String> violations = new ArrayList<>();
 
-  /** Jobs that fail on every machine, and how many attempts did. */
+  /** Jobs whose attempts fail on every machine. */
   final Set<String> failingJobs = new HashSet<>();
 
+  /** The number of failed attempts of {@link #failingJobs}. */
   int failedAttempts;
 
-  /** Jobs whose tasks end one after the other, each three times the estimated time later. */
+  /**
+   * Jobs whose tasks end one after the other: on average, the run time of each exceeds that of the
+   * previous task by three times the estimate.
+   */
   final Set<String> staggeredJobs = new HashSet<>();
 
   private final Map<String, Long> submittedAtMicros = new HashMap<>();
 
-  /** When the first task of each job was on a machine, of a gang all. */
+  /**
+   * When each job started: for a gang, when all its tasks had gathered; for any other job, when its
+   * first task had its image.
+   */
   private final Map<String, Long> startedAtMicros = new HashMap<>();
 
   private final Map<String, Long> lastAnsweredAtMicros = new HashMap<>();
+
+  /** The number of task starts. */
   int starts;
 
   /**
-   * Starts that a worker refused, and stops of tasks that were then placed again: commands that the
-   * true state made needless.
+   * The number of start commands that a worker rejected. Like {@link #needlessStops}, these are
+   * commands that the actual state did not require.
    */
   int rejectedStarts;
 
+  /**
+   * The number of tasks of live jobs that a command stopped and another start followed within 30 s.
+   */
   int needlessStops;
 
-  /** Since when a job waits though there is capacity for it; checked once all faults are over. */
+  /**
+   * Since when each job has been waiting although there is capacity for it. Filled in by {@link
+   * #checkStarvation}, once all faults are over.
+   */
   private final Map<String, Long> capacitySinceMicros = new HashMap<>();
 
-  /** Called with each job whose last task has just completed. */
+  /** Called with the id of each job whose last task has just completed. */
   Consumer<String> onJobCompleted = job -> {};
 
-  /** Called with each job whose user has just learned that it is accepted, done or cancelled. */
+  /**
+   * Called with the id of a job when a user is first told that it is accepted, done or cancelled.
+   */
   Consumer<String> onStateConfirmed = job -> {};
 
   /** The longest time from the confirmation of a cancellation to the end of a task of the job. */
   long slowestCancellationMicros;
 
-  /** When tasks of jobs that nobody cancels were stopped by command. */
+  /** When a command stopped each task; only tasks of jobs that no user has asked to cancel. */
   private final Map<TaskId, Long> stoppedAtMicros = new HashMap<>();
 
-  /** The rendezvous of the workers' gang-scheduled tasks. */
+  /** The rendezvous of gang-scheduled tasks, shared by all workers. */
   final SimGangs gangs = new SimGangs();
 
   /**
-   * The machine on which the store's log places a task, or null: whoever leads next must find a
-   * start there.
+   * Returns the machine on which the store's log places a task, or null. The next leader must find
+   * each start in the log.
    */
   Function<TaskId, String> loggedMachineOf = task -> null;
 
-  /** Whether the store records that a task is done: until then its worker must. */
+  /**
+   * Whether the store records that a task is done. Until it does, the worker must keep its own
+   * record.
+   */
   Predicate<TaskId> recordsDone = task -> true;
 
-  /** A task of a cancelled job, and when it must be gone. */
+  /** A task of a cancelled job, and the time by which it must have ended. */
   private record CancelDeadline(TaskId task, long deadlineMicros) {}
 
   InvariantChecker(SimScheduler scheduler, Deployment deployment) {
@@ -120,21 +147,31 @@
     return submitted.get(job);
   }
 
+  /**
+   * Called when a user submits a job for the first time; later calls don't change the time of
+   * submission.
+   */
   void jobSubmitted(JobSpec job) {
     submitted.put(job.id(), job);
     submittedAtMicros.putIfAbsent(job.id(), scheduler.nowMicros);
   }
 
-  /** The first task of a job has its image, or all of a gang. */
+  /**
+   * Called when the first task of a job has its image or, for a gang, when all tasks have gathered.
+   */
   void jobStarted(String job) {
     startedAtMicros.putIfAbsent(job, scheduler.nowMicros);
   }
 
+  /** Called each time a user asks to cancel a job. */
   void cancellationRequested(String job) {
     cancelRequested.add(job);
   }
 
-  /** A task starts: its image is on the machine. */
+  /**
+   * Called when a task starts on a machine, which then has its image. Checks the placement, the
+   * quota and the log.
+   */
   void taskStarted(TaskId task, SimWorker machine) {
     starts++;
     Long confirmedAtMicros = cancelConfirmedAtMicros.get(task.job());
@@ -149,7 +186,8 @@
     String logged = loggedMachineOf.apply(task);
     if (!machine.id.equals(logged)) {
       recordViolation(
-          "not_written_ahead", task + " starts on " + machine.id + ", and the log names " + logged);
+          "not_written_ahead",
+          task + " starts on " + machine.id + ", but the log places it on " + logged);
     }
     JobSpec job = submitted.get(task.job());
     if (job.kind() != JobKind.GANG) {
@@ -162,7 +200,10 @@
     }
   }
 
-  /** Type, zone and purchase kind of the machine, and the job's spread over the zones. */
+  /**
+   * Checks the type, zone and purchase kind of the machine, and how the job's tasks are spread over
+   * the zones.
+   */
   private void checkPlacement(TaskId task, JobSpec job, SimWorker machine) {
     if (!FreeCapacity.isSuitable(job, machine)) {
       recordViolation("wrong_place", task + " on " + machine.id);
@@ -173,22 +214,23 @@
         if (entry.getValue().zone.equals(machine.zone)) {
           sameZone++;
         } else if (job.oneZone()) {
-          recordViolation("wrong_place", task + " in a second zone");
+          recordViolation("wrong_place", task + " in a second zone of a job bound to one zone");
         }
       }
     }
     if (sameZone > job.mostPerZone()) {
-      recordViolation("wrong_place", task + " is one too many in " + machine.zone);
+      recordViolation("wrong_place", task + " exceeds the job's limit in zone " + machine.zone);
     }
   }
 
+  /** Called when a worker accepts a start command and begins to hold the task. */
   void taskReceived(TaskId task, SimWorker machine) {
     holders.put(task, machine);
     Long at = stoppedAtMicros.remove(task);
     needlessStops += at != null && scheduler.nowMicros - at < 30 * SimulatedCluster.SECOND ? 1 : 0;
   }
 
-  /** A command stops an active task. */
+  /** Called when a command stops an active task. */
   void taskStopped(TaskId task) {
     if (!cancelRequested.contains(task.job())) {
       stoppedAtMicros.put(task, scheduler.nowMicros);
@@ -200,7 +242,7 @@
     return holders.keySet();
   }
 
-  /** The jobs whose acceptance was confirmed before the moment. */
+  /** The jobs whose acceptance was confirmed before the given time. */
   List<String> acceptedBefore(long micros) {
     return acceptedAtMicros.entrySet().stream()
         .filter(job -> job.getValue() < micros)
@@ -208,40 +250,42 @@
         .toList();
   }
 
-  /** How many tasks are on machines though the cancellation of their job is confirmed. */
+  /** The number of tasks that run although the cancellation of their job is confirmed. */
   long runningCancelledTasks() {
     return runningOn.keySet().stream()
         .filter(task -> cancelConfirmedAtMicros.containsKey(task.job()))
         .count();
   }
 
-  /** How many jobs have completed some of their tasks and not all. */
+  /** The number of jobs that have completed some of their tasks, but not all. */
   long partlyCompletedJobs() {
     return completed.entrySet().stream()
         .filter(job -> job.getValue().size() < submitted.get(job.getKey()).tasks())
         .count();
   }
 
-  /** How many tasks are on machines. */
+  /** The number of running tasks. */
   int runningTasks() {
     return runningOn.size();
   }
 
-  /** Whether the job is accepted, nobody has asked to cancel it, and it is not done. */
+  /** Whether the job is accepted, is not done, and no user has asked to cancel it. */
   boolean isLive(String job) {
     return accepted.contains(job) && !cancelRequested.contains(job) && !isDone(job);
   }
 
+  /** Called when a task ends or its worker drops it, in any state. */
   void taskRemoved(TaskId task, SimWorker machine) {
     holders.remove(task, machine);
   }
 
-  /** The machine whose worker holds the task within its lease, or null. */
+  /** The id of the machine whose worker holds the task under a valid lease, or null. */
   String holderOf(TaskId task) {
     SimWorker holder = holders.get(task);
     return holder == null || holder.leaseExpired() ? null : holder.id;
   }
 
+  /** Called when a running task ends, for any reason. */
   void taskExited(TaskId task, SimWorker machine) {
     runningOn.remove(task, machine);
     slowestCancellationMicros =
@@ -251,13 +295,14 @@
                 - cancelConfirmedAtMicros.getOrDefault(task.job(), scheduler.nowMicros));
   }
 
-  /** A worker is told to drop its record of a task that is done. */
+  /** Called when a command makes a worker drop its record of a task that is done. */
   void taskRecordDropped(TaskId task, SimWorker machine) {
     if (!recordsDone.test(task)) {
       recordViolation("forgotten_early", task + " on " + machine.id);
     }
   }
 
+  /** Called when a task has completed successfully. */
   void taskCompleted(TaskId task) {
     if (completed.computeIfAbsent(task.job(), job -> new HashSet<>()).add(task.index())
         && isDone(task.job())) {
@@ -269,10 +314,13 @@
     return completed.getOrDefault(job, Set.of()).size() == submitted.get(job).tasks();
   }
 
-  /** A request that must be refused was answered: its job can't run, or lacks a field. */
+  /**
+   * Called with the answer to a submission that must be rejected, since its job can't run or has a
+   * missing or invalid field.
+   */
   void invalidRequestAnswered(String request, int status) {
     if (status == 200 || status == 201) {
-      recordViolation("accepted_wrong", request + " got " + status);
+      recordViolation("accepted_wrong", request + " was answered with status " + status);
     }
   }
 
@@ -284,12 +332,18 @@
     return completed.getOrDefault(task.job(), Set.of()).contains(task.index());
   }
 
-  /** A user was answered about a job; an answer to a question asked earlier may well be older. */
+  /**
+   * Called with each answer to a user about a job. Answers are compared only with confirmations
+   * that preceded the request, since they may arrive out of order.
+   *
+   * @param submission whether the request was a submission
+   * @param requestedAtMicros when the request was sent
+   */
   void jobAnswered(
       String job, int status, String state, boolean submission, long requestedAtMicros) {
     if ((status == 404 && accepted.contains(job))
         || (submission && (status == 400 || status == 422) && accepted.contains(job))) {
-      recordViolation("forgotten", job + " got " + status);
+      recordViolation("forgotten", job + " was answered with status " + status);
     }
     if (status != 200 && status != 201) {
       return;
@@ -307,7 +361,7 @@
         || (cancelConfirmedAtMicros.getOrDefault(job, Long.MAX_VALUE) < requestedAtMicros
             && !cancelled)
         || (cancelled && !cancelRequested.contains(job))) {
-      recordViolation("went_back", job + " called " + state);
+      recordViolation("went_back", job + " was reported as " + state);
     }
     if (done) {
       isFirstConfirmation |= doneConfirmedAtMicros.putIfAbsent(job, scheduler.nowMicros) == null;
@@ -323,7 +377,10 @@
     }
   }
 
-  /** Sets the deadline of the job's tasks; whether the user learns of it for the first time. */
+  /**
+   * Sets the deadline for the job's tasks to end. Returns whether this is the first confirmation of
+   * the cancellation.
+   */
   private boolean recordCancellation(String job) {
     if (cancelConfirmedAtMicros.putIfAbsent(job, scheduler.nowMicros) != null) {
       return false;
@@ -336,9 +393,9 @@
   }
 
   /**
-   * To be called each second once all faults are over: no job may wait for {@link
-   * #MAX_STARVATION_MICROS} while its team is under its limit and a machine that fits has capacity;
-   * for a gang, for all that it lacks at once.
+   * Checks that no job has been waiting for longer than {@link #MAX_STARVATION_MICROS} while its
+   * team was under its limit and suitable machines had capacity for one of its waiting tasks, or
+   * for all of them if it is a gang. To be called every second once all faults are over.
    */
   void checkStarvation(List<SimWorker> machines) {
     for (String id : accepted) {
@@ -369,7 +426,7 @@
         && deployment.teams().get(job.team()).allows(usage);
   }
 
-  /** How many tasks of live jobs no worker holds. */
+  /** The number of tasks of live jobs that are not completed and that no worker holds. */
   int waitingTasks() {
     return accepted.stream()
         .filter(this::isLive)
@@ -395,12 +452,12 @@
     return machines;
   }
 
-  /** Whether a task of the given size no longer fits under the team's limit. */
+  /** Whether another task with the given resources would exceed the team's limit. */
   boolean isAtLimit(String team, Resources perTask) {
     return !deployment.teams().get(team).allows(usage(team, holders.keySet()).plus(perTask));
   }
 
-  /** The sum of what those of the tasks take that are of the team. */
+  /** The total resources of the team's tasks among those given. */
   private Resources usage(String team, Set<TaskId> tasks) {
     return tasks.stream()
         .map(task -> submitted.get(task.job()))
@@ -409,7 +466,9 @@
         .reduce(Resources.NONE, Resources::plus);
   }
 
-  /** To be called after each step: cancelled tasks must be gone by their deadline. */
+  /**
+   * Checks that no task of a cancelled job runs past its deadline. To be called after each step.
+   */
   void check() {
     while (!cancelDeadlines.isEmpty()) {
       CancelDeadline next = cancelDeadlines.peekFirst();
@@ -425,11 +484,12 @@
   }
 
   /**
-   * To be called at the end of a run, once all jobs have been polled for longer than {@link
-   * #MAX_UNANSWERED_MICROS}: each accepted job has been answered about, ended ones too; and at
-   * least half was served of each class, of each team, and of the largest jobs of each class (the
-   * tenth that takes most processors, three at least). An array is served when it ends, all else
-   * when it begins; the largest have to begin in time besides.
+   * Checks that users still receive answers about each accepted job, also about those that have
+   * ended, and that at least half of the jobs of each class, of each team, and of the largest jobs
+   * of each class were served. The largest jobs are the tenth with the most CPUs, and at least
+   * three. An array counts as served when it ends, any other job when it starts; the largest must
+   * also start within {@link #MAX_LARGEST_JOB_START_MICROS}. To be called at the end of a run,
+   * after all jobs have been polled for longer than {@link #MAX_UNANSWERED_MICROS}.
    */
   void checkAtEnd() {
     for (String job : accepted) {
@@ -439,7 +499,7 @@
             job + " was last answered at " + lastAnsweredAtMicros.get(job) / 1e6 + " s");
       }
     }
-    List<JobSpec> tasksNeeded =
+    List<JobSpec> expectedJobs =
         submitted.values().stream()
             .filter(
                 job ->
@@ -448,7 +508,7 @@
                             || startedAtMicros.containsKey(job.id())))
             .toList();
     Map<String, List<JobSpec>> groups = new TreeMap<>();
-    for (JobSpec job : tasksNeeded) {
+    for (JobSpec job : expectedJobs) {
       groups.computeIfAbsent("class " + job.jobClass(), name -> new ArrayList<>()).add(job);
       groups.computeIfAbsent("team " + job.team(), name -> new ArrayList<>()).add(job);
     }
@@ -472,10 +532,11 @@
   private void checkHalfServed(String name, List<JobSpec> jobs, Predicate<JobSpec> criterion) {
     long served = jobs.stream().filter(criterion).count();
     if (2 * served < jobs.size()) {
-      recordViolation("unserved", served + " of " + jobs.size() + " of " + name);
+      recordViolation("unserved", served + " of " + jobs.size() + " jobs served of " + name);
     }
   }
 
+  /** Whether the job started and, if it is an array that was meant to complete, is done. */
   private boolean isServed(JobSpec job) {
     return startedAtMicros.containsKey(job.id())
         && (job.kind() != JobKind.ARRAY
@@ -484,6 +545,7 @@
             || isDone(job.id()));
   }
 
+  /** Whether a user has been told that the job is done or cancelled. */
   boolean isFinished(String job) {
     return doneConfirmedAtMicros.containsKey(job) || cancelConfirmedAtMicros.containsKey(job);
   }
--- a/src/test/java/madderrudder/sim/InvariantCheckerTest.java
+++ b/src/test/java/madderrudder/sim/InvariantCheckerTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The checker must find what it is there for: each test plants a fault in the scheduler's settings
- * or in the order of events and expects the violation.
+ * Guards against a checker that misses violations: each test provokes a violation by wrong settings
+ * of the controllers or by a sequence of events, and expects the checker to record it.
  */
 @Timeout(60)
 class InvariantCheckerTest {
@@ -45,7 +45,10 @@
         .count();
   }
 
-  /** Controllers that take leases to be shorter than they are start tasks again too early. */
+  /**
+   * Controllers configured with a lease shorter than the actual one restart tasks elsewhere while
+   * they still run.
+   */
   @Test
   void checkerReportsTasksThatRunTwice() {
     Deployment.WorkerTimes wrongTimes =
@@ -61,8 +64,8 @@
   }
 
   /**
-   * Controllers that take the cancellation time to be longer than it is keep tasks alive for too
-   * long.
+   * Controllers configured with a cancellation time longer than the actual one let cancelled tasks
+   * run too long.
    */
   @Test
   void checkerReportsCancelledTasksThatKeepRunning() {
@@ -70,8 +73,8 @@
         workerTimes(SimulatedCluster.defaultWorkerTimes().leaseMicros(), 400 * SECOND);
     SimulatedCluster cluster = Scenarios.smallCluster(3, wrongTimes);
     cluster.runUntil(60 * SECOND);
-    // The leader alone is refused by the store and can't be heard by its peers; users cancel
-    // elsewhere.
+    // The store refuses the leader, which is also partitioned from the other controllers. Users
+    // cancel jobs through the others.
     for (String name : cluster.controllerNames()) {
       if (cluster.isLeader(name)) {
         cluster.store.refuse(name, 200 * SECOND);
@@ -84,10 +87,10 @@
     cluster.runUntil(200 * SECOND);
     assertTrue(
         hasViolation(cluster, "ran_cancelled"),
-        "no cancelled task ran on: " + cluster.invariants.violations);
+        "no cancelled task ran past its deadline: " + cluster.invariants.violations);
   }
 
-  /** The faults of a scheduler that are planted for {@link InvariantChecker#checkAtEnd} to find. */
+  /** Faults of a cluster scheduler that {@link InvariantChecker#checkAtEnd} must find. */
   private enum PlantedFault {
     NONE(null),
     NEVER_STARTED("unserved"),
@@ -97,7 +100,7 @@
     LARGEST_STARVED("unserved"),
     LARGEST_STARTED_LATE("unserved");
 
-    /** The rule that it violates. */
+    /** The rule that the fault violates, or null. */
     private final String rule;
 
     PlantedFault(String rule) {
@@ -146,14 +149,15 @@
     if (fault == PlantedFault.NONE) {
       assertEquals(List.of(), invariants.violations);
     } else {
-      assertNotEquals(List.of(), invariants.violations, () -> fault + " was not found");
-      assertTrue(hasViolation(cluster, fault.rule), () -> "only " + invariants.violations);
+      assertNotEquals(List.of(), invariants.violations, () -> fault + " was not recorded");
+      assertTrue(
+          hasViolation(cluster, fault.rule), () -> "recorded instead: " + invariants.violations);
     }
   }
 
   /**
-   * Once nothing is placed any more, jobs wait though there is capacity, and are found; a job that
-   * waits at its team's limit is not.
+   * After all controllers have crashed, jobs wait although there is capacity, and the checker
+   * reports them. It does not report a job that waits because its team is at its limit.
    */
   @ParameterizedTest(name = "capacity {0}")
   @ValueSource(booleans = {false, true})
@@ -172,14 +176,17 @@
               .build());
     }
     cluster.runUntil(60 * SECOND);
-    assertEquals(capacity ? 2 : 1, cluster.invariants.runningTasks(), "the limit is 20 processors");
+    assertEquals(
+        capacity ? 2 : 1,
+        cluster.invariants.runningTasks(),
+        "running tasks under a limit of 20 CPUs");
     if (capacity) {
       cluster.crashAll(1_000 * SECOND);
     }
     cluster.runUntil(90 * SECOND);
     cluster.checkStarvationEverySecond();
     cluster.runUntil(200 * SECOND);
-    assertEquals(capacity ? 2 : 0, violationCount(cluster, "left_waiting"), "jobs found waiting");
+    assertEquals(capacity ? 2 : 0, violationCount(cluster, "left_waiting"), "starved jobs");
   }
 
   @Test
--- a/src/test/java/madderrudder/sim/JobSpecBuilder.java
+++ b/src/test/java/madderrudder/sim/JobSpecBuilder.java
@@ -6,9 +6,9 @@
 import madderrudder.protocol.Resources;
 
 /**
- * Builds the jobs that scenarios submit besides the random ones. Unless set otherwise, a job is an
- * array of one task of team {@link SimUsers#GUEST_TEAM}, of high priority, that may run anywhere,
- * on spot machines too.
+ * Builds the jobs that scenarios submit in addition to the random ones. By default, a job is an
+ * array of one task of team {@link SimUsers#GUEST_TEAM} with high priority, and may run in any zone
+ * and on spot machines.
  */
 final class JobSpecBuilder {
   private final String id;
@@ -53,7 +53,7 @@
     return this;
   }
 
-  /** What each task takes. */
+  /** The resources of each task. */
   JobSpecBuilder perTask(double cpus, double memoryGb) {
     perTask = Resources.of(cpus, 0, memoryGb);
     return this;
@@ -71,7 +71,7 @@
     return this;
   }
 
-  /** Whether all tasks must be in the same zone, whichever it is. */
+  /** Whether all tasks must run in the same zone, which may be any. */
   JobSpecBuilder oneZone(boolean oneZone) {
     this.oneZone = oneZone;
     return this;
--- a/src/test/java/madderrudder/sim/LeaderFailoverTest.java
+++ b/src/test/java/madderrudder/sim/LeaderFailoverTest.java
@@ -14,12 +14,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leaders that crash, are cut off or are replaced, and what their successors must not do. */
+/**
+ * Leaders that crash, are partitioned or are replaced. Guards against successors that run tasks
+ * twice or end tasks because of outdated information.
+ */
 @Timeout(60)
 class LeaderFailoverTest {
   private static final long SECOND = SimulatedCluster.SECOND;
 
-  /** A leader that no worker could reach once kept leading until all leases had expired. */
+  /**
+   * Guards against a leader that no worker can reach and that keeps its leadership until all worker
+   * leases have expired.
+   */
   @Test
   void leaderUnreachableByWorkersIsReplaced() {
     SimulatedCluster cluster = Scenarios.smallCluster(2);
@@ -30,16 +36,16 @@
     assertTrue(
         cluster.controllerNames().stream()
             .anyMatch(name -> cluster.isLeader(name) && !name.equals(unreachable)),
-        "no other controller leads");
+        "no other controller became leader");
     cluster.runUntil(130 * SECOND);
-    cluster.assertNoViolations("leader unreached by workers");
+    cluster.assertNoViolations("leader unreachable by workers");
   }
 
   /**
-   * Heartbeats of two epochs, delayed until another led, once made it take for lost what the leader
-   * before had started in the later epoch: a seed of the random faults had those tasks run twice.
-   * Nor may a late report of a task's exit end anything: its worker may have been told since to
-   * start the same attempt again.
+   * Guards against tasks that run twice: heartbeats from two epochs, delayed until after a
+   * failover, made the new leader consider the tasks lost that its predecessor had started in the
+   * later epoch. A delayed report that a task has ended must have no effect either, since the
+   * worker may meanwhile have been commanded to start the same attempt again.
    */
   @ParameterizedTest(name = "seed {0}, exits {1}")
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "1,true", "2,true"})
@@ -52,26 +58,29 @@
             .orElseThrow();
     assertTrue(
         cluster.invariants.tasksOn(busiest) > 2,
-        "only " + cluster.invariants.tasksOn(busiest) + " tasks to lose, seed " + seed);
+        "only "
+            + cluster.invariants.tasksOn(busiest)
+            + " tasks on the busiest machine, seed "
+            + seed);
     String crashedLeader = cluster.leader();
     cluster.crash(crashedLeader, 30 * SECOND);
     cluster
         .controllerNames()
         .forEach(name -> cluster.network.partition(name, busiest.id, false, 9 * SECOND));
     cluster.runUntil(49 * SECOND);
-    assertNotEquals(crashedLeader, cluster.leader(), "leader, seed " + seed);
+    assertNotEquals(crashedLeader, cluster.leader(), "new leader, seed " + seed);
     for (int epoch = 0; epoch < 2; epoch++) {
       cluster.deliverLateHeartbeat(
           cluster.leader(), busiest, tasksFailed ? busiest.epoch() : epoch, epoch, tasksFailed);
       cluster.runUntil((50 + epoch) * SECOND);
     }
     cluster.runUntil(70 * SECOND);
-    cluster.assertNoViolations("late heartbeats, exits " + tasksFailed);
+    cluster.assertNoViolations("late heartbeats, tasks failed " + tasksFailed);
   }
 
   /**
-   * While nobody can be elected, and the leader has crashed, workers keep their tasks within the
-   * grants.
+   * Guards against lost tasks when the leader crashes in a store outage: no successor can be
+   * elected, and the leader's delegates renew worker leases within their grants.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 4, 5})
@@ -87,15 +96,17 @@
     assertTrue(
         epochs.entrySet().stream()
             .allMatch(e -> e.getKey().isTerminated() || e.getKey().epoch() == e.getValue()),
-        "a lease expired, seed " + seed);
+        "a worker lease expired, seed " + seed);
     cluster.runUntil(160 * SECOND);
     cluster.assertNoViolations("leader crashed in a store outage");
   }
 
   /**
-   * Once all other controllers know of a new term, none answers for an earlier one. One that has
-   * confirmed this and crashes at once may be followed by a process that does not know it, and gets
-   * a grant of the old leader. Its workers' tasks were placed elsewhere.
+   * Guards against tasks that run twice. A new leader may place tasks elsewhere once every other
+   * controller has acknowledged its term and no longer answers heartbeats for an earlier one. A
+   * delegate that acknowledges the term and crashes may restart without knowledge of it, and
+   * receive a grant from the old leader: it then renews leases of workers whose tasks have been
+   * placed elsewhere.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
@@ -119,8 +130,8 @@
         worker ->
             List.of(oldLeader, nextLeader)
                 .forEach(name -> cluster.network.partition(name, worker.id, false, 60 * SECOND)));
-    // While such a job has tasks on workers that nobody hears of, the next leader grants nothing,
-    // and waits for no grant of its own.
+    // While a cancelled job has tasks on unreachable workers, the next leader issues no grants and
+    // has none to wait for.
     cluster.users.cancelRunning(1);
     while (!cluster.isLeader(nextLeader) && cluster.scheduler.nowMicros < 68 * SECOND) {
       cluster.runUntil(cluster.scheduler.nowMicros + SECOND / 10);
@@ -129,7 +140,8 @@
     cluster.runUntil(cluster.scheduler.nowMicros + SECOND);
     cluster.network.partition(delegate, nextLeader, false, 60 * SECOND);
     cluster.crash(delegate, SECOND / 2);
-    // It hears the old leader alone, until that one hears of the new term.
+    // The restarted delegate receives messages of the old leader only, until the old leader
+    // receives the new term.
     cluster.runUntil(67_400_000);
     cluster.network.partition(oldLeader, delegate, false, 60 * SECOND);
     cluster.runUntil(120 * SECOND);
@@ -140,15 +152,16 @@
                     !worker.isTerminated()
                         && worker.answeredHeartbeats > 0
                         && !worker.leaseExpired()),
-        "no worker was kept by the new process, seed " + seed);
+        "the restarted delegate renewed no worker lease, seed " + seed);
     cluster.assertNoViolations("restarted delegate, before its workers are reached again");
     cluster.runUntil(300 * SECOND);
     cluster.assertNoViolations("restarted delegate");
   }
 
   /**
-   * A controller that starts in a store outage learns from the others who leads, though workers
-   * have told it of the term before: it once sent workers nowhere until the store was back.
+   * Guards against a controller that can't redirect workers during a store outage: it starts in the
+   * outage, and must learn from its peers which controller is the leader, even if it has already
+   * received the term in heartbeats of workers.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
+++ b/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The check whether jobs are still live, which controllers make before they answer users: questions
- * are batched, and each rests on a request sent after it.
+ * The check whether jobs are still live, which a controller makes before it answers a user. Queries
+ * are batched into store requests, and the answer to a query comes from a request sent after the
+ * query.
  */
 class LiveJobCheckerTest {
   private final List<HttpRequest> requests = new ArrayList<>();
@@ -53,7 +54,10 @@
         .accept(HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** A request for each poll once used up the store's rate limit, and submissions were delayed. */
+  /**
+   * Guards against one store request per poll, which exhausted the store's rate limit and delayed
+   * submissions.
+   */
   @Test
   void questionsDuringRequestAreBatched() {
     ask(0, 1);
@@ -73,8 +77,8 @@
   }
 
   /**
-   * Queued behind a request that timed out, for a time-out of their own, users once had given up
-   * before they were answered.
+   * Guards against queries that wait behind a request that times out, and then for a timeout of
+   * their own: users gave up before they were answered.
    */
   @Test
   void questionsAreNotQueuedBehindUnresponsiveStore() {
@@ -88,8 +92,8 @@
   }
 
   /**
-   * An answer must not be older than its question: a question asked while a request is under way
-   * waits for the next request.
+   * Guards against outdated answers: a query that arrives while a request is in flight waits for
+   * the next request.
    */
   @Test
   void questionIsNotAnsweredByEarlierRequest() {
--- a/src/test/java/madderrudder/sim/LoopbackServices.java
+++ b/src/test/java/madderrudder/sim/LoopbackServices.java
@@ -13,7 +13,8 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * The simulated store and cloud, driven by a real clock so that a real process can talk to them.
+ * The simulated store and cloud, driven by a real clock, so that a real process can use them over
+ * loopback connections.
  */
 public final class LoopbackServices {
   private static final long STEP_MICROS = 2_000;
@@ -22,7 +23,10 @@
   private final SimStore store;
   private final SimCloud cloud;
 
-  /** Starts both; {@code real} drives their virtual time and must be the thread that calls them. */
+  /**
+   * Starts both services. {@code realClock} drives their virtual time; all calls must come from its
+   * thread.
+   */
   public LoopbackServices(Scheduler realClock) {
     Deployment deployment =
         new Deployment(
@@ -51,13 +55,13 @@
         STEP_MICROS, () -> scheduler.runUntil(realClock.nowMicros() - startMicros, () -> {}));
   }
 
-  /** The state service; to be called on the scheduler's thread. */
+  /** The handler of the store's requests; to be called on the scheduler's thread. */
   public HttpHandler store() {
     HttpHandler endpoint = store.endpointFor("n-0");
     return (HttpRequest request, Consumer<HttpResponse> answer) -> endpoint.handle(request, answer);
   }
 
-  /** The cloud provider; to be called on the scheduler's thread. */
+  /** The handler of the cloud's requests; to be called on the scheduler's thread. */
   public HttpHandler cloud() {
     return cloud;
   }
--- a/src/test/java/madderrudder/sim/NetworkFaults.java
+++ b/src/test/java/madderrudder/sim/NetworkFaults.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Scripts of messages that come late, twice or not at all. See {@link FaultCombination}. */
+/** Scripts with messages that are delayed, duplicated or lost. See {@link FaultCombination}. */
 final class NetworkFaults {
   private NetworkFaults() {}
 
   /**
-   * Copies of heartbeats arrive after newer ones, up to four leases late, at old and new leaders
-   * and at other controllers.
+   * Copies of heartbeats arrive up to four leases late, after newer ones, at any controller, leader
+   * or not.
    */
   static final class LateHeartbeats extends FaultScript {
     @Override
@@ -32,7 +32,7 @@
     }
   }
 
-  /** The leader crashes while some machines can't be reached, or receive no answer. */
+  /** The leader crashes while some machines are partitioned or receive no messages. */
   static final class FailoverWithUnreachableMachines extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -56,7 +56,8 @@
   }
 
   /**
-   * The leader keeps only its workers and users, while jobs are cancelled through its successor.
+   * The leader is partitioned from the store and the other controllers, but not from workers and
+   * users, while jobs are cancelled through its successor.
    */
   static final class IsolatedLeaderDuringCancellations extends FaultScript {
     @Override
@@ -74,7 +75,7 @@
   }
 
   /**
-   * Commands and answers are buffered for seconds and then delivered; machines hang for almost a
+   * Commands and replies are buffered for seconds and then delivered; machines hang for almost a
    * lease.
    */
   static final class DelayedCommands extends FaultScript {
@@ -111,8 +112,8 @@
   }
 
   /**
-   * Old heartbeats reach every controller just as another one becomes leader, and again after it
-   * has acted.
+   * Old heartbeats reach every controller right after a leader change, and again after the new
+   * leader has acted.
    */
   static final class HeartbeatsReplayedToNextLeader extends FaultScript {
     @Override
@@ -124,8 +125,9 @@
             cluster,
             second,
             () -> cluster.replayHeartbeatsToNextLeader(0.5, 9 * SECOND, 17 * SECOND));
-        // The captured heartbeats don't show what is started after them and cancelled just before
-        // the leader crashes; all teams are at their limits, and other jobs wait for the capacity.
+        // Services that start after the capture and are cancelled just before the leader crashes
+        // are missing from the captured heartbeats. All teams are at their limits, so that other
+        // jobs wait for the capacity.
         afterSeconds(
             cluster,
             second + 9,
@@ -162,7 +164,10 @@
     }
   }
 
-  /** Workers can't open connections to any controller, while direct commands still reach them. */
+  /**
+   * Workers can't open connections to any controller, but still receive commands that a controller
+   * sends them.
+   */
   static final class OutboundBlockedWorkers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -190,8 +195,8 @@
   }
 
   /**
-   * A zone with workers and a controller is partitioned for longer than a lease, with the leader in
-   * it or without.
+   * A zone with workers and a controller is partitioned for longer than a lease; the leader may be
+   * inside or outside.
    */
   static final class ZonePartitioned extends FaultScript {
     @Override
@@ -200,8 +205,8 @@
       String otherZone = leaderZone.equals("east") ? "west" : "east";
       String zone = cluster.scheduler.chance(0.3) ? leaderZone : otherZone;
       initialCount = cluster.epochsOfBusyWorkers(zone).size();
-      // The controller that answers for the leader there doesn't know of what is cancelled while
-      // its machine hangs.
+      // The controller that is the leader's delegate in the zone has no information about jobs that
+      // are cancelled while their machines hang.
       cluster
           .epochsOfBusyWorkers(zone)
           .keySet()
--- a/src/test/java/madderrudder/sim/PartialFailuresTest.java
+++ b/src/test/java/madderrudder/sim/PartialFailuresTest.java
@@ -25,9 +25,9 @@
 
 /**
  * Partial failures: one-way partitions, duplicated messages, isolated controllers, processes that
- * flap and machines that restart. Each is played alone, beside another, beside a crash of the
- * leader and beside a store outage. Every invariant is checked after each step, and at the end that
- * nobody was forgotten and everybody served. A longer search: {@code mvn -B test
+ * crash repeatedly and machines that restart. Each is injected alone, with another one, with a
+ * crash of the leader and with a store outage. All invariants are checked after each step; at the
+ * end, no job may be forgotten or unserved. To run more seeds: {@code mvn -B test
  * -Dtest=PartialFailuresTest -DargLine=-DpartialSeeds=500}.
  */
 @Timeout(60)
@@ -35,10 +35,15 @@
   private static final long SEEDS = Long.getLong("partialSeeds", 5);
   private static final long SECOND = SimulatedCluster.SECOND;
   private static final OperatorPolicy POLICY = SimPolicies.smallCluster(60, true, false);
+
+  /** A duration beyond the end of every run. */
   private static final long REST_OF_RUN_MICROS = 1_000 * SECOND;
+
   private static final long[] DURATIONS_MICROS = {5 * SECOND, 25 * SECOND, REST_OF_RUN_MICROS};
 
-  /** A partial failure; those that may last for the rest of the run do with each third seed. */
+  /**
+   * A partial failure. The seed selects one of {@link #DURATIONS_MICROS}; some failures limit it.
+   */
   private enum PartialFailure {
     ONE_MACHINE_INBOUND_BLOCKED {
       @Override
@@ -94,7 +99,10 @@
         cluster.flap(cluster.leader());
       }
     },
-    /** The leader crashes, and then whoever stands for election, again and again. */
+    /**
+     * The leader crashes, and then all controllers crash repeatedly while a successor is being
+     * elected.
+     */
     CANDIDATES_FLAPPING {
       @Override
       void inject(SimulatedCluster cluster, long durationMicros) {
@@ -121,7 +129,7 @@
     abstract void inject(SimulatedCluster cluster, long durationMicros);
   }
 
-  /** What goes wrong besides. */
+  /** A fault injected two seconds after the partial failure. */
   private enum AdditionalFault {
     NONE,
     LEADER_CRASHES,
@@ -169,7 +177,7 @@
                                 .map(additional -> Arguments.of(failure, additional, seed))));
   }
 
-  @ParameterizedTest(name = "{0} beside {1}, seed {2}")
+  @ParameterizedTest(name = "{0} with {1}, seed {2}")
   @MethodSource("failures")
   @Timeout(20)
   void partialFailureWithAnotherFaultKeepsInvariants(
@@ -182,7 +190,7 @@
       case STORE_OUTAGE -> cluster.store.outage(12 * SECOND);
       case NONE -> {}
     }
-    assertEveryJobServedAtEnd(cluster, failure + " beside " + additional);
+    assertEveryJobServedAtEnd(cluster, failure + " with " + additional);
   }
 
   static Stream<Arguments> pairs() {
@@ -206,9 +214,9 @@
   }
 
   /**
-   * The tasks of a machine that no reply reaches any more run elsewhere two leases and a few
-   * heartbeats later, and nothing is started there in vain. What an earlier leader had started
-   * there once stayed recorded for the rest of the run.
+   * Guards against tasks that remain recorded on a machine that receives no replies, as happened
+   * with tasks that an earlier leader had started there. Two leases and a few heartbeats later, no
+   * live task may be recorded there.
    */
   @ParameterizedTest(name = "leader crashes {0}")
   @ValueSource(booleans = {false, true})
@@ -219,12 +227,12 @@
       SimWorker unreachable = busiest(cluster);
       assertTrue(
           cluster.invariants.tasksOn(unreachable) > 1,
-          "only " + cluster.invariants.tasksOn(unreachable) + " tasks to lose");
+          "only " + cluster.invariants.tasksOn(unreachable) + " tasks on the busiest machine");
       cluster.network.blockInbound(unreachable.id, REST_OF_RUN_MICROS);
       if (leaderCrashes) {
         cluster.crash(cluster.leader(), 3 * SECOND);
       }
-      // A worker that gets no reply sends a heartbeat each five seconds, to each controller in
+      // A worker that gets no replies sends a heartbeat every five seconds, to each controller in
       // turn.
       long suspected = 0;
       for (int second = 65; second <= 110; second++) {
@@ -242,15 +250,18 @@
                 .filter(task -> unreachable.id.equals(cluster.store.placementLog.machineOf(task)))
                 .filter(task -> cluster.invariants.isLive(task.job()))
                 .collect(Collectors.toSet());
-        assertEquals(Set.of(), recordedTasks, "recorded at " + second + " s, seed " + seed);
+        assertEquals(
+            Set.of(),
+            recordedTasks,
+            "live tasks recorded on the machine at " + second + " s, seed " + seed);
       }
       cluster.assertNoViolations("inbound blocked, leader crashes " + leaderCrashes);
     }
   }
 
   /**
-   * A late copy of a heartbeat does not bring back a machine that was returned: nothing is placed
-   * there.
+   * Guards against tasks placed on a machine that no longer exists: a delayed heartbeat of a
+   * returned machine reaches a new leader.
    */
   @Test
   void lateHeartbeatsDoNotReviveReturnedMachine() {
@@ -268,14 +279,14 @@
       assertTrue(
           cluster.store.placementLog.placedTasks().stream()
               .noneMatch(task -> returned.id.equals(cluster.store.placementLog.machineOf(task))),
-          "a task is placed there at " + second + " s");
+          "a task is placed on the returned machine at " + second + " s");
     }
     cluster.assertNoViolations("late heartbeats of a returned machine");
   }
 
   /**
-   * Heartbeats that can't be true are refused, or taken for what they say, and disturb nothing
-   * else.
+   * Heartbeats with impossible values are either rejected or answered, and have no effect on other
+   * jobs, machines or the leadership.
    */
   @Test
   void impossibleHeartbeatsHaveNoEffect() {
@@ -309,12 +320,14 @@
     assertEquals(leader, cluster.leader());
     int starts = cluster.invariants.starts;
     assertEveryJobServedAtEnd(cluster, "impossible heartbeats");
-    assertTrue(cluster.invariants.starts > starts + 20, "nothing runs any more, seed 1");
+    assertTrue(
+        cluster.invariants.starts > starts + 20,
+        "too few tasks were started after the heartbeats, seed 1");
   }
 
   /**
-   * A controller without store and peers sends users and workers elsewhere, reports itself
-   * unhealthy at once, and serves again afterwards.
+   * A controller without access to the store and its peers answers users with status 503, reports
+   * itself unhealthy within ten seconds, and serves requests again once it is reconnected.
    */
   @ParameterizedTest(name = "leader {0}")
   @ValueSource(booleans = {false, true})
@@ -329,7 +342,8 @@
       assertTrue(
           name.equals(isolated) || cluster.awaitStatus(name, "/healthz", SECOND) == 200, name);
     }
-    // One request probes whether the store is back; those beside it don't wait for it.
+    // One request probes whether the store is available again; concurrent requests don't wait for
+    // it.
     String job =
         cluster.users.submitted.stream()
             .filter(id -> !cluster.invariants.isFinished(id))
@@ -340,7 +354,7 @@
       cluster.requestStatus(isolated, "/v1/jobs/" + job, answers::add);
     }
     cluster.runUntil(cluster.scheduler.nowMicros + SECOND / 2);
-    assertTrue(answers.size() >= 4, "only " + answers);
+    assertTrue(answers.size() >= 4, "answers: " + answers);
     assertEquals(Set.of(503), Set.copyOf(answers));
     cluster.runUntil(106 * SECOND);
     assertEquals(200, cluster.awaitStatus(isolated, "/healthz", SECOND));
@@ -348,9 +362,9 @@
   }
 
   /**
-   * One array of 25,000 tasks of a quarter of a processor beside the ordinary load, leaders
-   * crashing in the middle of it: it completes, nobody else is starved, and heartbeats, replies,
-   * values and rates keep within their bounds, which the simulated services check.
+   * An array of 25,000 tasks of a quarter of a CPU each, together with the ordinary load and two
+   * crashes of the leader. The array completes, no other job is starved, and heartbeats, replies,
+   * stored values and request rates stay within their bounds, which the simulated services check.
    */
   @Test
   void hugeArrayCompletesWithOrdinaryJobs() {
@@ -378,8 +392,8 @@
   }
 
   /**
-   * A store outage that empties the machines does not have them returned: waiting jobs find them
-   * there when it is over.
+   * Guards against the return of machines that a store outage has emptied: jobs that wait for the
+   * end of the outage need them.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2, 3, 5})
@@ -390,7 +404,8 @@
     assertTrue(rented.size() > 1, "only " + rented.size() + " machines are rented");
     cluster.store.outage(60 * SECOND);
     cluster.runUntil(118 * SECOND);
-    assertEquals(0, cluster.invariants.runningTasks(), "leases last longer than thought");
+    assertEquals(
+        0, cluster.invariants.runningTasks(), "tasks that still run after all leases expired");
     cluster.runUntil(126 * SECOND);
     assertEquals(
         List.of(),
--- a/src/test/java/madderrudder/sim/PlacementLog.java
+++ b/src/test/java/madderrudder/sim/PlacementLog.java
@@ -12,9 +12,9 @@
 import madderrudder.protocol.TaskId;
 
 /**
- * What the controllers' log in the store says of placements, read as a new leader would read it. A
- * task on two machines at once, or placed while another worker holds it, is a violation: the next
- * leader could start it twice.
+ * The placements in the controllers' log, read from the store as a new leader reads them. It is a
+ * violation if the log places a task on two machines at once, or on one machine while another
+ * worker holds it, since the next leader could then start the task twice.
  */
 final class PlacementLog {
   private final List<String> violations;
@@ -22,7 +22,8 @@
   private final Map<TaskId, String> placements = new HashMap<>();
 
   /**
-   * Which machine's worker holds a task, or null: while one does, it may be placed nowhere else.
+   * Returns the machine whose worker holds a task, or null. While a worker holds a task, the log
+   * must not place it on another machine.
    */
   Function<TaskId, String> holderOf = task -> null;
 
@@ -30,7 +31,7 @@
     this.violations = violations;
   }
 
-  /** Reads the segments among the writes of a transaction. */
+  /** Applies the log segments among the writes of a transaction. */
   void applyWrites(List<JsonFields> writes) throws MalformedMessageException {
     boolean segmentWritten = false;
     for (JsonFields write : writes) {
@@ -45,6 +46,7 @@
     }
   }
 
+  /** Recomputes the placements from all segments, and checks them. */
   private void replay() {
     Map<TaskId, String> previous = Map.copyOf(placements);
     placements.clear();
@@ -52,18 +54,18 @@
       String otherMachine = placements.put(entry.task(), entry.machine());
       if (otherMachine != null) {
         violations.add(
-            entry.task() + " is named on " + otherMachine + " and on " + entry.machine());
+            entry.task() + " is placed on " + otherMachine + " and on " + entry.machine());
       }
       String holder =
           entry.machine().equals(previous.get(entry.task())) ? null : holderOf.apply(entry.task());
       if (holder != null && !holder.equals(entry.machine())) {
         violations.add(
-            entry.task() + " is placed on " + entry.machine() + " while " + holder + " has it");
+            entry.task() + " is placed on " + entry.machine() + " while " + holder + " holds it");
       }
     }
   }
 
-  /** The tasks that the log places somewhere. */
+  /** The tasks that the log places on a machine. */
   Set<TaskId> placedTasks() {
     return placements.keySet();
   }
--- a/src/test/java/madderrudder/sim/RandomFaults.java
+++ b/src/test/java/madderrudder/sim/RandomFaults.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Draws faults and injects them into a cluster. The cases are numbered and each draws in a fixed
- * order, since both are part of what a seed replays.
+ * Injects random faults into a cluster. The numbers of the cases and the order of the random draws
+ * in each must stay as they are, since a change makes every seed a different run.
  */
 final class RandomFaults {
   private final SimulatedCluster cluster;
@@ -26,7 +26,7 @@
     users = cluster.users;
   }
 
-  /** Injects one random fault, which lasts for half a minute at most. */
+  /** Injects one random fault, which lasts for about half a minute at most. */
   void inject() {
     long durationMicros = SECOND * (2 + scheduler.random.nextLong(30));
     boolean buffered = scheduler.chance(0.6);
@@ -59,8 +59,8 @@
               cluster.deployment.zones().get(scheduler.random.nextInt(2)),
               buffered,
               durationMicros);
-      // For longer than a lease or not; each controller restarts by itself, and may crash again
-      // soon after.
+      // The controllers restart independently, after more or less than a lease, and the first one
+      // may crash again soon after its restart.
       case 14 -> {
         cluster.crashAll(
             durationMicros, 2 * SECOND + scheduler.random.nextLong(30 * SECOND), SECOND);
@@ -118,8 +118,8 @@
   }
 
   /**
-   * The store refuses the leader alone while users cancel, and then everybody, mostly for longer
-   * than the cancellation time.
+   * Has the store refuse the leader alone while users cancel jobs, and then become unavailable to
+   * all clients for 0.5 to 1.2 times the cancellation time.
    */
   private void refuseLeaderThenAll() {
     store.refuse(cluster.leader(), SECOND + scheduler.random.nextLong(12 * SECOND));
@@ -133,7 +133,10 @@
                         * (0.5 + 0.7 * scheduler.random.nextDouble()))));
   }
 
-  /** One machine, a tenth of them or a zone sends heartbeats, and nothing reaches it. */
+  /**
+   * Blocks all messages to one machine, to a tenth of the machines or to a zone, while the
+   * heartbeats of these machines still arrive.
+   */
   private void blockInboundOfSome(List<SimWorker> workers, long durationMicros) {
     int scope = scheduler.random.nextInt(3);
     String zone = cluster.deployment.zones().get(scheduler.random.nextInt(2));
--- a/src/test/java/madderrudder/sim/RandomFaultsTest.java
+++ b/src/test/java/madderrudder/sim/RandomFaultsTest.java
@@ -11,22 +11,23 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Random users and random faults, with every invariant checked after each step. A failure names its
- * seed. A longer search: {@code mvn -B test -Dtest=RandomFaultsTest -DargLine="-Dseeds=500
- * -DlargeSeeds=50"}.
+ * Random load and random faults, with all invariants checked after each step. A failure message
+ * contains the seed. To run more seeds: {@code mvn -B test -Dtest=RandomFaultsTest
+ * -DargLine="-Dseeds=500 -DlargeSeeds=50"}.
  */
 @Timeout(60)
 class RandomFaultsTest {
   private static final long SECOND = SimulatedCluster.SECOND;
 
-  /** The last faults last for half a minute. */
+  /** The last random faults, which last for up to half a minute, have ended by then. */
   private static final long FAULTS_OVER_MICROS = 250 * SECOND;
 
   private static final long CANCEL_AT_MICROS = 340 * SECOND;
   private static final long END_MICROS = 460 * SECOND;
 
   static LongStream seeds() {
-    // In the last one a task was forgotten whose end was not yet recorded.
+    // With seed 272, a worker was commanded to drop its record of a finished task before the store
+    // recorded the end.
     return LongStream.concat(
         LongStream.rangeClosed(1, Long.getLong("seeds", 16)), LongStream.of(272));
   }
@@ -52,14 +53,14 @@
     InvariantChecker invariants = cluster.invariants;
     cluster.assertNoViolations("random faults");
     assertTrue(invariants.starts > 50, "only " + invariants.starts + " starts, seed " + seed);
-    // Twenty attempts of a job of eight tasks, through all failovers; there are four such jobs in a
-    // run or so.
+    // Allows for 20 attempts of each failing job, which has up to eight tasks, across all
+    // failovers. A run has about four such jobs.
     assertTrue(
         invariants.failedAttempts <= 20 * Math.max(1, invariants.failingJobs.size()),
         invariants.failedAttempts
             + " attempts of "
             + invariants.failingJobs.size()
-            + " jobs that fail everywhere, seed "
+            + " jobs that fail on every machine, seed "
             + seed);
     List<String> unfinished =
         cluster.users.submitted.stream().filter(job -> !invariants.isFinished(job)).toList();
@@ -67,9 +68,9 @@
   }
 
   /**
-   * Hundreds of machines and arrays of hundreds of tasks: the same invariants hold, and the run
-   * ends in time. Records that were dropped late once let a new leader find a task in two of them,
-   * and start it at both.
+   * Runs with hundreds of machines and arrays of hundreds of tasks keep the same invariants and
+   * complete within the test's timeout. Guards against records that are deleted late: a new leader
+   * found a task in two records and started it on both machines.
    */
   @ParameterizedTest(name = "seed {0}")
   @MethodSource("largeSeeds")
@@ -84,8 +85,8 @@
     for (int second = 25; second < 80; second += 8) {
       cluster.scheduler.after(second * SECOND, faults::inject);
     }
-    // A random run has some of the faults; these, which come to all machines at once, each run
-    // here has.
+    // Each run injects these faults, which affect all machines at once, in addition to the random
+    // ones.
     cluster.scheduler.after(
         30 * SECOND, () -> cluster.partitionZone("west", seed % 4 == 1, 25 * SECOND));
     cluster.scheduler.after(40 * SECOND, () -> cluster.pause(cluster.leader(), 8 * SECOND));
@@ -105,8 +106,8 @@
   }
 
   /**
-   * Gangs gather, run, lose tasks and see failovers in each phase of these runs; some must get as
-   * far as to run.
+   * Faults hit gangs while they gather and while they run; enough gangs must still gather
+   * completely and start to run.
    */
   @Test
   void gangsRunDespiteRandomFaults() {
--- a/src/test/java/madderrudder/sim/RateLimit.java
+++ b/src/test/java/madderrudder/sim/RateLimit.java
@@ -3,8 +3,8 @@
 import madderrudder.coordination.policy.Deployment;
 
 /**
- * The store's rate limits as two token buckets, of requests and of writes; each holds a second's
- * worth at most.
+ * The store's rate limits: two token buckets, for requests and for writes. Each holds at most the
+ * tokens of one second.
  */
 final class RateLimit {
   private final double requestsPerSecond;
@@ -20,7 +20,10 @@
     writeTokens = writesPerSecond;
   }
 
-  /** Takes the tokens of one request with so many writes, or none if there are too few. */
+  /**
+   * Takes the tokens of one request with the given number of writes. Takes none and returns false
+   * if either bucket has too few.
+   */
   boolean tryAcquire(int writes, long nowMicros) {
     double seconds = (nowMicros - refilledAtMicros) / 1e6;
     refilledAtMicros = nowMicros;
--- a/src/test/java/madderrudder/sim/RunTimeLearningTest.java
+++ b/src/test/java/madderrudder/sim/RunTimeLearningTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What controllers learn of run times survives failovers, and costs few writes. */
+/**
+ * Guards against learned run times that are lost at a failover, written by a replaced leader, or
+ * that take a large share of the store's write rate.
+ */
 @Timeout(60)
 class RunTimeLearningTest {
   private static final long SECOND = SimulatedCluster.SECOND;
@@ -53,17 +56,17 @@
     failOver(cluster, 128);
     JsonFields after = runTimeMetrics(cluster);
     assertTrue(
-        after.count("learned") < 8, "already it has itself learned " + after.count("learned"));
+        after.count("learned") < 8, "the new leader has itself learned " + after.count("learned"));
     assertTrue(
         learnedSweepRuns(cluster) >= 8,
-        "only " + learnedSweepRuns(cluster) + " runs known after the failover");
+        "only " + learnedSweepRuns(cluster) + " runs loaded after the failover");
     assertTrue(after.count("kinds") >= kinds / 2, after.count("kinds") + " kinds of " + kinds);
     cluster.assertNoViolations("failover");
   }
 
   /**
-   * Stored run times that can't be read once would have ended each failover: now learning starts
-   * afresh.
+   * Guards against stored run times that can't be read and make every failover fail: the new leader
+   * must ignore them and start learning from scratch.
    */
   @ParameterizedTest(name = "{0}")
   @ValueSource(
@@ -87,14 +90,15 @@
     assertNotEquals(before, cluster.leader());
     int starts = cluster.invariants.starts;
     cluster.runUntil(200 * SECOND);
-    assertTrue(cluster.invariants.starts > starts, "nothing starts any more");
-    assertTrue(runTimeMetrics(cluster).count("learned") > 0, "nothing is learned any more");
+    assertTrue(cluster.invariants.starts > starts, "no task was started after the failover");
+    assertTrue(
+        runTimeMetrics(cluster).count("learned") > 0, "no run time was learned after the failover");
     cluster.assertNoViolations("unreadable run times");
   }
 
   /**
-   * A leader that was paused beyond its lease goes on with what it was about to do, the next write
-   * of run times too.
+   * Guards against run times written by a replaced leader: after a pause longer than its lease, it
+   * continues with its pending work, which may be a write of run times.
    */
   @Test
   void replacedLeaderWritesNoRunTimes() {
@@ -113,7 +117,7 @@
     cluster.assertNoViolations("paused leaders");
   }
 
-  /** With about 400 machines, at most a hundredth of all writes are of run times. */
+  /** With about 400 machines, at most 1 % of all writes are writes of run times. */
   @Test
   void runTimesTakeAtMostOnePercentOfWrites() throws MalformedMessageException {
     SimulatedCluster cluster = clusterWithLearning(4, SimulatedCluster.Size.LARGE);
@@ -131,7 +135,7 @@
         "only " + runTimeMetrics(cluster).count("learned") + " runs learned");
   }
 
-  /** Operators collect what has run, a part a request. */
+  /** Operators read the history of runs page by page. */
   @Test
   void historyOfRunsIsServedInPages() throws MalformedMessageException {
     SimulatedCluster cluster = clusterWithLearning(5, SimulatedCluster.Size.LARGE);
--- a/src/test/java/madderrudder/sim/Scenarios.java
+++ b/src/test/java/madderrudder/sim/Scenarios.java
@@ -2,14 +2,20 @@
 
 import madderrudder.coordination.policy.Deployment;
 
-/** The beginnings that several tests share: a small cluster with random users. */
+/** Initial states that several tests share: a small cluster with random users. */
 final class Scenarios {
-  /** Random faults and submissions end here; the last faults go on for half a minute. */
+  /**
+   * No random jobs are submitted and no random faults are injected after this time; the last faults
+   * may last for another half minute.
+   */
   static final long FAULTS_END_MICROS = 210 * SimulatedCluster.SECOND;
 
   private Scenarios() {}
 
-  /** A small cluster at its start, whose controllers believe in the given times of workers. */
+  /**
+   * A new small cluster; {@code configured} are the worker times in the settings of its
+   * controllers.
+   */
   static SimulatedCluster smallCluster(long seed, Deployment.WorkerTimes configured) {
     SimulatedCluster cluster =
         new SimulatedCluster(
@@ -26,7 +32,7 @@
     return smallCluster(seed, SimulatedCluster.defaultWorkerTimes());
   }
 
-  /** Schedules random faults, one each 5 to 25 s, from 10 s on. */
+  /** Schedules a random fault every 5 to 25 s, from 10 s on until {@link #FAULTS_END_MICROS}. */
   static void injectRandomFaults(SimulatedCluster cluster) {
     RandomFaults faults = new RandomFaults(cluster);
     for (long atMicros = 10 * SimulatedCluster.SECOND;
@@ -37,10 +43,11 @@
   }
 
   /**
-   * A small cluster after a minute without faults, where tasks may run for 70 s after a
-   * cancellation.
+   * A small cluster after one minute without faults. Leases last for 20 s, and tasks may run for 70
+   * s after a cancellation is confirmed.
    *
-   * @param delegation whether controllers answer workers that can't reach the leader
+   * @param delegation whether controllers may renew the leases of workers that can't reach the
+   *     leader
    */
   static SimulatedCluster clusterAfterOneMinute(long seed, boolean delegation) {
     return clusterAfterOneMinute(
@@ -68,7 +75,7 @@
     return cluster;
   }
 
-  /** The zone that the leader is not in. */
+  /** The zone of the two that the leader is not in. */
   static String zoneWithoutLeader(SimulatedCluster cluster) {
     return cluster.zoneOf(cluster.leader()).equals("east") ? "west" : "east";
   }
--- a/src/test/java/madderrudder/sim/SimCloud.java
+++ b/src/test/java/madderrudder/sim/SimCloud.java
@@ -16,8 +16,8 @@
 import madderrudder.transport.HttpResponse;
 
 /**
- * The simulated cloud provider: two machine types in two zones, pools of limited capacity, a list
- * that lags, and machines that boot slowly or never.
+ * The simulated cloud provider: two machine types in two zones, pools of limited capacity, a
+ * machine list that lags behind, and machines that boot slowly or not at all.
  */
 final class SimCloud implements HttpHandler {
   private static final Map<String, Resources> CAPACITY_BY_TYPE =
@@ -31,7 +31,7 @@
   private final Deployment deployment;
   private final Map<String, String> controllerAddresses;
 
-  /** Machines to be had of each type, zone and purchase kind. */
+  /** The most machines of each type, zone and purchase kind. */
   private final int capacityPerPool;
 
   private final TreeMap<String, Machine> machines = new TreeMap<>();
@@ -40,15 +40,17 @@
   private int machinesCreated;
   private int ownedMachines;
 
-  /** Machines that were returned and had never started a task. */
+  /** The number of machines that were returned without having started a task. */
   int returnedUnused;
 
+  /** The number of requests. */
   int requests;
+
   private boolean unavailable;
   private double bootFailureRate = DEFAULT_BOOT_FAILURE_RATE;
   private double bootTimeFactor = 1;
 
-  /** A machine; its worker is null while it boots. */
+  /** A machine. Its worker is null while it boots, and remains null if the boot fails. */
   private static final class Machine {
     final String id;
     final String type;
@@ -64,6 +66,7 @@
     }
   }
 
+  /** The machine list at a time, as the answer to a request. */
   private record Snapshot(long atMicros, byte[] body) {}
 
   SimCloud(
@@ -81,6 +84,7 @@
     this.controllerAddresses = controllerAddresses;
   }
 
+  /** Creates the owned machines, which are up immediately. */
   void start(int ownedMachines) {
     this.ownedMachines = ownedMachines;
     for (int i = 0; i < ownedMachines; i++) {
@@ -89,14 +93,15 @@
     snapshot();
   }
 
+  /** Answers all requests with status 503. */
   void outage(long durationMicros) {
     unavailable = true;
     scheduler.after(durationMicros, () -> unavailable = false);
   }
 
   /**
-   * For the time given, this share of rented machines never comes up, and the others take so many
-   * times as long to boot.
+   * For the given time, this share of newly rented machines never boots, and the boot time of the
+   * others is multiplied by the factor.
    */
   void overrideBoots(double failureRate, double timeFactor, long durationMicros) {
     bootFailureRate = failureRate;
@@ -109,16 +114,17 @@
         });
   }
 
-  /** Whether the machine was there from the start; such machines are never returned. */
+  /** Whether the machine is owned: it existed from the start and is never returned. */
   boolean isOwned(SimWorker worker) {
     return worker.id.compareTo(String.format("m-%06d", ownedMachines)) < 0;
   }
 
-  /** All machines ever created, with those that never came up. */
+  /** The number of machines created so far, including those that never booted. */
   int machinesCreated() {
     return machinesCreated;
   }
 
+  /** The workers of all machines that are up, in the order of machine ids. */
   List<SimWorker> workers() {
     return machines.values().stream()
         .map(m -> m.worker)
@@ -126,7 +132,7 @@
         .toList();
   }
 
-  /** The machine ends: the cloud reclaims it, or it dies. */
+  /** Ends the machine, because the cloud reclaims it, the leader returns it, or it fails. */
   void terminate(SimWorker worker) {
     network.stopServing(worker.address);
     worker.terminate();
@@ -135,12 +141,14 @@
     }
   }
 
+  /** Creates a machine, which is not up yet. */
   private Machine addMachine(String type, String zone, boolean spot) {
     Machine machine = new Machine(String.format("m-%06d", machinesCreated++), type, zone, spot);
     machines.put(machine.id, machine);
     return machine;
   }
 
+  /** Starts the worker of the machine, unless the machine has been returned. */
   private void completeBoot(Machine machine) {
     if (machines.get(machine.id) == machine) {
       machine.worker =
@@ -162,6 +170,7 @@
     }
   }
 
+  /** Records the machine list every second, for {@link #list}. */
   private void snapshot() {
     snapshots.add(
         new Snapshot(
@@ -194,7 +203,7 @@
         80_000,
         () ->
             answer.accept(
-                unavailable ? HttpResponse.of(503, Json.error("trouble")) : handle(request)));
+                unavailable ? HttpResponse.of(503, Json.error("unavailable")) : handle(request)));
   }
 
   private HttpResponse handle(HttpRequest request) {
@@ -216,10 +225,11 @@
         default -> request.method().equals("GET") ? list() : rent(Json.readObject(request.body()));
       };
     } catch (MalformedMessageException e) {
-      throw new AssertionError("the cloud got nonsense", e);
+      throw new AssertionError("the cloud received a malformed request", e);
     }
   }
 
+  /** The machine list as it was between one and two lag times ago. */
   private HttpResponse list() {
     long lag = deployment.cloud().listLagMicros();
     Snapshot newestVisible = snapshots.get(0);
@@ -231,6 +241,7 @@
     return HttpResponse.of(200, newestVisible.body());
   }
 
+  /** Rents machines; a repeated request id returns the machines of the first request. */
   private HttpResponse rent(JsonFields in) throws MalformedMessageException {
     String requestId = in.text("charter");
     List<String> rented = rentalsByRequest.get(requestId);
--- a/src/test/java/madderrudder/sim/SimGangs.java
+++ b/src/test/java/madderrudder/sim/SimGangs.java
@@ -8,26 +8,32 @@
 import java.util.TreeMap;
 
 /**
- * The rendezvous of gang-scheduled tasks: they find each other by job and attempt, as the protocol
- * has it.
+ * The rendezvous of gang-scheduled tasks. The tasks of a gang find each other by job and attempt,
+ * as in the protocol of the workers.
  */
 final class SimGangs {
   private final Map<Gang, Map<Integer, Member>> membersByGang = new HashMap<>();
   private final Set<Gang> runningGangs = new HashSet<>();
+
+  /** The number of gangs whose tasks have all gathered. */
   int started;
 
   /** One attempt of a gang. */
   record Gang(String job, long attempt) {}
 
-  /** A task of a gang on its machine, told what becomes of the gang. */
+  /** Callbacks of one task of a gang. */
   interface Member {
+    /** All tasks of the gang have gathered, and it runs. */
     void allGathered();
 
+    /** Another task of the running gang was lost. */
     void peerLost();
 
+    /** The gang has completed. */
     void completed();
   }
 
+  /** Adds a task to its gang; the gang runs as soon as all its tasks have joined. */
   void join(Gang gang, int task, int tasks, Member member) {
     Map<Integer, Member> members = membersByGang.computeIfAbsent(gang, g -> new TreeMap<>());
     members.put(task, member);
@@ -37,7 +43,10 @@
     }
   }
 
-  /** A task has left its machine; if the gang runs, the others will notice. */
+  /**
+   * Removes a task from its gang. If the gang is running, it stops, and its other tasks are
+   * notified.
+   */
   void leave(Gang gang, int task, Member member) {
     Map<Integer, Member> members = membersByGang.getOrDefault(gang, new TreeMap<>());
     if (members.remove(task, member) && runningGangs.remove(gang)) {
@@ -45,7 +54,7 @@
     }
   }
 
-  /** All tasks of a gang complete together, unless one has been lost. */
+  /** Completes all tasks of a gang together, unless one was lost. */
   void complete(Gang gang) {
     if (runningGangs.remove(gang)) {
       List.copyOf(membersByGang.remove(gang).values()).forEach(Member::completed);
--- a/src/test/java/madderrudder/sim/SimNetwork.java
+++ b/src/test/java/madderrudder/sim/SimNetwork.java
@@ -15,9 +15,9 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * A network between named hosts, with delays, lost and duplicated messages and partitions. A
- * partition either drops messages or buffers them and delivers them when it ends, even though the
- * sender has given up. Faults end by themselves after the time given.
+ * The simulated network between named hosts, with latency, lost and duplicated messages and
+ * partitions. A partition either drops messages, or buffers them and delivers them when it ends,
+ * even if the sender has timed out. Each fault ends after its given duration.
  */
 final class SimNetwork {
   private static final long LATENCY_MICROS = 800;
@@ -25,18 +25,23 @@
   private final SimScheduler scheduler;
   private final double lossRate;
   private final Map<String, Endpoint> endpoints = new HashMap<>();
+
+  /** Partitions in force, by link name for two hosts and by zone name for a zone. */
   private final Map<String, Partition> partitions = new HashMap<>();
 
-  /** The zone of each host; store, cloud and users belong to the region, and are in no zone. */
+  /** The zone of each host. The store, the cloud and the users are regional and have no zone. */
   private final Map<String, String> zones = new HashMap<>();
 
-  /** Hosts whose messages arrive while nothing reaches them. */
+  /** Hosts that can send messages and receive none. */
   private final Set<String> inboundBlocked = new HashSet<>();
 
-  /** Machines that can open no connection to any controller, while direct commands reach them. */
+  /**
+   * Machines that can open no connection to any controller, but still receive commands that a
+   * controller sends them.
+   */
   private final Set<String> outboundBlocked = new HashSet<>();
 
-  /** Copies of heartbeats that wait for the next leader. */
+  /** Deliveries of captured heartbeats; each takes the address of the receiving controller. */
   private final List<Consumer<String>> capturedHeartbeats = new ArrayList<>();
 
   private double captureRate;
@@ -47,13 +52,16 @@
   private long maxHeartbeatDelayMicros;
   private double lateHeartbeatRate;
 
-  /** Copies of heartbeats that have arrived at least two seconds late. */
+  /** The number of heartbeat copies delivered with a delay of at least two seconds. */
   int lateHeartbeats;
 
-  /** What answers at an address, and on which host. */
+  /** The handler that serves an address, and its host. */
   private record Endpoint(String host, HttpHandler handler) {}
 
-  /** A partition between two hosts or around a zone, with what it buffers until it ends. */
+  /**
+   * A partition between two hosts or around a zone, with the messages that it buffers until it
+   * ends.
+   */
   private static final class Partition {
     final boolean buffered;
     final List<Runnable> messages = new ArrayList<>();
@@ -89,28 +97,29 @@
   }
 
   /**
-   * Partitions a zone from everything else; what is in it, now or later, goes on talking inside.
+   * Partitions a zone from all hosts outside it. Hosts in the zone, also those added later, still
+   * reach each other.
    */
   void partitionZone(String zone, boolean buffered, long durationMicros) {
     partition(zone, buffered, durationMicros);
   }
 
-  /** What the host sends arrives, and no reply and no message reaches it. */
+  /** Drops all messages and replies to the host; the messages that it sends still arrive. */
   void blockInbound(String host, long durationMicros) {
     if (inboundBlocked.add(host)) {
       scheduler.after(durationMicros, () -> inboundBlocked.remove(host));
     }
   }
 
-  /** All links take so many times as long. */
+  /** Multiplies the latency of all links by the factor. */
   void slowDown(int factor, long durationMicros) {
     latencyFactor = factor;
     scheduler.after(durationMicros, () -> latencyFactor = 1);
   }
 
   /**
-   * The machine reaches no controller, while direct commands reach it, and its replies to them come
-   * back.
+   * Fails all calls of the machine to controllers. Commands that a controller sends still reach it,
+   * and its replies to them arrive.
    */
   void blockOutbound(String machine, long durationMicros) {
     if (outboundBlocked.add(machine)) {
@@ -118,26 +127,30 @@
     }
   }
 
-  /** Keeps a copy of this share of heartbeats until {@link #deliverCaptured}. */
+  /** Captures copies of this share of heartbeats for {@link #deliverCaptured}. */
   void captureHeartbeats(double share, long durationMicros) {
     captureRate = share;
     scheduler.after(durationMicros, () -> captureRate = 0);
   }
 
-  /** Delivers the captured copies to the address, if a controller is there; returns how many. */
+  /**
+   * Delivers the captured heartbeats to the controller at the address, and returns their number, or
+   * 0 if no controller serves the address.
+   */
   int deliverCaptured(String address) {
     List.copyOf(capturedHeartbeats).forEach(copy -> copy.accept(address));
     return endpoints.containsKey(address) ? capturedHeartbeats.size() : 0;
   }
 
+  /** Discards the captured heartbeats. */
   void discardCaptured() {
     capturedHeartbeats.clear();
   }
 
   /**
-   * Delivers further copies of some messages, one or several, each up to so long after the first:
-   * of a heartbeat to any controller, of everything else to its receiver. Replies to copies are
-   * dropped.
+   * Delivers one or more additional copies of some messages, each up to {@code maxDelayMicros}
+   * after the original. The copy of a heartbeat goes to a random controller, any other copy to its
+   * original receiver. Replies to copies are dropped.
    */
   void duplicateMessages(long durationMicros, long maxDelayMicros) {
     duplicatesUntilMicros = Math.max(duplicatesUntilMicros, scheduler.nowMicros + durationMicros);
@@ -145,8 +158,8 @@
   }
 
   /**
-   * Delivers a copy of this share of heartbeats to any controller, between two seconds and so long
-   * later.
+   * Delivers copies of this share of heartbeats to random controllers, with a delay of two seconds
+   * plus up to {@code maxDelayMicros}.
    */
   void delayHeartbeatCopies(double share, long durationMicros, long maxDelayMicros) {
     lateHeartbeatRate = share;
@@ -183,6 +196,10 @@
     }
   }
 
+  /**
+   * The partition that separates the hosts, or null: one of their link first, then one of the zone
+   * of either.
+   */
   private Partition partitionBetween(String from, String to) {
     Partition partition = partitions.get(linkName(from, to));
     String fromZone = zones.get(from);
@@ -193,7 +210,7 @@
     return partitions.containsKey(fromZone) ? partitions.get(fromZone) : partitions.get(toZone);
   }
 
-  /** Transmits one message, unless it is lost or a partition buffers it. */
+  /** Transmits one message, unless it is lost, dropped or buffered. */
   private void transmit(String from, String to, Runnable message) {
     Partition partition = partitionBetween(from, to);
     if (partition != null) {
@@ -209,7 +226,7 @@
     }
   }
 
-  /** The HTTP client of a host. */
+  /** The HTTP client of a host; {@code clock} measures its timeouts and runs its callbacks. */
   HttpCaller clientOf(String from, Scheduler clock) {
     return (address, request, timeoutMicros, answer) -> {
       boolean[] answered = new boolean[1];
@@ -277,6 +294,9 @@
     }
   }
 
+  /**
+   * Sends a message between controllers; {@code receive} runs on arrival, possibly more than once.
+   */
   void sendFrame(String from, String to, Runnable receive) {
     transmit(from, to, receive);
     duplicate(receive);
--- a/src/test/java/madderrudder/sim/SimPolicies.java
+++ b/src/test/java/madderrudder/sim/SimPolicies.java
@@ -2,7 +2,7 @@
 
 import madderrudder.coordination.policy.OperatorPolicy;
 
-/** The operators' settings that the simulated clusters run with. */
+/** The operator policies of the simulated clusters. */
 final class SimPolicies {
   private static final long LEASE_MICROS = 3_000_000;
   private static final double HEADROOM = 0.1;
@@ -11,10 +11,12 @@
   private SimPolicies() {}
 
   /**
-   * For a few machines: {@code budget} rentals in 100 s.
+   * A policy for a few machines, with at most {@code budget} rentals in 100 s.
    *
-   * @param delegation whether controllers answer workers that can't reach the leader
-   * @param learnedRunTimes whether run times are learned rather than owners' guesses corrected
+   * @param delegation whether controllers may renew the leases of workers that can't reach the
+   *     leader
+   * @param learnedRunTimes whether run times are learned from past runs; if not, the owners'
+   *     estimates are corrected
    */
   static OperatorPolicy smallCluster(int budget, boolean delegation, boolean learnedRunTimes) {
     return new OperatorPolicy(
@@ -31,7 +33,10 @@
         learnedRunTimes);
   }
 
-  /** For hundreds of machines: {@code budget} rentals in 300 s, with delegation. */
+  /**
+   * A policy with delegation for hundreds of machines, with at most {@code budget} rentals in 300
+   * s.
+   */
   static OperatorPolicy largeCluster(int budget, boolean learnedRunTimes) {
     return new OperatorPolicy(
         1_000_000,
--- a/src/test/java/madderrudder/sim/SimScheduler.java
+++ b/src/test/java/madderrudder/sim/SimScheduler.java
@@ -7,9 +7,10 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * Virtual time for one simulated run, on one thread. Events run in the order of their time, and of
- * their scheduling at the same time; between two events the clock jumps. All randomness of the run
- * is drawn from {@link #random}, so a seed fixes the whole run.
+ * Virtual time and the event queue of one simulated run, on one thread. Events run in the order of
+ * their time; events with the same time run in the order in which they were scheduled. The clock
+ * jumps from one event to the next. All random numbers of a run come from {@link #random}, so the
+ * seed determines the whole run.
  */
 final class SimScheduler {
   private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -29,11 +30,15 @@
     random = new SplittableRandom(seed);
   }
 
+  /** Schedules the action; a negative delay counts as zero. */
   void after(long delayMicros, Runnable action) {
     events.add(new Event(nowMicros + Math.max(0, delayMicros), sequence++, action));
   }
 
-  /** Runs all events up to the time, with the check after each, and leaves the clock there. */
+  /**
+   * Runs all events due by {@code untilMicros}, each followed by the check, and sets the clock to
+   * that time.
+   */
   void runUntil(long untilMicros, Runnable check) {
     while (!events.isEmpty() && events.peek().atMicros <= untilMicros) {
       Event event = events.poll();
@@ -44,13 +49,14 @@
     nowMicros = untilMicros;
   }
 
+  /** Draws a random number and returns true with the given probability. */
   boolean chance(double probability) {
     return random.nextDouble() < probability;
   }
 
   /**
-   * The clocks and timers of one process. Its rate may be slightly wrong. Nothing of a process
-   * happens after it has ended, nor while it is paused.
+   * The clocks and timers of one process. The rate of its monotonic clock may deviate slightly from
+   * virtual time. No action of the process runs after it has ended or while it is paused.
    */
   final class HostClock implements Scheduler {
     private final double rate;
@@ -65,8 +71,8 @@
     }
 
     /**
-     * Pauses the process while its clocks run on; what was due meanwhile follows at once
-     * afterwards, in its order.
+     * Pauses the process; its clocks keep running. Actions that fall due during the pause run right
+     * after it, in their order.
      */
     void pause(long durationMicros) {
       boolean paused = nowMicros < pausedUntilMicros;
@@ -90,7 +96,9 @@
           });
     }
 
-    /** Runs the action as the process: later if it is paused, never if it has ended. */
+    /**
+     * Runs the action now, after the pause if the process is paused, or not at all if it has ended.
+     */
     void runOrDefer(Runnable action) {
       if (ended) {
         return;
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -22,9 +22,10 @@
 import madderrudder.transport.HttpResponse;
 
 /**
- * The simulated state service: a consensus-backed key-value store by its published protocol, with
- * leases, conditional transactions, watches and rate limits. It checks what controllers write: a
- * task on two machines at once, or a job written after its end, is a violation.
+ * The simulated store: implements the published protocol of the state service, a consensus-backed
+ * key-value store with leases, conditional transactions, watches and rate limits. It records a
+ * violation when controllers place a task on two machines at once, write a job after its end, or
+ * write run times without a condition on the term.
  */
 final class SimStore {
   private final SimScheduler scheduler;
@@ -38,25 +39,34 @@
   private final Set<String> refusedHosts = new HashSet<>();
   final List<String> violations = new ArrayList<>();
 
-  /** Where the log of placements has each task. */
+  /** The placements in the controllers' log. */
   final PlacementLog placementLog = new PlacementLog(violations);
 
   private long revision = 100;
   private long nextLease = 1;
   private boolean unavailable;
+
+  /** The number of requests, whatever their answer. */
   long requests;
+
+  /** The number of applied writes. */
   long writesApplied;
+
+  /** The number of applied writes of run times. */
   long runTimeWrites;
+
   private int latencyFactor = 1;
 
   private boolean rangeReadsFail;
   private double delayedCommitRate;
   private double lostReplyRate;
 
-  /** Transactions that were applied at once and whose reply was lost. */
+  /**
+   * The number of writing transactions that were applied immediately and whose reply was dropped.
+   */
   int lostReplies;
 
-  /** Delayed transactions whose conditions no longer held. */
+  /** The number of delayed transactions that failed, since their conditions no longer held. */
   int lateConflicts;
 
   private record Entry(byte[] data, long version, long lease) {}
@@ -75,6 +85,10 @@
     maxValueBytes = limits.valueBytes();
   }
 
+  /**
+   * Makes the store unavailable to all clients. Leases don't expire meanwhile, and are extended at
+   * the end.
+   */
   void outage(long durationMicros) {
     unavailable = true;
     scheduler.after(
@@ -88,28 +102,28 @@
         });
   }
 
-  /** All requests take so many times as long. */
+  /** Multiplies the latency of all requests by the factor. */
   void slowDown(int factor, long durationMicros) {
     latencyFactor = factor;
     scheduler.after(durationMicros, () -> latencyFactor = 1);
   }
 
-  /** Range reads get 429, while all else is served. */
+  /** Answers range reads with status 429; all other requests are served. */
   void failRangeReads(long durationMicros) {
     rangeReadsFail = true;
     scheduler.after(durationMicros, () -> rangeReadsFail = false);
   }
 
   /**
-   * Delays this share of transactions: they get no reply, and are applied 2 to 12 s later, after
-   * newer ones.
+   * Delays this share of transactions: they are applied 2 to 12 s later, possibly after newer ones,
+   * and get no reply.
    */
   void delayCommits(double share, long durationMicros) {
     delayedCommitRate = share;
     scheduler.after(durationMicros, () -> delayedCommitRate = 0);
   }
 
-  /** Applies this share of transactions at once and drops their reply. */
+  /** Applies this share of transactions immediately and drops their replies. */
   void loseReplies(double share, long durationMicros) {
     lostReplyRate = share;
     scheduler.after(durationMicros, () -> lostReplyRate = 0);
@@ -127,16 +141,18 @@
           try {
             commit(transaction, response -> lateConflicts += response.status() == 200 ? 0 : 1);
           } catch (MalformedMessageException e) {
-            throw new AssertionError("the store got nonsense", e);
+            throw new AssertionError("the store received a malformed request", e);
           }
         });
   }
 
+  /** Makes the store unavailable to one controller. */
   void refuse(String host, long durationMicros) {
     refusedHosts.add(host);
     scheduler.after(durationMicros, () -> refusedHosts.remove(host));
   }
 
+  /** The store as served to one controller, with a random latency. */
   HttpHandler endpointFor(String host) {
     return (request, answer) ->
         scheduler.after(
@@ -157,7 +173,7 @@
       } else if (path.equals("/follow")) {
         watch(host, query(request), answer, scheduler.nowMicros);
       } else if (unavailable || refusedHosts.contains(host)) {
-        answer.accept(HttpResponse.of(503, Json.error("trouble")));
+        answer.accept(HttpResponse.of(503, Json.error("unavailable")));
       } else if (path.equals("/commit")
           && delayedCommitRate > 0
           && scheduler.chance(delayedCommitRate)) {
@@ -192,7 +208,7 @@
         answer.accept(HttpResponse.of(200, new byte[] {'{', '}'}));
       }
     } catch (MalformedMessageException e) {
-      throw new AssertionError("the store got nonsense: " + request.target(), e);
+      throw new AssertionError("the store received a malformed request: " + request.target(), e);
     }
   }
 
@@ -240,7 +256,7 @@
     eventLog.add(new Event(key, data, revision));
   }
 
-  /** Overwrites all values under the prefix with the data; returns how many. */
+  /** Overwrites all values whose keys have the prefix with the data, and returns their number. */
   int corrupt(String prefix, byte[] data) {
     List<String> damaged = entries.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
     damaged.forEach(key -> put(key, data, 0));
@@ -251,7 +267,7 @@
       throws MalformedMessageException {
     List<JsonFields> writes = in.objects("writes");
     if (writes.size() > maxWrites) {
-      throw new AssertionError("a transaction of " + writes.size() + " writes");
+      throw new AssertionError("a transaction with " + writes.size() + " writes exceeds the limit");
     }
     for (JsonFields write : writes) {
       if (write.has("mooring") && !leases.containsKey(write.count("mooring"))) {
@@ -290,7 +306,7 @@
       if (key.startsWith(Keys.RUN_TIMES)) {
         runTimeWrites++;
         if (!conditionalOnTerm) {
-          violations.add(key + " was written without a term");
+          violations.add(key + " was written without a condition on the term");
         }
       }
       writesApplied++;
@@ -298,14 +314,14 @@
           || (key.startsWith(Keys.LIVE)
               && entries.containsKey(Keys.FINISHED + key.substring(Keys.LIVE.length()))
               && !write.has("drop"))) {
-        violations.add(key + " is written again after its end");
+        violations.add(key + " is written after the end of its job");
       }
       if (write.has("drop")) {
         put(write.text("drop"), null, 0);
       } else {
         byte[] data = write.object("data").render();
         if (data.length > maxValueBytes) {
-          throw new AssertionError("a value of " + data.length + " bytes");
+          throw new AssertionError("a value of " + data.length + " bytes exceeds the limit");
         }
         put(write.text("write"), data, write.count("mooring", 0));
       }
@@ -315,7 +331,8 @@
   }
 
   /**
-   * Whether the store records that the task is done; of a job that has ended nothing need be kept.
+   * Whether the store records that the task is done. Also true once its job has no live record,
+   * since the tasks of an ended job need none.
    */
   boolean recordsDone(TaskId task) {
     int chunk = task.index() / JobRecords.CHUNK;
@@ -429,7 +446,7 @@
     List.copyOf(watches).forEach(Runnable::run);
   }
 
-  /** Expires leases even while nobody calls. */
+  /** Expires leases every 50 ms, also while no request arrives. */
   void expireLeasesPeriodically() {
     expireLeases();
     scheduler.after(50_000, this::expireLeasesPeriodically);
--- a/src/test/java/madderrudder/sim/SimTask.java
+++ b/src/test/java/madderrudder/sim/SimTask.java
@@ -5,17 +5,20 @@
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 
-/** One attempt of a task on a machine, with its state as the protocol names it. */
+/**
+ * One attempt of a task on a machine. States and exit reasons have the names of the workers'
+ * protocol.
+ */
 final class SimTask {
   final TaskId id;
   final long attempt;
   final Resources demand;
   String state = "fetching";
 
-  /** Why it ended, or null before. */
+  /** Why the attempt ended, or null while it is active. */
   String exitReason;
 
-  /** Its place in its gang, or null. */
+  /** Its membership in a gang, or null if it has joined none. */
   SimGangs.Member gangMember;
 
   SimTask(TaskId id, long attempt, Resources demand) {
@@ -24,11 +27,12 @@
     this.demand = demand;
   }
 
+  /** Whether the attempt has not ended yet. */
   boolean active() {
     return !state.equals("ended");
   }
 
-  /** Writes the task as a heartbeat reports it, or as if it had failed. */
+  /** Writes the task as it appears in a heartbeat, or as if it had failed. */
   void write(JsonGenerator out, boolean failed) throws IOException {
     String reason = failed ? "error" : exitReason;
     out.writeStartObject();
--- a/src/test/java/madderrudder/sim/SimUsers.java
+++ b/src/test/java/madderrudder/sim/SimUsers.java
@@ -20,8 +20,9 @@
 import madderrudder.transport.HttpResponse;
 
 /**
- * Simulated users who submit, submit again, poll, cancel, and ask about jobs that nobody submitted,
- * each time through any controller. What they are answered goes to the {@link InvariantChecker}.
+ * Simulated users, who submit jobs, resubmit, poll and cancel them, and ask about jobs that were
+ * never submitted, mostly through random controllers. All answers are passed to the {@link
+ * InvariantChecker}.
  */
 final class SimUsers {
   private static final long POLL_INTERVAL_MICROS = 3_000_000;
@@ -29,9 +30,11 @@
   private static final long POLL_ALL_INTERVAL_MICROS = 10_000_000;
   private static final List<Priority> BATCH_PRIORITIES =
       List.of(Priority.HIGH, Priority.NORMAL, Priority.LOW);
+
+  /** The team without guaranteed quota. */
   static final String GUEST_TEAM = "duende";
 
-  /** The job class of each kind of job. */
+  /** The class of the random jobs of each kind. */
   static final Map<JobKind, String> JOB_CLASSES =
       Map.of(JobKind.SERVICE, "desk", JobKind.GANG, "train", JobKind.ARRAY, "sweep");
 
@@ -41,8 +44,13 @@
   private final HttpCaller httpCaller;
   private final SimScheduler.HostClock clock;
   private final List<String> controllerAddresses;
+
+  /** The largest number of tasks of a random array. */
   private final int maxTasks;
+
+  /** The ids of all jobs submitted so far, without invalid ones. */
   final List<String> submitted = new ArrayList<>();
+
   private boolean guestAndFailingJobsEnabled;
   private boolean retriesUnknownCancellations;
   private long pollIntervalMicros = POLL_INTERVAL_MICROS;
@@ -51,12 +59,15 @@
   private long immediatePollsUntilMicros;
 
   /**
-   * Jobs cancelled at the moment at which their last task ended; polls within milliseconds of a
-   * change; invalid requests.
+   * The number of jobs cancelled around the end of their last task; see {@link
+   * #cancelAtCompletion}.
    */
   int cancelledAtCompletion;
 
+  /** The number of polls by {@link #pollImmediately(long)}. */
   int immediatePolls;
+
+  /** The number of invalid submissions. */
   int invalidRequests;
 
   SimUsers(
@@ -77,6 +88,10 @@
     invariants.onStateConfirmed = this::pollImmediately;
   }
 
+  /**
+   * Submits a random job now and then, after {@code everyMicros} on average, until the given time;
+   * cancels some of them.
+   */
   void submitRandomJobs(long everyMicros, long untilMicros) {
     clock.after(
         scheduler.random.nextLong(2 * everyMicros),
@@ -91,8 +106,8 @@
             }
             submitted.add(job.id());
             submit(job);
-            // Services would fill each team's limit in time, so that nothing more of them could be
-            // served.
+            // Cancels every service at some time, since services don't end by themselves and would
+            // fill the limit of each team, so that no further job could be served.
             if (job.kind() == JobKind.SERVICE || scheduler.chance(0.3)) {
               clock.after(
                   scheduler.random.nextLong(
@@ -107,15 +122,15 @@
         });
   }
 
-  /** Cancels all jobs that have not ended, and goes on until the cancellation is confirmed. */
+  /** Cancels all jobs that have not ended, and retries until each cancellation is confirmed. */
   void cancelAll() {
     retryUnknownCancellations();
     submitted.stream().filter(job -> !invariants.isFinished(job)).forEach(this::cancel);
   }
 
   /**
-   * Cancels at most so many of the jobs that have tasks somewhere, services first, and returns
-   * them.
+   * Cancels up to {@code max} live jobs that have tasks on workers, services first, and returns
+   * their ids.
    */
   List<String> cancelRunning(int max) {
     List<String> cancelled = runningJobs(max);
@@ -123,14 +138,16 @@
     return cancelled;
   }
 
-  /** Like {@link #cancelRunning}, but each at a random moment within a fifth of a second. */
+  /**
+   * Like {@link #cancelRunning}, but cancels each job at a random moment within the next 200 ms.
+   */
   List<String> cancelRunningStaggered(int max) {
     List<String> cancelled = runningJobs(max);
     cancelled.forEach(job -> clock.after(scheduler.random.nextLong(200_000), () -> cancel(job)));
     return cancelled;
   }
 
-  /** Like {@link #cancelRunning}, but through the controller named. */
+  /** Like {@link #cancelRunning}, but through the given controller. */
   void cancelRunningThrough(String address, int max) {
     runningJobs(max)
         .forEach(
@@ -149,8 +166,8 @@
   }
 
   /**
-   * For the time given, this share of the jobs that end is cancelled, submitted again and polled
-   * around the moment of the end.
+   * For the given time, cancels, resubmits and polls this share of the jobs that complete, through
+   * every controller and within 0.8 s of their completion.
    */
   void cancelAtCompletion(double share, long durationMicros) {
     cancelAtCompletionRate = share;
@@ -170,8 +187,8 @@
   }
 
   /**
-   * For the time given, whatever a user is answered is polled through every controller again within
-   * milliseconds, and submitted again; some of it is cancelled.
+   * For the given time, polls each job through every controller within 40 ms after a user is first
+   * told of its state, and resubmits it; cancels some of these jobs.
    */
   void pollImmediately(long durationMicros) {
     immediatePollsUntilMicros = scheduler.nowMicros + durationMicros;
@@ -194,8 +211,8 @@
   }
 
   /**
-   * For the time given, users submit again what has not ended, cancel what is done, and send jobs
-   * that fit no machine, lack a field or have an invalid one.
+   * For the given time, resubmits live jobs, cancels ended ones, and submits jobs that fit no
+   * machine or have a missing or invalid field.
    */
   void sendInvalidRequests(long durationMicros) {
     long untilMicros = scheduler.nowMicros + durationMicros;
@@ -234,32 +251,32 @@
         });
   }
 
-  /**
-   * From now on a team without a guaranteed quota has jobs too, and some jobs fail on every
-   * machine.
-   */
+  /** From now on, the guest team submits jobs too, and some jobs fail on every machine. */
   void enableGuestAndFailingJobs() {
     guestAndFailingJobsEnabled = true;
   }
 
-  /** From now on users cancel again until it is confirmed, also if the job was unknown at first. */
+  /**
+   * From now on, users retry a cancellation until it is confirmed, even if the answer is that the
+   * job is unknown.
+   */
   void retryUnknownCancellations() {
     retriesUnknownCancellations = true;
   }
 
-  /** All users poll so many times as often for a while. */
+  /** Divides the polling interval of all users by the factor for the given time. */
   void pollMoreOften(int factor, long durationMicros) {
     pollIntervalMicros = POLL_INTERVAL_MICROS / factor;
     clock.after(durationMicros, () -> pollIntervalMicros = POLL_INTERVAL_MICROS);
   }
 
-  /** From now on all jobs are polled, again and again, also those that have ended. */
+  /** Polls all submitted jobs every ten seconds from now on, also those that have ended. */
   void pollAllJobs() {
     submitted.forEach(this::query);
     clock.after(POLL_ALL_INTERVAL_MICROS, this::pollAllJobs);
   }
 
-  /** Submits one more job besides the random ones. */
+  /** Submits the given job, in addition to the random ones. */
   void submitJob(JobSpec job) {
     invariants.jobSubmitted(job);
     submitted.add(job.id());
@@ -281,7 +298,7 @@
         kind == JobKind.SERVICE
             ? Priority.PRODUCTION
             : BATCH_PRIORITIES.get(scheduler.random.nextInt(BATCH_PRIORITIES.size()));
-    // A gang's task may take all of a small machine.
+    // A task of a gang takes all CPUs of a small machine.
     double cpus = kind == JobKind.GANG ? 4 : 1 + scheduler.random.nextInt(4);
     return new JobSpec(
         String.format("req-%06d", jobCount++),
@@ -321,7 +338,7 @@
     httpCaller.call(randomControllerAddress(), request, timeoutMicros, answer);
   }
 
-  /** Submits once more what was submitted before. */
+  /** Submits a known job again, without a retry. */
   private void resubmit(String job, String address) {
     byte[] body = Json.object(out -> JobCodec.write(out, invariants.specOf(job)));
     long requestedAtMicros = scheduler.nowMicros;
@@ -334,6 +351,7 @@
                 job, response.status(), stateIn(response), true, requestedAtMicros));
   }
 
+  /** Submits the job and retries until it is accepted; then polls it or submits it again. */
   private void submit(JobSpec job) {
     byte[] body = Json.object(out -> JobCodec.write(out, job));
     long requestedAtMicros = scheduler.nowMicros;
@@ -357,7 +375,8 @@
 
   private void poll(String job) {
     query(job);
-    // Goes on for a while after the end, since the end must stay what it was.
+    // Some polling continues after the job has ended, to check that its final state does not
+    // change.
     if (!invariants.isFinished(job) || scheduler.chance(0.7)) {
       clock.after(pollIntervalMicros, () -> poll(job));
     }
@@ -378,6 +397,7 @@
                 job, response.status(), stateIn(response), false, requestedAtMicros));
   }
 
+  /** Cancels the job through a random controller, with retries. */
   void cancel(String job) {
     cancel(job, randomControllerAddress());
   }
@@ -390,7 +410,7 @@
         HttpRequest.post("/v1/jobs/" + job + "/withdraw", new byte[0]),
         5_000_000,
         response -> {
-          // Before its submission got through, a job is rightly unknown.
+          // Status 404 is correct as long as the submission of the job has not been accepted.
           if (response.status() == 200) {
             invariants.jobAnswered(job, 200, stateIn(response), false, requestedAtMicros);
           } else if (response.status() != 404 || retriesUnknownCancellations) {
@@ -399,6 +419,7 @@
         });
   }
 
+  /** The state in a successful answer, or an empty text if the request failed. */
   private static String stateIn(HttpResponse response) {
     try {
       JsonFields in =
@@ -407,7 +428,7 @@
               : null;
       return in == null ? "" : in.text("trim");
     } catch (MalformedMessageException e) {
-      throw new AssertionError("a user got nonsense", e);
+      throw new AssertionError("a user received a malformed answer", e);
     }
   }
 }
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -26,8 +26,9 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * The simulated worker of one machine, by its published protocol: it sends heartbeats, executes
- * commands, keeps its lease and ends its tasks when the lease expires.
+ * The simulated worker of one machine. It implements the published protocol: it sends heartbeats,
+ * executes commands, renews its lease with each answered heartbeat, and ends its tasks when the
+ * lease expires.
  */
 final class SimWorker implements HttpHandler {
   private static final long REPLY_TIMEOUT_MICROS = 4_000_000;
@@ -49,18 +50,29 @@
   private final Map<String, SimTask> tasks = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
   private final List<Runnable> deferred = new ArrayList<>();
+
+  /** The number of tasks started on this machine. */
   int starts;
+
+  /** The number of heartbeats that were answered in time and renewed the lease. */
   int answeredHeartbeats;
+
   private long epoch = 1;
   private long sequence;
   private long fencingToken;
   private int controllerIndex;
   private Scheduler.Timer nextHeartbeat;
   private boolean heartbeatInFlight;
+
+  /** Whether a heartbeat is due within half a second, since the state has changed. */
   private boolean earlyHeartbeatRequested;
+
   private boolean terminated;
   private boolean hanging;
+
+  /** When the last answered heartbeat was sent; the lease runs from then on. */
   private long leaseStartMicros;
+
   private long reclaimAtMicros = -1;
 
   SimWorker(
@@ -105,8 +117,10 @@
         });
   }
 
+  /** Ends all tasks and begins a new epoch if the lease has expired. */
   private void expireLease() {
-    // A machine that hangs does not run its tasks either, and may go on only within its lease.
+    // The lease also expires while the machine hangs: its tasks don't run then, and may resume only
+    // within the lease.
     if (leaseExpired()) {
       tasks.values().forEach(this::notifyTaskRemoved);
       tasks.clear();
@@ -116,7 +130,7 @@
     }
   }
 
-  /** The machine and everything on it is gone. */
+  /** Ends the machine and all its tasks. */
   void terminate() {
     terminated = true;
     clock.ended = true;
@@ -124,7 +138,12 @@
     tasks.clear();
   }
 
-  /** The machine restarts and loses all that is on it, in its old epoch or in the next. */
+  /**
+   * Restarts the machine, which loses its tasks.
+   *
+   * @param startsNewEpoch whether it comes back in the next epoch; otherwise it keeps its epoch and
+   *     its lease
+   */
   void restart(boolean startsNewEpoch) {
     tasks.values().forEach(this::notifyTaskRemoved);
     tasks.clear();
@@ -141,12 +160,18 @@
     return terminated;
   }
 
+  /**
+   * Reports from the next heartbeat on that the cloud reclaims the machine after the given time.
+   */
   void announceReclaim(long inMicros) {
     reclaimAtMicros = clock.nowMicros() + inMicros;
     requestEarlyHeartbeat();
   }
 
-  /** Hangs for a while; what arrives meanwhile is handled afterwards. */
+  /**
+   * Hangs the machine for the given time. Messages and timers that fall due meanwhile are handled
+   * afterwards.
+   */
   void hang(long durationMicros) {
     hanging = true;
     scheduler.after(
@@ -166,7 +191,7 @@
     return clock.after(delayMicros, () -> runOrDefer(action));
   }
 
-  /** Runs the action, later if the machine hangs, never if it is gone. */
+  /** Runs the action now, after the hang if the machine hangs, or not at all if it has ended. */
   private void runOrDefer(Runnable action) {
     if (terminated) {
       return;
@@ -178,7 +203,7 @@
     }
   }
 
-  /** The capacity left beside all active tasks. */
+  /** The capacity that active tasks leave free. */
   Resources free() {
     Resources free = capacity;
     for (SimTask task : tasks.values()) {
@@ -188,21 +213,24 @@
   }
 
   /**
-   * Whether the lease has expired or the machine is gone; while it hangs, the worker may not have
-   * noticed yet.
+   * Whether the lease has expired or the machine has ended. A worker that hangs handles the expiry
+   * only afterwards.
    */
   boolean leaseExpired() {
     return terminated || clock.nowMicros() - leaseStartMicros > times.leaseMicros();
   }
 
+  /** The highest fencing token received so far. */
   long fencingToken() {
     return fencingToken;
   }
 
+  /** The epoch, which increases with each expired lease and with some restarts. */
   long epoch() {
     return epoch;
   }
 
+  /** Reports to the checker and to the gang that the task has left the machine. */
   private void notifyTaskRemoved(SimTask task) {
     invariants.taskRemoved(task.id, this);
     if (task.state.equals("running") || task.state.equals("gathering")) {
@@ -214,6 +242,7 @@
     }
   }
 
+  /** Sends the next heartbeat within half a second. */
   private void requestEarlyHeartbeat() {
     if (!earlyHeartbeatRequested) {
       earlyHeartbeatRequested = true;
@@ -254,7 +283,7 @@
       boolean inTime = clock.nowMicros() - sentMicros <= REPLY_TIMEOUT_MICROS;
       assertTrue(
           response.body().length <= MAX_MESSAGE_BYTES,
-          () -> "an answer of " + response.body().length + " bytes");
+          () -> "a heartbeat reply of " + response.body().length + " bytes");
       if (inTime && response.status() == 200) {
         JsonFields in = Json.readObject(response.body());
         long replyToken = in.count("helm", 0);
@@ -280,7 +309,7 @@
         nextMicros = 1_000_000;
       }
     } catch (MalformedMessageException e) {
-      throw new AssertionError("a worker got nonsense", e);
+      throw new AssertionError("a worker received a malformed message", e);
     }
     scheduleHeartbeat(earlyHeartbeatRequested ? Math.min(nextMicros, 500_000) : nextMicros);
   }
@@ -306,11 +335,11 @@
               writeTasks(out, false);
               out.writeEndArray();
             });
-    assertTrue(body.length <= MAX_MESSAGE_BYTES, () -> "a report of " + body.length + " bytes");
+    assertTrue(body.length <= MAX_MESSAGE_BYTES, () -> "a heartbeat of " + body.length + " bytes");
     return body;
   }
 
-  /** Writes the tasks as they are, or as if each had failed. */
+  /** Writes the tasks as they appear in a heartbeat, or as if all had failed. */
   void writeTasks(JsonGenerator out, boolean failed) throws IOException {
     for (SimTask task : tasks.values()) {
       task.write(out, failed);
@@ -331,7 +360,7 @@
             }
             answer.accept(HttpResponse.of(isCurrent ? 200 : 409, nextHeartbeatBody()));
           } catch (MalformedMessageException e) {
-            throw new AssertionError("a worker got nonsense", e);
+            throw new AssertionError("a worker received a malformed message", e);
           }
         });
   }
@@ -368,7 +397,7 @@
     JobSpec job = invariants.specOf(id.job());
     SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.perTask());
     if (job == null) {
-      // Nobody has submitted it, as far as the users' uploads tell.
+      // No user has submitted this job, so that its image is unknown.
       task.state = "ended";
       task.exitReason = "unknown";
       tasks.put(attemptKey, task);
@@ -391,6 +420,7 @@
     schedule(fetchMicros, () -> imageFetched(task, job));
   }
 
+  /** Starts the task, whose image is now on the machine. */
   private void imageFetched(SimTask task, JobSpec job) {
     if (!isHeldInState(task, "fetching")) {
       return;
@@ -421,7 +451,7 @@
     }
   }
 
-  /** A few runs fail; each must then run again. */
+  /** Ends the run: 3 % of the runs fail and have to be retried, all others complete. */
   private void finishRun(SimTask task) {
     if (scheduler.chance(0.03)) {
       exit(task, "error");
@@ -431,11 +461,15 @@
     }
   }
 
-  /** Whether the task is still here and in the state. */
+  /** Whether the worker still holds the task, and in the given state. */
   private boolean isHeldInState(SimTask task, String state) {
     return task.state.equals(state) && tasks.containsValue(task);
   }
 
+  /**
+   * Joins the gang of the task. The run ends when the whole gang completes; an incomplete gang
+   * times out.
+   */
   private void joinGang(SimTask task, JobSpec job) {
     SimGangs.Gang gang = new SimGangs.Gang(job.id(), task.attempt);
     task.gangMember =
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -33,15 +33,18 @@
 import madderrudder.transport.PeerMessenger;
 
 /**
- * A whole deployment in one thread and in virtual time: three real controllers ({@link
- * ControllerNode}) with simulated store, cloud, network, workers and users around them.
+ * A whole deployment on one thread and in virtual time: three real controllers ({@link
+ * ControllerNode}) and a simulated store, cloud, network, workers and users.
  *
- * <p>All randomness comes from one generator that the seed starts, so the same seed replays the
- * same run. {@link #runUntil} lets virtual time pass and has the {@link InvariantChecker} look
- * after each event. The methods named for faults inject one each; {@link RandomFaults} draws them.
+ * <p>All random numbers come from one generator, which is initialized with the seed, so the same
+ * seed replays the same run. {@link #runUntil} advances virtual time and runs {@link
+ * InvariantChecker#check} after each event. Methods such as {@link #crash} and {@link #isolate}
+ * inject one fault each; {@link RandomFaults} calls them at random.
  */
 final class SimulatedCluster {
+  /** One second, in microseconds. */
   static final long SECOND = 1_000_000;
+
   private static final double MESSAGE_LOSS = 0.0005;
   private static final List<String> ZONES = List.of("east", "west");
 
@@ -52,10 +55,13 @@
   final SimUsers users;
   final InvariantChecker invariants;
 
-  /** What is really so. */
+  /** The actual deployment, which the simulated workers, store and cloud follow. */
   final Deployment deployment;
 
-  /** What the controllers' settings say; tests of the checker have it differ. */
+  /**
+   * The deployment in the controllers' settings. Tests of the checker make it differ from {@link
+   * #deployment} to provoke violations.
+   */
   private final Deployment configuredDeployment;
 
   private final long seed;
@@ -65,17 +71,20 @@
 
   final HeartbeatReplay heartbeatReplay = new HeartbeatReplay(this);
 
-  /** A controller process; a crash ends it, and a restart makes a new one of the same name. */
+  /**
+   * A running controller process. A crash ends it; a restart creates another process with the same
+   * name.
+   */
   private record ControllerProcess(ControllerNode node, SimScheduler.HostClock clock) {}
 
   /**
-   * How much there is of everything.
+   * The size of the cluster and of its load.
    *
-   * @param ownedMachines machines that are there from the start and never returned
-   * @param capacityPerPool machines to be had of each type, zone and purchase kind
-   * @param guaranteedCpus the quota guaranteed to each team
-   * @param limitCpus the quota that each team can't exceed
-   * @param maxTasks the most tasks of a random job
+   * @param ownedMachines machines that exist from the start and are never returned to the cloud
+   * @param capacityPerPool machines that the cloud can provide of each type, zone and purchase kind
+   * @param guaranteedCpus the quota guaranteed to each team, in CPUs
+   * @param limitCpus the most CPUs that a team may use at a time
+   * @param maxTasks the largest number of tasks of a random array job
    */
   record Size(
       int ownedMachines,
@@ -83,18 +92,19 @@
       double guaranteedCpus,
       double limitCpus,
       int maxTasks) {
-    /** Of so many machines at the most, an eighth of them owned. */
+    /** A cluster of at most {@code machines} machines, one eighth of them owned. */
     static Size of(int machines) {
       return new Size(machines / 8, machines * 7 / 64, machines, 2.3 * machines, 300);
     }
 
+    /** Four owned machines, and arrays of at most 8 tasks. */
     static final Size SMALL = new Size(4, 4, 8, 20, 8);
 
     /** Up to 400 machines, and arrays of hundreds of tasks. */
     static final Size LARGE = new Size(48, 44, 400, 900, 300);
   }
 
-  /** A small cluster with the default times of workers. */
+  /** A {@link Size#SMALL} cluster with {@link #defaultWorkerTimes}. */
   SimulatedCluster(long seed, OperatorPolicy policy) {
     this(seed, policy, Size.SMALL);
   }
@@ -104,8 +114,8 @@
   }
 
   /**
-   * @param workers the times that the workers keep
-   * @param configured the times that the controllers take them to keep
+   * @param workers the intervals and deadlines that the workers apply
+   * @param configured the intervals and deadlines in the controllers' settings
    */
   SimulatedCluster(
       long seed,
@@ -156,7 +166,7 @@
         objectives());
   }
 
-  /** Three teams of equal quota, and a guest without a guarantee. */
+  /** Quotas of three teams with the same limits, and of a guest team without guaranteed quota. */
   private static Map<String, TeamQuota> quotas(Size size) {
     Resources limit = Resources.of(size.limitCpus(), 0, 0);
     Map<String, TeamQuota> teams = new LinkedHashMap<>();
@@ -177,12 +187,12 @@
     return new ServiceLevelObjectives(startWithin, endWithin, Map.of());
   }
 
-  /** Heartbeats each 1.5 s, leases of 10 s, cancelled tasks gone within 30 s. */
+  /** Heartbeats every 1.5 s, leases of 10 s, cancelled tasks stopped within 30 s. */
   static Deployment.WorkerTimes defaultWorkerTimes() {
     return new Deployment.WorkerTimes(1_500_000, 10 * SECOND, 20 * SECOND, 4 * SECOND, 30 * SECOND);
   }
 
-  /** Each two of the values, once. */
+  /** All pairs of different values, each in the order of the array. */
   static <T> Stream<List<T>> allPairs(T[] all) {
     return IntStream.range(0, all.length)
         .boxed()
@@ -193,7 +203,7 @@
     return List.copyOf(controllerAddresses.keySet());
   }
 
-  /** Where the controller serves users and workers. */
+  /** The address at which the controller serves users and workers. */
   String addressOf(String name) {
     return controllerAddresses.get(name);
   }
@@ -204,10 +214,12 @@
     return peers;
   }
 
+  /** Starts a process for the controller and serves its address. */
   void start(String name) {
     SimScheduler.HostClock clock =
         scheduler.new HostClock(randomClockRate(scheduler), scheduler.random.nextLong(500_000));
-    // Each controller has its own address of the store, so that it alone can be refused.
+    // Each controller reaches the store at an address of its own, so that the store can refuse it
+    // alone.
     String storeAddress = "10.2.1." + (controllerNames().indexOf(name) + 1) + ":1";
     network.serve(storeAddress, "store", store.endpointFor(name));
     network.setZone(name, zoneOf(name));
@@ -256,13 +268,16 @@
     };
   }
 
-  /** The rate of a clock: wrong by 0.05 % at most, and often by just that. */
+  /**
+   * A random clock rate between 0.9995 and 1.0005; with probability 2/3 it is one of the two
+   * bounds.
+   */
   static double randomClockRate(SimScheduler scheduler) {
     double off = scheduler.random.nextInt(3) - 1;
     return 1 + 0.0005 * (off == 0 ? 2 * scheduler.random.nextDouble() - 1 : off);
   }
 
-  /** Every other controller is in the second zone. */
+  /** The zone of the controller; controllers alternate between the two zones. */
   String zoneOf(String name) {
     return deployment.zones().get(controllerNames().indexOf(name) % 2);
   }
@@ -270,17 +285,18 @@
   private void receive(String name, byte[] bytes) {
     ControllerProcess target = processes.get(name);
     if (target != null) {
-      // The length prefix is read by the transport.
+      // The transport has already read the 4-byte length prefix.
       ByteBuffer body = ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice();
       target.clock().runOrDefer(() -> target.node().receive(body));
     }
   }
 
+  /** Whether the controller is running and considers itself the leader. */
   boolean isLeader(String name) {
     return processes.containsKey(name) && processes.get(name).node().leads();
   }
 
-  /** The answer of a controller to an operator's GET request. */
+  /** The JSON answer of a running controller to an operator's GET request. */
   JsonFields query(String name, String path) {
     List<JsonFields> answers = new ArrayList<>();
     processes
@@ -298,7 +314,7 @@
     return answers.get(0);
   }
 
-  /** A counter of GET /metrics, 0 if the controller is down. */
+  /** The value of a field of GET /metrics, or 0 if the controller is down. */
   long metric(String name, String field) {
     try {
       return processes.containsKey(name) ? query(name, "/metrics").count(field) : 0;
@@ -307,12 +323,12 @@
     }
   }
 
-  /** The highest term that a controller knows of. */
+  /** The highest term that any running controller reports. */
   long highestTerm() {
     return controllerNames().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
   }
 
-  /** The workers of a zone that run tasks, with their epochs. */
+  /** The workers of the zone that run at least one task, with their current epochs. */
   Map<SimWorker, Long> epochsOfBusyWorkers(String zone) {
     Map<SimWorker, Long> epochs = new LinkedHashMap<>();
     cloud.workers().stream()
@@ -321,7 +337,10 @@
     return epochs;
   }
 
-  /** The controller that leads, or the first one if none does. */
+  /**
+   * The name of the first controller that considers itself the leader, or of the first controller
+   * if none does.
+   */
   String leader() {
     return controllerNames().stream()
         .filter(this::isLeader)
@@ -330,8 +349,11 @@
   }
 
   /**
-   * Delivers a heartbeat of a machine without tasks, or with all its tasks ended by an error, as
-   * one that was delayed for long; its reply is dropped.
+   * Sends the controller a heartbeat in a machine's name, as if it had been delayed by the network,
+   * and drops the reply.
+   *
+   * @param tasksFailed whether the heartbeat reports all tasks of the machine as failed; if not, it
+   *     reports no tasks
    */
   void deliverLateHeartbeat(
       String name, SimWorker worker, long epoch, long sequence, boolean tasksFailed) {
@@ -357,7 +379,10 @@
         .call(controllerAddresses.get(name), heartbeat, SECOND, response -> {});
   }
 
-  /** The status of a controller's answer within the time, 0 for none. */
+  /**
+   * Sends a GET request, advances virtual time by {@code waitMicros} and returns the HTTP status of
+   * the answer, or 0 if there was none.
+   */
   int awaitStatus(String name, String path, long waitMicros) {
     int[] status = new int[1];
     requestStatus(name, path, got -> status[0] = got);
@@ -365,6 +390,9 @@
     return status[0];
   }
 
+  /**
+   * Sends a GET request to the controller and passes the HTTP status of its answer to the consumer.
+   */
   void requestStatus(String name, String path, IntConsumer status) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
@@ -375,7 +403,7 @@
             response -> status.accept(response.status()));
   }
 
-  /** Sends a heartbeat with the given body, whatever it says. */
+  /** Sends the controller a heartbeat with the given body, which may be invalid. */
   void sendHeartbeat(String name, String body, Consumer<HttpResponse> answer) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
@@ -386,14 +414,14 @@
             answer);
   }
 
-  /** Partitions a controller from everybody but users and cloud. */
+  /** Partitions a controller from the workers, the store and the other controllers. */
   void isolate(String name, boolean buffered, long durationMicros) {
     partitionFromWorkers(name, buffered, durationMicros);
     network.partition(name, "store", buffered, durationMicros);
     controllerNames().forEach(other -> network.partition(name, other, buffered, durationMicros));
   }
 
-  /** Ends a controller process and starts another of its name after the time. */
+  /** Ends a controller process and starts another one with the same name after the given time. */
   void crash(String name, long durationMicros) {
     ControllerProcess ended = processes.remove(name);
     if (ended != null) {
@@ -423,12 +451,15 @@
     network.partitionZone(zone, buffered, durationMicros);
   }
 
-  /** Partitions a controller from all workers that are there now. */
+  /** Partitions a controller from all current workers. */
   void partitionFromWorkers(String name, boolean buffered, long durationMicros) {
     cloud.workers().forEach(worker -> network.partition(name, worker.id, buffered, durationMicros));
   }
 
-  /** All controllers crash; each restarts after its own time. */
+  /**
+   * Crashes all controllers. Each restarts after the time at its index; the last time given applies
+   * to the rest.
+   */
   void crashAll(long... durationMicros) {
     for (int i = 0; i < controllerNames().size(); i++) {
       crash(controllerNames().get(i), durationMicros[Math.min(i, durationMicros.length - 1)]);
@@ -436,8 +467,8 @@
   }
 
   /**
-   * Tasks of live jobs whose record in the log diverges from the truth: where they are, or that
-   * they are somewhere.
+   * The tasks of live jobs for which the store's log names another machine than the one that holds
+   * the task, or only one of the two names a machine.
    */
   Set<TaskId> divergentTasks() {
     Set<TaskId> tasks = new HashSet<>(invariants.heldTasks());
@@ -451,8 +482,8 @@
   }
 
   /**
-   * Users cancel running jobs within a fifth of a second, and up to eight of their machines hang
-   * for so long.
+   * Has users cancel up to {@code maxJobs} running jobs within 200 ms, and hangs up to eight
+   * machines of these jobs.
    */
   void cancelJobsAndHangMachines(int maxJobs, long hangMicros) {
     Set<SimWorker> machines = new LinkedHashSet<>();
@@ -467,13 +498,19 @@
     heartbeatReplay.start(share, captureMicros, waitMicros);
   }
 
-  /** From now on, checks every second which jobs wait though there is capacity. */
+  /**
+   * Checks every second from now on that no job is starved; see {@link
+   * InvariantChecker#checkStarvation}.
+   */
   void checkStarvationEverySecond() {
     invariants.checkStarvation(cloud.workers());
     scheduler.after(SECOND, this::checkStarvationEverySecond);
   }
 
-  /** Leaves a controller workers, users and cloud, but neither store nor other controllers. */
+  /**
+   * Partitions a controller from the store and the other controllers; it still reaches workers,
+   * users and cloud.
+   */
   void isolateFromStoreAndPeers(String name, boolean buffered, long durationMicros) {
     network.partition(name, "store", buffered, durationMicros);
     controllerNames().stream()
@@ -481,7 +518,10 @@
         .forEach(other -> network.partition(name, other, buffered, durationMicros));
   }
 
-  /** The process crashes and is back within half a second, up to four times in a row. */
+  /**
+   * Crashes the controller repeatedly within four seconds; each time it restarts within half a
+   * second.
+   */
   void flap(String name) {
     long atMicros = 0;
     do {
@@ -491,15 +531,15 @@
     } while (atMicros < 4 * SECOND && scheduler.chance(0.6));
   }
 
-  /** Lets virtual time pass, with a check of the invariants after each event. */
+  /** Advances virtual time to {@code untilMicros}, and checks the invariants after each event. */
   void runUntil(long untilMicros) {
     scheduler.runUntil(untilMicros, invariants::check);
   }
 
   /**
-   * Fails if a violation was found, by the checker or by the store.
+   * Fails if the checker or the store has recorded a violation.
    *
-   * @param scenario what was played, for the message; the seed is added
+   * @param scenario the scenario of the run; the failure message contains it and the seed
    */
   void assertNoViolations(Object scenario) {
     assertEquals(List.of(), invariants.violations, () -> scenario + ", seed " + seed);
--- a/src/test/java/madderrudder/sim/StoreFaults.java
+++ b/src/test/java/madderrudder/sim/StoreFaults.java
@@ -1,13 +1,13 @@
 package madderrudder.sim;
 
 /**
- * Scripts of a store that is slow, refuses, or loses requests and replies. See {@link
- * FaultCombination}.
+ * Scripts with a store that is slow, refuses requests, delays transactions or loses replies. See
+ * {@link FaultCombination}.
  */
 final class StoreFaults {
   private StoreFaults() {}
 
-  /** Transactions get no reply, and are applied after newer ones of the same controller. */
+  /** Transactions get no reply, and are applied after newer transactions of the same controller. */
   static final class DelayedCommits extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Transactions are applied at once and only their reply is lost, while other controllers read
-   * what they wrote.
+   * Transactions are applied immediately but their replies are lost, while other controllers read
+   * the values written.
    */
   static final class LostReplies extends FaultScript {
     @Override
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Jobs are cancelled at the moment at which the store refuses the leader alone; a second later it
-   * is unavailable for longer than the cancellation time.
+   * Jobs are cancelled while the store refuses the leader alone; one to two seconds later the store
+   * becomes unavailable for longer than the cancellation time.
    */
   static final class LeaderRefusedDuringCancellation extends FaultScript {
     @Override
@@ -82,8 +82,8 @@
   }
 
   /**
-   * The store answers slowly, then refuses the leader alone, then everybody, while users cancel and
-   * poll.
+   * The store answers slowly, then refuses the leader alone, then becomes unavailable to all, while
+   * users cancel and poll jobs.
    */
   static final class SlowThenUnavailableStore extends FaultScript {
     @Override
--- a/src/test/java/madderrudder/sim/UserFaults.java
+++ b/src/test/java/madderrudder/sim/UserFaults.java
@@ -1,18 +1,19 @@
 package madderrudder.sim;
 
 /**
- * Scripts of users who cancel, repeat and poll at the worst moments. See {@link FaultCombination}.
+ * Scripts with users who cancel, resubmit and poll at critical moments. See {@link
+ * FaultCombination}.
  */
 final class UserFaults {
   private UserFaults() {}
 
-  /** A cancellation, a poll or a repeated submission meets the end of a job's last task. */
+  /** Cancellations, polls and resubmissions of a job arrive around the end of its last task. */
   static final class CancellationAtCompletion extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
       initialCount = cluster.users.cancelledAtCompletion;
       cluster.users.cancelAtCompletion(0.8, 60 * SECOND);
-      // With a slower store, more writes and reads of different controllers overlap.
+      // A slower store makes more writes and reads of different controllers overlap.
       cluster.store.slowDown(cluster.scheduler.chance(0.5) ? 12 : 1, 60 * SECOND);
     }
 
@@ -23,8 +24,8 @@
   }
 
   /**
-   * Users ask every controller within milliseconds after each change, submit again and cancel;
-   * controllers are slow, partitioned or new.
+   * Users poll every controller within milliseconds after each change of a job, resubmit and
+   * cancel, while controllers are paused, partitioned or restarting.
    */
   static final class ImmediatePolling extends FaultScript {
     @Override
@@ -50,7 +51,10 @@
     }
   }
 
-  /** Users submit again, cancel what is done, and send jobs that can't run or lack a field. */
+  /**
+   * Users resubmit live jobs, cancel ended ones, and submit jobs that can't run or have a missing
+   * or invalid field.
+   */
   static final class InvalidRequests extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -70,8 +74,8 @@
   }
 
   /**
-   * Running jobs are cancelled within a fifth of a second, and their machines hang, some beyond
-   * their leases.
+   * Running jobs are cancelled within 200 ms and their machines hang, some for longer than their
+   * leases.
    */
   static final class CancellationOnHungMachines extends FaultScript {
     @Override
--- a/src/test/java/madderrudder/sim/WorkloadFaults.java
+++ b/src/test/java/madderrudder/sim/WorkloadFaults.java
@@ -5,15 +5,15 @@
 import madderrudder.protocol.Priority;
 
 /**
- * Scripts of loads that fill quotas and machines, with faults in the middle. See {@link
+ * Scripts with loads that fill quotas and machines, and with faults under these loads. See {@link
  * FaultCombination}.
  */
 final class WorkloadFaults {
   private WorkloadFaults() {}
 
   /**
-   * Every team is at its limit while jobs are cancelled whose machines are partitioned or hang, and
-   * the leader changes.
+   * Every team is at its limit while jobs on partitioned or hung machines are cancelled and the
+   * leader crashes.
    */
   static final class CancellationsAtQuota extends FaultScript {
     @Override
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Every team is at its limit at a failover, some of its machines can't be asked what they run,
-   * and users cancel meanwhile.
+   * The leader crashes while every team is at its limit and some machines are unreachable; users
+   * cancel jobs during the failover.
    */
   static final class FailoverAtQuota extends FaultScript {
     @Override
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Four one-task jobs a second, a quarter of them cancelled; the leader crashes in the middle. */
+  /** Four one-task jobs per second, a quarter of them cancelled; the leader crashes in between. */
   static final class JobBurst extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** More work than capacity, urgent and not, over slow links. */
+  /** More work than capacity, of high and low priority, over slow links. */
   static final class Overload extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Jobs bound to one zone, arrays too, lose machines, and the zone is partitioned for a while. */
+  /** Gangs and arrays bound to one zone lose machines, and the zone is partitioned for a time. */
   static final class ZoneBoundJobs extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
--- a/src/test/java/madderrudder/sim/ZonePartitionTest.java
+++ b/src/test/java/madderrudder/sim/ZonePartitionTest.java
@@ -16,17 +16,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Workers that can't reach the leader, most of them in a zone that is partitioned from all others:
- * with delegation a controller on their side renews their leases for the leader, and passes starts
- * on where it reaches the leader.
+ * Guards against tasks lost when workers can't reach the leader, usually because their zone is
+ * partitioned. With delegation, a controller that they reach renews their leases on behalf of the
+ * leader, and also relays start commands if it reaches the leader.
  */
 @Timeout(60)
 class ZonePartitionTest {
   private static final long SECOND = SimulatedCluster.SECOND;
 
   /**
-   * Whether the workers of the leader's other zone that have tasks keep them through a partition of
-   * the zone. One that has none any more is free to lose its lease.
+   * Whether the workers with tasks in the zone without the leader keep their leases through a
+   * partition of that zone. The lease of a worker without tasks may expire.
    */
   private static boolean leasesOutliveZonePartition(long seed, boolean delegation) {
     SimulatedCluster cluster = Scenarios.clusterAfterOneMinute(seed, delegation);
@@ -51,22 +51,26 @@
   }
 
   /**
-   * A zone's controller answers its workers, with no command, while nobody else can: their leases
-   * last twice as long.
+   * Only the controller of the partitioned zone can answer its workers, without commands. The
+   * leases last through a partition of twice the lease duration.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
   void leasesOutliveZonePartitionWithDelegationOnly(long seed) {
     assertTrue(
         leasesOutliveZonePartition(seed, true),
-        "leases expired though a controller is in the zone, seed " + seed);
+        "leases expired although a controller is in the zone, seed " + seed);
     assertFalse(
-        leasesOutliveZonePartition(seed, false), "leases last without delegation, seed " + seed);
+        leasesOutliveZonePartition(seed, false),
+        "no lease expired without delegation, seed " + seed);
   }
 
-  /** What goes wrong beside the partition of a zone, from its beginning on. */
+  /** An additional fault, injected when the partition of the zone begins. */
   private enum AdditionalFault {
-    /** A delegate is paused for longer than its grant, and then goes on answering. */
+    /**
+     * A delegate is paused for longer than its grant lasts, and then continues to answer
+     * heartbeats.
+     */
     PAUSED_DELEGATE {
       @Override
       void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
@@ -74,14 +78,19 @@
             8 * SECOND, () -> cluster.pause(zoneControllers.get(0), 55 * SECOND));
       }
     },
-    /** Users are told of cancellations by others, and some tasks end by themselves. */
+    /**
+     * Controllers outside the zone confirm cancellations to users, and some tasks complete
+     * meanwhile.
+     */
     CANCELLATIONS {
       @Override
       void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
         cluster.scheduler.after(2 * SECOND, cluster.users::cancelAll);
       }
     },
-    /** Controllers of the zone crash, and are back under the same name within their grant. */
+    /**
+     * The controllers of the zone crash and restart with the same names before their grants expire.
+     */
     RESTARTED_DELEGATES {
       @Override
       void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
@@ -89,7 +98,10 @@
             name -> cluster.scheduler.after(12 * SECOND, () -> cluster.crash(name, 2 * SECOND)));
       }
     },
-    /** The leader loses its lease, and leads again in a higher term, its first grants still out. */
+    /**
+     * The leader loses its lease and is elected again in a higher term, while grants of its earlier
+     * term are still valid.
+     */
     LEADER_REELECTED {
       @Override
       void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
@@ -99,7 +111,10 @@
             .forEach(name -> cluster.network.partition(name, "store", false, 20 * SECOND));
       }
     },
-    /** No controller reaches another or the store, while workers reach all; no zone partition. */
+    /**
+     * The controllers reach neither each other nor the store, while workers reach all controllers.
+     * The zone is not partitioned.
+     */
     ALL_CONTROLLERS_ISOLATED {
       @Override
       void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
@@ -109,7 +124,10 @@
             .forEach(name -> cluster.network.partition(name, "store", true, 45 * SECOND));
       }
     },
-    /** Workers lose one way after the other, and move between the controllers that answer. */
+    /**
+     * One controller after another is partitioned from the workers, which move between those that
+     * answer.
+     */
     MOVING_WORKERS {
       @Override
       void inject(SimulatedCluster cluster, String leader, List<String> zoneControllers) {
@@ -145,15 +163,15 @@
     fault.inject(cluster, cluster.leader(), zoneControllers);
     int starts = cluster.invariants.starts;
     cluster.runUntil(200 * SECOND);
-    cluster.assertNoViolations("zone partition beside " + fault);
+    cluster.assertNoViolations("zone partition with " + fault);
     assertTrue(
         fault == AdditionalFault.CANCELLATIONS || cluster.invariants.starts > starts,
-        "nothing starts any more, seed " + seed);
+        "no task was started after the fault, seed " + seed);
   }
 
   /**
-   * Workers that can't reach the leader are served through controllers that can: they get starts
-   * too.
+   * Workers that can't reach the leader keep their leases and receive start commands through
+   * controllers that reach it.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2, 3, 4, 5})
@@ -169,14 +187,14 @@
     cluster.runUntil(80 * SECOND);
     int startedBefore = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
     cluster.runUntil(118 * SECOND);
-    assertEquals(leader, cluster.leader(), "leader, seed " + seed);
+    assertEquals(leader, cluster.leader(), "leader after the partition, seed " + seed);
     assertTrue(
         epochs.entrySet().stream()
             .allMatch(e -> e.getKey().isTerminated() || e.getKey().epoch() == e.getValue()),
-        "a lease expired, seed " + seed);
+        "a worker lease expired, seed " + seed);
     int startedAtEnd = epochs.keySet().stream().mapToInt(worker -> worker.starts).sum();
-    assertTrue(startedAtEnd > startedBefore, "nothing started there, seed " + seed);
+    assertTrue(startedAtEnd > startedBefore, "no task was started on these workers, seed " + seed);
     cluster.runUntil(160 * SECOND);
-    cluster.assertNoViolations("workers without a way to the leader");
+    cluster.assertNoViolations("workers partitioned from the leader");
   }
 }
