--- a/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
+++ b/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
@@ -15,32 +15,33 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The store refuses the leader alone, other controllers confirm cancellations, and then the store
- * is unavailable to all for longer than the cancellation time, while workers go on reporting. The
- * tasks of those jobs are gone in time all the same, whatever becomes of the leader. A longer
- * search: {@code mvn -B test -Dtest=CancellationInStoreOutageTest -DargLine=-DoutageSeeds=50}.
+ * Guards against cancelled tasks that run past their deadline: the store refuses the leader alone,
+ * other controllers confirm cancellations, and then the store is unavailable to all for longer than
+ * the cancellation time, while workers go on sending heartbeats. The leader may not have read the
+ * cancellations; the tasks must nevertheless end in time, whatever happens to the leader. To run
+ * more seeds: {@code mvn -B test -Dtest=CancellationInStoreOutageTest -DargLine=-DoutageSeeds=50}.
  */
 @Timeout(120)
 class CancellationInStoreOutageTest {
   private static final long SEEDS = Long.getLong("outageSeeds", 2);
   private static final long SECOND = SimulatedCluster.SECOND;
 
-  /** The times of a deployment's workers. */
-  private enum Times {
-    SMALL(SimulatedCluster.defaultWorkerTimes()),
-    RENDER(
+  /** Worker times of a deployment, named after the time within which cancelled tasks must end. */
+  private enum WorkerTimesCase {
+    CANCEL_WITHIN_30_S(SimulatedCluster.defaultWorkerTimes()),
+    CANCEL_WITHIN_52_S(
         new Deployment.WorkerTimes(4 * SECOND, 22 * SECOND, 35 * SECOND, 4 * SECOND, 52 * SECOND)),
-    TRADESLINK(
+    CANCEL_WITHIN_47_S(
         new Deployment.WorkerTimes(4 * SECOND, 22 * SECOND, 35 * SECOND, 4 * SECOND, 47 * SECOND));
 
     private final Deployment.WorkerTimes workers;
 
-    Times(Deployment.WorkerTimes workers) {
+    WorkerTimesCase(Deployment.WorkerTimes workers) {
       this.workers = workers;
     }
 
-    /** How long heartbeats may be answered without reading the store. */
-    long answerMicros() {
+    /** The time for which heartbeats may be answered without a read of the store. */
+    long answerWindowMicros() {
       return workers.cancelMicros() - workers.leaseMicros() - 2 * SECOND;
     }
   }
@@ -49,41 +50,48 @@
   private enum LeaderFate {
     /** The leader keeps its lease through the outage. */
     KEEPS_LEADING,
-    /** It crashes in the outage, and another process of its name starts soon after. */
+    /**
+     * The leader crashes during the outage, and another process with its name starts within about
+     * three seconds.
+     */
     RESTARTED {
       @Override
-      void during(SimulatedCluster cluster, String leader, Times times) {
+      void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.scheduler.after(
-            cluster.scheduler.random.nextLong(times.answerMicros()),
+            cluster.scheduler.random.nextLong(times.answerWindowMicros()),
             () ->
                 cluster.crash(leader, SECOND / 10 + cluster.scheduler.random.nextLong(3 * SECOND)));
       }
     },
-    /** It is paused in the outage, and then goes on. */
+    /** The leader is paused during the outage and then continues. */
     PAUSED {
       @Override
-      void during(SimulatedCluster cluster, String leader, Times times) {
+      void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.scheduler.after(
             cluster.scheduler.random.nextLong(4 * SECOND),
-            () -> cluster.pause(leader, cluster.scheduler.random.nextLong(times.answerMicros())));
+            () ->
+                cluster.pause(
+                    leader, cluster.scheduler.random.nextLong(times.answerWindowMicros())));
       }
     },
-    /** The other controllers can't reach it either. */
+    /** The leader is also partitioned from the other controllers. */
     ISOLATED {
       @Override
-      void during(SimulatedCluster cluster, String leader, Times times) {
+      void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(
                 other ->
                     cluster.network.partition(
-                        leader, other, cluster.scheduler.chance(0.5), times.answerMicros()));
+                        leader, other, cluster.scheduler.chance(0.5), times.answerWindowMicros()));
       }
     },
-    /** Workers can't reach it, and their heartbeats are relayed by others. */
+    /**
+     * The workers of a zone can't reach the leader, and other controllers relay their heartbeats.
+     */
     HEARTBEATS_RELAYED {
       @Override
-      void before(SimulatedCluster cluster, String leader, Times times) {
+      void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.cloud.workers().stream()
             .filter(worker -> worker.zone.equals("east"))
             .forEach(
@@ -94,14 +102,17 @@
 
       @Override
       boolean tookEffect(SimulatedCluster cluster) {
-        return cluster.controllers().stream()
+        return cluster.controllerNames().stream()
             .anyMatch(name -> cluster.metric(name, "reports_passed_on") > 0);
       }
     },
-    /** Its lease expires before the outage; another is elected, and can't read the store. */
+    /**
+     * The leader's lease expires before the outage. The elected successor can't read the stored
+     * state.
+     */
     SUCCESSOR_CANNOT_READ {
       @Override
-      void before(SimulatedCluster cluster, String leader, Times times) {
+      void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
         cluster.store.refuse(leader, 2 * times.workers.cancelMicros());
         cluster.store.failRangeReads(times.workers.cancelMicros() + 10 * SECOND);
         cluster.runUntil(
@@ -109,38 +120,41 @@
       }
     },
     /**
-     * All are refused until the leader hardly answers any more; another is elected, and then nobody
-     * reaches the store.
+     * The store refuses all controllers until shortly before the leader may no longer answer
+     * heartbeats. Another controller is elected immediately before the outage.
      */
     ELECTED_BRIEFLY_BEFORE {
       @Override
-      void before(SimulatedCluster cluster, String leader, Times times) {
-        long untilMicros = cluster.scheduler.nowMicros + times.answerMicros() - SECOND;
+      void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
+        long untilMicros = cluster.scheduler.nowMicros + times.answerWindowMicros() - SECOND;
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(name -> cluster.store.refuse(name, untilMicros - cluster.scheduler.nowMicros));
         cluster.store.refuse(leader, 2 * times.workers.cancelMicros());
-        cluster.store.failRangeReads(times.answerMicros() + 2 * SECOND);
+        cluster.store.failRangeReads(times.answerWindowMicros() + 2 * SECOND);
         cluster.runUntil(untilMicros + 400_000);
       }
     };
 
-    void during(SimulatedCluster cluster, String leader, Times times) {}
+    /** Schedules what happens to the leader during the outage. */
+    void duringOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {}
 
+    /** Whether the intended situation occurred. */
     boolean tookEffect(SimulatedCluster cluster) {
       return true;
     }
 
-    /** What comes between the confirmations and the outage. */
-    void before(SimulatedCluster cluster, String leader, Times times) {}
+    /** Injects faults between the confirmations and the outage. */
+    void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {}
   }
 
-  private record Scenario(Times times, LeaderFate leaderFate, boolean delegation, long seed) {}
+  private record Scenario(
+      WorkerTimesCase times, LeaderFate leaderFate, boolean delegation, long seed) {}
 
   static Stream<Scenario> scenarios() {
     List<Scenario> scenarios = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      for (Times times : Times.values()) {
+      for (WorkerTimesCase times : WorkerTimesCase.values()) {
         for (LeaderFate leaderFate : LeaderFate.values()) {
           scenarios.add(new Scenario(times, leaderFate, seed % 2 == 1, seed));
         }
@@ -155,7 +169,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("scenarios")
-  void cancelledTasksAreGoneInTime(Scenario scenario) {
+  void cancelledTasksEndBeforeDeadline(Scenario scenario) {
     OperatorPolicy policy = policy(scenario.delegation());
     Deployment.WorkerTimes workers = scenario.times().workers;
     SimulatedCluster cluster =
@@ -163,8 +177,8 @@
             scenario.seed(), workers, workers, policy, SimulatedCluster.Size.SMALL);
     cluster.users.submitRandomJobs(3 * SECOND, 100 * SECOND);
     cluster.runUntil(60 * SECOND);
-    long confirmed = 0;
-    int answered = 0;
+    long runningCancelledTasks = 0;
+    int answeredInOutage = 0;
     // One outage, or two in a row.
     for (long outage = 0; outage <= scenario.seed() % 2; outage++) {
       String leader = cluster.leader();
@@ -174,30 +188,30 @@
       cluster.users.cancelRunning(cluster.scheduler.chance(0.3) ? 1 : 50);
       cluster.runUntil(
           cluster.scheduler.nowMicros + 300_000 + cluster.scheduler.random.nextLong(1_500_000));
-      confirmed += cluster.invariants.runningCancelledTasks();
-      int before = answeredHeartbeats(cluster);
-      scenario.leaderFate().before(cluster, leader, scenario.times());
+      runningCancelledTasks += cluster.invariants.runningCancelledTasks();
+      int answeredBefore = answeredHeartbeats(cluster);
+      scenario.leaderFate().beforeOutage(cluster, leader, scenario.times());
       long outageMicros =
           (long) (workers.cancelMicros() * (cluster.scheduler.chance(0.2) ? 0.6 : 1.3));
       cluster.store.outage(outageMicros);
-      scenario.leaderFate().during(cluster, leader, scenario.times());
+      scenario.leaderFate().duringOutage(cluster, leader, scenario.times());
       cluster.runUntil(cluster.scheduler.nowMicros + outageMicros);
-      answered += answeredHeartbeats(cluster) - before;
+      answeredInOutage += answeredHeartbeats(cluster) - answeredBefore;
       cluster.runUntil(cluster.scheduler.nowMicros + 20 * SECOND);
     }
     assertTrue(
-        confirmed > 0,
-        "no task of a cancelled job was running when the store went away, " + scenario);
-    // Without delegation nothing is granted, and a leader that has not read what there is keeps
-    // silent.
+        runningCancelledTasks > 0,
+        "no task of a cancelled job was running when the outage began, " + scenario);
+    // Without delegation no controller holds a grant, and a leader that has not read the stored
+    // state answers no heartbeats.
     assertTrue(
-        answered > 0
+        answeredInOutage > 0
             || (scenario.leaderFate() == LeaderFate.SUCCESSOR_CANNOT_READ
                 && !scenario.delegation()),
         "no heartbeat was answered after the confirmations, " + scenario);
     assertTrue(
         scenario.leaderFate().tookEffect(cluster) || !scenario.delegation(),
-        "did not come about, " + scenario);
+        "the intended situation did not occur, " + scenario);
     cluster.runUntil(cluster.scheduler.nowMicros + 2 * workers.cancelMicros());
     cluster.assertNoViolations(scenario);
     assertTrue(
@@ -210,20 +224,21 @@
   }
 
   /**
-   * A reply to an outdated heartbeat renews the lease too, and so must say what is to be stopped.
+   * Guards against replies that renew a lease without stopping unknown tasks: a reply to an
+   * outdated heartbeat renews the lease too, so it must contain the stop commands.
    */
   @Test
   void everyHeartbeatReplyStopsUnknownTasks() {
     SimulatedCluster cluster = new SimulatedCluster(1, policy(true));
     cluster.runUntil(10 * SECOND);
-    String report =
+    String heartbeat =
         "{\"vessel\":\"m-900000\",\"addr\":\"10.9.0.1:1\",\"build\":\"small\",\"berth\":\"east\",\"watch\":1,\"knot\":5,"
             + "\"helm\":0,\"strokes\":[{\"stroke\":\"req-999999/0\",\"launch\":7,\"trim\":\"running\"}]}";
     List<String> answers = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       cluster.sendHeartbeat(
           cluster.leader(),
-          report,
+          heartbeat,
           response ->
               answers.add(response.status() + new String(response.body(), StandardCharsets.UTF_8)));
       cluster.runUntil(cluster.scheduler.nowMicros + SECOND);
--- a/src/test/java/madderrudder/sim/FailoverFaults.java
+++ b/src/test/java/madderrudder/sim/FailoverFaults.java
@@ -3,13 +3,13 @@
 import madderrudder.protocol.JobSpec;
 
 /**
- * Scripts of controllers that crash, flap and take over from each other. See {@link
+ * Scripts with controllers that crash, restart repeatedly and take over from each other. See {@link
  * FaultCombination}.
  */
 final class FailoverFaults {
   private FailoverFaults() {}
 
-  /** Jobs of two and three tasks, which end far apart, and a failover after each end. */
+  /** Jobs of two or three tasks that end far apart, with a failover after each end. */
   static final class FailoverBetweenTaskEnds extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
@@ -25,11 +25,11 @@
         cluster.users.submitJob(job);
       }
       for (int second = 8; second < 70; second += 7) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
-              seen = Math.max(seen, cluster.invariants.partlyDoneJobs());
+              observed = Math.max(observed, cluster.invariants.partlyCompletedJobs());
               if (cluster.scheduler.chance(0.5)) {
                 cluster.crash(
                     cluster.leader(), SECOND + cluster.scheduler.random.nextLong(3 * SECOND));
@@ -42,56 +42,56 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 2;
+      return observed > 2;
     }
   }
 
   /**
-   * Leadership moves away and back, all controllers crash, and one is back within a second: several
-   * terms within a lease.
+   * Leadership changes repeatedly, then all controllers crash and one restarts within a second:
+   * several terms within one lease.
    */
   static final class RepeatedFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.term();
+      initialCount = cluster.highestTerm();
       cluster.store.refuse(cluster.leader(), 4 * SECOND);
       for (double second : new double[] {4.5, 7, 9.5, 10, 10.4}) {
         cluster.scheduler.after((long) (second * SECOND), () -> cluster.flap(cluster.leader()));
       }
-      in(
+      afterSeconds(
           cluster,
           13,
           () ->
               cluster
-                  .controllers()
+                  .controllerNames()
                   .forEach(
                       name ->
                           cluster.crash(
                               name,
                               SECOND / 5
-                                  + (name.equals(cluster.controllers().get(1))
+                                  + (name.equals(cluster.controllerNames().get(1))
                                       ? 0
                                       : 12 * SECOND))));
-      in(cluster, 15, () -> cluster.store.outage(4 * SECOND));
-      in(cluster, 17, () -> cluster.flap(cluster.controllers().get(1)));
-      in(cluster, 30, () -> cluster.controllers().forEach(cluster::flap));
+      afterSeconds(cluster, 15, () -> cluster.store.outage(4 * SECOND));
+      afterSeconds(cluster, 17, () -> cluster.flap(cluster.controllerNames().get(1)));
+      afterSeconds(cluster, 30, () -> cluster.controllerNames().forEach(cluster::flap));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.term() >= before + 4;
+      return cluster.highestTerm() >= initialCount + 4;
     }
   }
 
   /**
-   * New machines are up within two seconds and get work at once while writes lag and the leader
-   * crashes.
+   * New machines boot within two seconds and are given tasks immediately, while writes are delayed
+   * and the leader crashes.
    */
   static final class FastBootsDuringFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.cloud.machinesCreated();
-      cluster.cloud.slowBoots(0, 0.05, 45 * SECOND);
+      initialCount = cluster.cloud.machinesCreated();
+      cluster.cloud.overrideBoots(0, 0.05, 45 * SECOND);
       cluster.cloud.workers().stream()
           .filter(worker -> cluster.scheduler.chance(0.6))
           .forEach(cluster.cloud::terminate);
@@ -99,7 +99,7 @@
       cluster.store.delayCommits(0.15, 30 * SECOND);
       submitServices(cluster, 5);
       for (int second = 2; second < 40; second += 9) {
-        in(
+        afterSeconds(
             cluster,
             second + cluster.scheduler.random.nextInt(3),
             () -> cluster.crash(cluster.leader(), SECOND / 2));
@@ -108,20 +108,21 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.cloud.machinesCreated() > before;
+      return cluster.cloud.machinesCreated() > initialCount;
     }
   }
 
-  /** Jobs are cancelled in the seconds of a failover, up to one every tenth of a second. */
+  /** Jobs are cancelled during failovers, up to one every 100 ms. */
   static final class CancellationsDuringFailovers extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.term();
-      // Records that are read slowly, in several ranges, change between two ranges.
+      initialCount = cluster.highestTerm();
+      // With a slow store, the new leader reads the records in several slow range reads, and
+      // records change between two of them.
       cluster.store.slowDown(30, 45 * SECOND);
       submitServices(cluster, 8);
       for (int second = 5; second < 40; second += 9) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
@@ -132,7 +133,7 @@
               }
               for (int tenth = 0; tenth < 80; tenth += 1 + cluster.scheduler.random.nextInt(4)) {
                 cluster.scheduler.after(
-                    tenth * SECOND / 10, () -> seen += cluster.users.cancelRunning(1).size());
+                    tenth * SECOND / 10, () -> observed += cluster.users.cancelRunning(1).size());
               }
             });
       }
@@ -140,18 +141,18 @@
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return seen > 5 && cluster.term() > before + 1;
+      return observed > 5 && cluster.highestTerm() > initialCount + 1;
     }
   }
 
   /**
-   * All controllers are down for longer than a lease, with cancellations just before and right
+   * All controllers are down for longer than a lease, with cancellations immediately before and
    * after.
    */
   static final class AllControllersDown extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.invariants.runningTasks();
+      initialCount = cluster.invariants.runningTasks();
       cluster.users.cancelRunning(4);
       cluster.scheduler.after(
           cluster.scheduler.random.nextLong(SECOND),
@@ -160,26 +161,26 @@
                   12 * SECOND + cluster.scheduler.random.nextLong(15 * SECOND),
                   14 * SECOND,
                   13 * SECOND));
-      in(cluster, 14, () -> cluster.users.cancelRunning(3));
-      in(cluster, 16, () -> cluster.users.cancelRunning(3));
+      afterSeconds(cluster, 14, () -> cluster.users.cancelRunning(3));
+      afterSeconds(cluster, 16, () -> cluster.users.cancelRunning(3));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return before > 5;
+      return initialCount > 5;
     }
   }
 
   /**
-   * The leader changes ten times within a minute, also in a store outage; processes are back within
-   * a fraction of a second.
+   * The leader changes about ten times within a minute, also during a store outage; crashed
+   * processes restart within a second.
    */
   static final class LeaderFlapping extends FaultScript {
     @Override
     void inject(SimulatedCluster cluster) {
-      before = cluster.term();
+      initialCount = cluster.highestTerm();
       for (int second = 0; second < 60; second += 4) {
-        in(
+        afterSeconds(
             cluster,
             second,
             () -> {
@@ -195,12 +196,12 @@
               }
             });
       }
-      in(cluster, 24, () -> cluster.store.outage(9 * SECOND));
+      afterSeconds(cluster, 24, () -> cluster.store.outage(9 * SECOND));
     }
 
     @Override
     boolean tookEffect(SimulatedCluster cluster) {
-      return cluster.term() >= before + 7;
+      return cluster.highestTerm() >= initialCount + 7;
     }
   }
 }
--- a/src/test/java/madderrudder/sim/FaultCombinationsTest.java
+++ b/src/test/java/madderrudder/sim/FaultCombinationsTest.java
@@ -16,38 +16,44 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Plays each {@link FaultCombination} alone and each two of them together. Every invariant is
- * checked after each step; at the end nobody may be forgotten or left unserved; and the situation
- * must really have come about, so that no script passes without testing anything. (The store outage
- * after a confirmed cancellation has a test of its own, {@link CancellationInStoreOutageTest}.) A
- * longer search: {@code mvn -B test -Dtest=FaultCombinationsTest -DargLine=-DcombinationSeeds=100}.
+ * Runs each {@link FaultCombination} alone and each pair of them together. The invariants are
+ * checked after each step; at the end, no job may be forgotten or unserved. The intended situation
+ * must have occurred, so that no script passes without testing anything. The store outage after a
+ * confirmed cancellation has its own test, {@link CancellationInStoreOutageTest}. To run more
+ * seeds: {@code mvn -B test -Dtest=FaultCombinationsTest -DargLine=-DcombinationSeeds=100}.
  */
 @Timeout(120)
 @Execution(ExecutionMode.CONCURRENT)
 class FaultCombinationsTest {
   private static final long SEEDS = Long.getLong("combinationSeeds", 3);
 
-  /** Up to this seed each combination must come about; later seeds may leave nothing to break. */
-  private static final int SEEDS_THAT_TAKE_EFFECT = 3;
+  /**
+   * Up to this seed, the situation of each combination must occur. With other seeds, the random
+   * load may leave nothing for a script to disturb.
+   */
+  private static final int LAST_SEED_REQUIRED_TO_TAKE_EFFECT = 3;
 
-  /** How many further seeds are tried if a pair does not come about; all are checked. */
-  private static final int MAX_RETRIES = 9;
+  /**
+   * The number of further seeds to run if a pair does not take effect. The invariants are checked
+   * in each of these runs.
+   */
+  private static final int MAX_FURTHER_SEEDS = 9;
 
   private static final long SECOND = SimulatedCluster.SECOND;
   private static final OperatorPolicy POLICY = SimPolicies.smallCluster(60, true, false);
 
   /**
-   * Plays the combinations one shortly after the other and checks all invariants.
+   * Injects the combinations shortly after each other and checks all invariants.
    *
-   * @return whether all of them have come about
+   * @return whether the intended situations of all of them occurred
    */
-  private static boolean invariantsHold(List<FaultCombination> combinations, long seed) {
+  private static boolean runAndCheck(List<FaultCombination> combinations, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, POLICY);
-    cluster.users.addGuestsAndFailingJobs();
+    cluster.users.enableGuestAndFailingJobs();
     cluster.users.retryUnknownCancellations();
     cluster.users.submitRandomJobs(3_000_000, 120 * SECOND);
     cluster.runUntil(50 * SECOND);
-    List<FaultScript> scripts = combinations.stream().map(FaultCombination::script).toList();
+    List<FaultScript> scripts = combinations.stream().map(FaultCombination::newScript).toList();
     for (FaultScript script : scripts) {
       script.inject(cluster);
       cluster.runUntil(cluster.scheduler.nowMicros + cluster.scheduler.random.nextLong(9 * SECOND));
@@ -62,8 +68,8 @@
     cluster.assertNoViolations(combinations);
     assertEquals(
         1,
-        cluster.controllers().stream().filter(cluster::leads).count(),
-        () -> "leaders, " + combinations + ", seed " + seed);
+        cluster.controllerNames().stream().filter(cluster::isLeader).count(),
+        () -> "number of leaders, " + combinations + ", seed " + seed);
     return tookEffect;
   }
 
@@ -77,10 +83,10 @@
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("combinations")
   @Timeout(40)
-  void invariantsHoldInEachCombination(FaultCombination combination, long seed) {
+  void eachCombinationAloneKeepsInvariants(FaultCombination combination, long seed) {
     assertTrue(
-        invariantsHold(List.of(combination), seed) || seed > SEEDS_THAT_TAKE_EFFECT,
-        combination + " did not come about, seed " + seed);
+        runAndCheck(List.of(combination), seed) || seed > LAST_SEED_REQUIRED_TO_TAKE_EFFECT,
+        combination + " did not take effect, seed " + seed);
   }
 
   static Stream<Arguments> pairs() {
@@ -88,18 +94,18 @@
         .boxed()
         .flatMap(
             seed ->
-                SimulatedCluster.pairs(FaultCombination.values())
+                SimulatedCluster.allPairs(FaultCombination.values())
                     .map(pair -> Arguments.of(pair, 1_000 * seed)));
   }
 
   @ParameterizedTest(name = "{0}, from seed {1}")
   @MethodSource("pairs")
-  void invariantsHoldInTwoCombinations(List<FaultCombination> pair, long firstSeed) {
-    // One of them may leave nothing for the other to break; then further seeds are played, and
-    // checked as well.
+  void eachPairOfCombinationsKeepsInvariants(List<FaultCombination> pair, long firstSeed) {
+    // One script may leave nothing for the other to disturb. Further seeds are then run and checked
+    // too.
     assertTrue(
-        LongStream.rangeClosed(firstSeed, firstSeed + MAX_RETRIES)
-            .anyMatch(seed -> invariantsHold(pair, seed)),
-        pair + " did not come about from seed " + firstSeed);
+        LongStream.rangeClosed(firstSeed, firstSeed + MAX_FURTHER_SEEDS)
+            .anyMatch(seed -> runAndCheck(pair, seed)),
+        pair + " did not take effect from seed " + firstSeed);
   }
 }
--- a/src/test/java/madderrudder/sim/HeartbeatReplay.java
+++ b/src/test/java/madderrudder/sim/HeartbeatReplay.java
@@ -1,15 +1,15 @@
 package madderrudder.sim;
 
 /**
- * Captures copies of heartbeats and delivers them to every controller just as another one becomes
- * leader, and again seconds later, after it has acted on newer ones.
+ * Captures copies of heartbeats and delivers them to every controller right after a leader change,
+ * and again seconds later, when the new leader has acted on newer heartbeats.
  */
 final class HeartbeatReplay {
   private static final long SECOND = SimulatedCluster.SECOND;
 
   private final SimulatedCluster cluster;
 
-  /** Copies that have reached a controller. */
+  /** The number of copies delivered to controllers. */
   int delivered;
 
   HeartbeatReplay(SimulatedCluster cluster) {
@@ -17,19 +17,20 @@
   }
 
   /**
-   * Captures this share of heartbeats for the first time given, and waits for another leader for
-   * the second.
+   * Captures this share of heartbeats for {@code captureMicros}, and waits up to {@code waitMicros}
+   * for a leader of a higher term; discards the copies if there is none.
    */
-  void start(double share, long captureMicros, long withinMicros) {
+  void start(double share, long captureMicros, long waitMicros) {
     cluster.network.captureHeartbeats(share, captureMicros);
-    deliverOnLeaderChange(cluster.term(), cluster.scheduler.nowMicros + withinMicros);
+    deliverOnLeaderChange(cluster.highestTerm(), cluster.scheduler.nowMicros + waitMicros);
   }
 
   private void deliverOnLeaderChange(long term, long untilMicros) {
     cluster.scheduler.after(
         SECOND / 10,
         () -> {
-          if (cluster.term() > term && cluster.controllers().stream().anyMatch(cluster::leads)) {
+          if (cluster.highestTerm() > term
+              && cluster.controllerNames().stream().anyMatch(cluster::isLeader)) {
             deliverTwice();
           } else if (cluster.scheduler.nowMicros < untilMicros) {
             deliverOnLeaderChange(term, untilMicros);
@@ -50,7 +51,7 @@
   }
 
   private void deliver() {
-    for (String name : cluster.controllers()) {
+    for (String name : cluster.controllerNames()) {
       delivered += cluster.network.deliverCaptured(cluster.addressOf(name));
     }
   }
--- a/src/test/java/madderrudder/sim/InvalidJobs.java
+++ b/src/test/java/madderrudder/sim/InvalidJobs.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Submissions that must be refused, each made of a valid one. */
+/** Derives submissions that must be rejected from a valid one. */
 final class InvalidJobs {
-  /** All fields but those that may be null. */
-  static final List<String> REQUIRED =
+  /** All fields of a submission except those that may be null. */
+  static final List<String> REQUIRED_FIELDS =
       List.of(
           "id",
           "rig",
@@ -26,11 +26,15 @@
           "mark_s",
           "stow_s");
 
-  private static final String VALUE = "(?:\"[^\"]*\"|[^,}\\[]+|\\[[^\\]]*\\])";
-  private static final List<String> VALUES = List.of("null", "[]", "{}", "-1", "1e300", "[7]");
+  /** A regular expression for a JSON text, number, literal or flat array. */
+  private static final String VALUE_PATTERN = "(?:\"[^\"]*\"|[^,}\\[]+|\\[[^\\]]*\\])";
 
-  /** Values that no deployment can run. */
-  private static final List<String[]> IMPOSSIBLE =
+  /** Values that are invalid for every required field. */
+  private static final List<String> WRONG_VALUES =
+      List.of("null", "[]", "{}", "-1", "1e300", "[7]");
+
+  /** Fields with values that are invalid or that no deployment can satisfy. */
+  private static final List<String[]> IMPOSSIBLE_VALUES =
       List.of(
           new String[] {"cores", "5000.0"},
           new String[] {"mem_gb", "90000.0"},
@@ -43,23 +47,30 @@
 
   private InvalidJobs() {}
 
+  /**
+   * Returns the job with one random field removed, made invalid, or set to a value that can't be
+   * satisfied.
+   */
   static String from(String validJob, SplittableRandom random) {
-    String field = REQUIRED.get(random.nextInt(REQUIRED.size()));
+    String field = REQUIRED_FIELDS.get(random.nextInt(REQUIRED_FIELDS.size()));
     return switch (random.nextInt(3)) {
-      case 0 -> without(validJob, field);
-      case 1 -> with(validJob, field, VALUES.get(random.nextInt(VALUES.size())));
+      case 0 -> withoutField(validJob, field);
+      case 1 -> withValue(validJob, field, WRONG_VALUES.get(random.nextInt(WRONG_VALUES.size())));
       default -> {
-        String[] change = IMPOSSIBLE.get(random.nextInt(IMPOSSIBLE.size()));
-        yield with(validJob, change[0], change[1]);
+        String[] change = IMPOSSIBLE_VALUES.get(random.nextInt(IMPOSSIBLE_VALUES.size()));
+        yield withValue(validJob, change[0], change[1]);
       }
     };
   }
 
-  static String without(String validJob, String field) {
-    return validJob.replaceFirst("\"" + field + "\":" + VALUE + ",?", "").replace(",}", "}");
+  static String withoutField(String validJob, String field) {
+    return validJob
+        .replaceFirst("\"" + field + "\":" + VALUE_PATTERN + ",?", "")
+        .replace(",}", "}");
   }
 
-  static String with(String validJob, String field, String value) {
-    return validJob.replaceFirst("\"" + field + "\":" + VALUE, "\"" + field + "\":" + value);
+  static String withValue(String validJob, String field, String value) {
+    return validJob.replaceFirst(
+        "\"" + field + "\":" + VALUE_PATTERN, "\"" + field + "\":" + value);
   }
 }
--- a/src/test/java/madderrudder/sim/InvariantCheckerTest.java
+++ b/src/test/java/madderrudder/sim/InvariantCheckerTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The checker must find what it is there for: each test plants a fault in the scheduler's settings
- * or in the order of events and expects the violation.
+ * Guards against a checker that misses violations: each test provokes a violation by wrong settings
+ * of the controllers or by a sequence of events, and expects the checker to record it.
  */
 @Timeout(60)
 class InvariantCheckerTest {
@@ -35,67 +35,72 @@
         cancelMicros);
   }
 
-  private static boolean isViolated(SimulatedCluster cluster, String rule) {
-    return countOf(cluster, rule) > 0;
+  private static boolean hasViolation(SimulatedCluster cluster, String rule) {
+    return violationCount(cluster, rule) > 0;
   }
 
-  private static long countOf(SimulatedCluster cluster, String rule) {
-    return cluster.invariants.violations.stream().filter(one -> one.startsWith(rule)).count();
+  private static long violationCount(SimulatedCluster cluster, String rule) {
+    return cluster.invariants.violations.stream()
+        .filter(violation -> violation.startsWith(rule))
+        .count();
   }
 
-  /** Controllers that take leases to be shorter than they are start tasks again too early. */
+  /**
+   * Controllers configured with a lease shorter than the actual one restart tasks elsewhere while
+   * they still run.
+   */
   @Test
-  void tasksThatRunTwiceAreFound() {
-    Deployment.WorkerTimes wrong =
+  void checkerReportsTasksThatRunTwice() {
+    Deployment.WorkerTimes wrongTimes =
         workerTimes(1_000_000, SimulatedCluster.defaultWorkerTimes().cancelMicros());
     boolean found = false;
     for (long seed = 1; seed <= 16 && !found; seed++) {
-      SimulatedCluster cluster = Scenarios.smallCluster(seed, wrong);
+      SimulatedCluster cluster = Scenarios.smallCluster(seed, wrongTimes);
       Scenarios.injectRandomFaults(cluster);
-      cluster.runUntil(Scenarios.FAULTS_END);
-      found = isViolated(cluster, "ran_twice");
+      cluster.runUntil(Scenarios.FAULTS_END_MICROS);
+      found = hasViolation(cluster, "ran_twice");
     }
     assertTrue(found, "no task ran twice");
   }
 
   /**
-   * Controllers that take the cancellation time to be longer than it is keep tasks alive for too
-   * long.
+   * Controllers configured with a cancellation time longer than the actual one let cancelled tasks
+   * run too long.
    */
   @Test
-  void cancelledTasksThatRunOnAreFound() {
-    Deployment.WorkerTimes wrong =
+  void checkerReportsCancelledTasksThatKeepRunning() {
+    Deployment.WorkerTimes wrongTimes =
         workerTimes(SimulatedCluster.defaultWorkerTimes().leaseMicros(), 400 * SECOND);
-    SimulatedCluster cluster = Scenarios.smallCluster(3, wrong);
+    SimulatedCluster cluster = Scenarios.smallCluster(3, wrongTimes);
     cluster.runUntil(60 * SECOND);
-    // The leader alone is refused by the store and can't be heard by its peers; users cancel
-    // elsewhere.
-    for (String name : cluster.controllers()) {
-      if (cluster.leads(name)) {
+    // The store refuses the leader, which is also partitioned from the other controllers. Users
+    // cancel jobs through the others.
+    for (String name : cluster.controllerNames()) {
+      if (cluster.isLeader(name)) {
         cluster.store.refuse(name, 200 * SECOND);
         cluster
-            .controllers()
+            .controllerNames()
             .forEach(other -> cluster.network.partition(name, other, false, 200 * SECOND));
       }
     }
     cluster.users.cancelAll();
     cluster.runUntil(200 * SECOND);
     assertTrue(
-        isViolated(cluster, "ran_cancelled"),
-        "no cancelled task ran on: " + cluster.invariants.violations);
+        hasViolation(cluster, "ran_cancelled"),
+        "no cancelled task ran past its deadline: " + cluster.invariants.violations);
   }
 
-  /** The faults of a scheduler that are planted for {@link InvariantChecker#checkAtEnd} to find. */
+  /** Faults of a cluster scheduler that {@link InvariantChecker#checkAtEnd} must find. */
   private enum PlantedFault {
-    NOTHING(null),
+    NONE(null),
     NEVER_STARTED("unserved"),
     NEVER_ANSWERED("forgotten"),
-    CLASS_LEFT_OUT("unserved"),
-    TEAM_LEFT_OUT("unserved"),
+    CLASS_STARVED("unserved"),
+    TEAM_STARVED("unserved"),
     LARGEST_STARVED("unserved"),
-    LARGEST_LATE("unserved");
+    LARGEST_STARTED_LATE("unserved");
 
-    /** The rule that it violates. */
+    /** The rule that the fault violates, or null. */
     private final String rule;
 
     PlantedFault(String rule) {
@@ -105,7 +110,7 @@
 
   @ParameterizedTest(name = "{0}")
   @EnumSource
-  void unservedAndForgottenJobsAreFoundAtTheEnd(PlantedFault fault) {
+  void endCheckReportsUnservedAndForgottenJobs(PlantedFault fault) {
     SimulatedCluster cluster = new SimulatedCluster(1, POLICY);
     InvariantChecker invariants = cluster.invariants;
     invariants.loggedMachineOf = task -> "m";
@@ -124,14 +129,14 @@
               .build();
       invariants.jobSubmitted(job);
       invariants.jobAnswered(job.id(), 201, "pending", true, 0);
-      boolean left =
-          (fault == PlantedFault.CLASS_LEFT_OUT && gang)
-              || (fault == PlantedFault.TEAM_LEFT_OUT && team.equals("alto"))
+      boolean neverStarted =
+          (fault == PlantedFault.CLASS_STARVED && gang)
+              || (fault == PlantedFault.TEAM_STARVED && team.equals("alto"))
               || (fault == PlantedFault.NEVER_STARTED && i < 30)
               || (fault == PlantedFault.LARGEST_STARVED && tasks > 1);
-      if (!left) {
+      if (!neverStarted) {
         cluster.scheduler.after(
-            fault == PlantedFault.LARGEST_LATE && tasks > 1 ? 250 * SECOND : 0,
+            fault == PlantedFault.LARGEST_STARTED_LATE && tasks > 1 ? 250 * SECOND : 0,
             () -> invariants.jobStarted(job.id()));
       }
       boolean answered = fault != PlantedFault.NEVER_ANSWERED || i != 7;
@@ -141,21 +146,22 @@
     }
     cluster.scheduler.runUntil(310 * SECOND, () -> {});
     invariants.checkAtEnd();
-    if (fault == PlantedFault.NOTHING) {
+    if (fault == PlantedFault.NONE) {
       assertEquals(List.of(), invariants.violations);
     } else {
-      assertNotEquals(List.of(), invariants.violations, () -> fault + " was not found");
-      assertTrue(isViolated(cluster, fault.rule), () -> "only " + invariants.violations);
+      assertNotEquals(List.of(), invariants.violations, () -> fault + " was not recorded");
+      assertTrue(
+          hasViolation(cluster, fault.rule), () -> "recorded instead: " + invariants.violations);
     }
   }
 
   /**
-   * Once nothing is placed any more, jobs wait though there is capacity, and are found; a job that
-   * waits at its team's limit is not.
+   * After all controllers have crashed, jobs wait although there is capacity, and the checker
+   * reports them. It does not report a job that waits because its team is at its limit.
    */
   @ParameterizedTest(name = "capacity {0}")
   @ValueSource(booleans = {false, true})
-  void starvedJobsAreFound(boolean capacity) {
+  void checkerReportsStarvedJobsOnly(boolean capacity) {
     SimulatedCluster cluster = new SimulatedCluster(3, POLICY);
     cluster.runUntil(20 * SECOND);
     double cpus = capacity ? 1 : 11;
@@ -170,22 +176,25 @@
               .build());
     }
     cluster.runUntil(60 * SECOND);
-    assertEquals(capacity ? 2 : 1, cluster.invariants.runningTasks(), "the limit is 20 processors");
+    assertEquals(
+        capacity ? 2 : 1,
+        cluster.invariants.runningTasks(),
+        "running tasks under a limit of 20 CPUs");
     if (capacity) {
       cluster.crashAll(1_000 * SECOND);
     }
     cluster.runUntil(90 * SECOND);
     cluster.checkStarvationEverySecond();
     cluster.runUntil(200 * SECOND);
-    assertEquals(capacity ? 2 : 0, countOf(cluster, "left_waiting"), "jobs found waiting");
+    assertEquals(capacity ? 2 : 0, violationCount(cluster, "left_waiting"), "starved jobs");
   }
 
   @Test
-  void onlyAcceptedInvalidRequestsAreFound() {
+  void checkerReportsAcceptedInvalidRequestsOnly() {
     SimulatedCluster cluster = new SimulatedCluster(3, POLICY);
     cluster.invariants.invalidRequestAnswered("a job without a field", 503);
-    assertEquals(0, countOf(cluster, "accepted_wrong"));
+    assertEquals(0, violationCount(cluster, "accepted_wrong"));
     cluster.invariants.invalidRequestAnswered("a job without a field", 201);
-    assertEquals(1, countOf(cluster, "accepted_wrong"));
+    assertEquals(1, violationCount(cluster, "accepted_wrong"));
   }
 }
--- a/src/test/java/madderrudder/sim/LoopbackServices.java
+++ b/src/test/java/madderrudder/sim/LoopbackServices.java
@@ -13,7 +13,8 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * The simulated store and cloud, driven by a real clock so that a real process can talk to them.
+ * The simulated store and cloud, driven by a real clock, so that a real process can use them over
+ * loopback connections.
  */
 public final class LoopbackServices {
   private static final long STEP_MICROS = 2_000;
@@ -22,8 +23,11 @@
   private final SimStore store;
   private final SimCloud cloud;
 
-  /** Starts both; {@code real} drives their virtual time and must be the thread that calls them. */
-  public LoopbackServices(Scheduler real) {
+  /**
+   * Starts both services. {@code realClock} drives their virtual time; all calls must come from its
+   * thread.
+   */
+  public LoopbackServices(Scheduler realClock) {
     Deployment deployment =
         new Deployment(
             List.of("east", "west"),
@@ -45,18 +49,19 @@
             Map.of("n-0", "10.0.0.1:8080"),
             SimulatedCluster.Size.SMALL.capacityPerPool());
     cloud.start(0);
-    store.tick();
-    long beginMicros = real.nowMicros();
-    real.every(STEP_MICROS, () -> scheduler.runUntil(real.nowMicros() - beginMicros, () -> {}));
+    store.expireLeasesPeriodically();
+    long startMicros = realClock.nowMicros();
+    realClock.every(
+        STEP_MICROS, () -> scheduler.runUntil(realClock.nowMicros() - startMicros, () -> {}));
   }
 
-  /** The state service; to be called on the scheduler's thread. */
+  /** The handler of the store's requests; to be called on the scheduler's thread. */
   public HttpHandler store() {
-    HttpHandler exchange = store.endpointFor("n-0");
-    return (HttpRequest request, Consumer<HttpResponse> answer) -> exchange.handle(request, answer);
+    HttpHandler endpoint = store.endpointFor("n-0");
+    return (HttpRequest request, Consumer<HttpResponse> answer) -> endpoint.handle(request, answer);
   }
 
-  /** The cloud provider; to be called on the scheduler's thread. */
+  /** The handler of the cloud's requests; to be called on the scheduler's thread. */
   public HttpHandler cloud() {
     return cloud;
   }
--- a/src/test/java/madderrudder/sim/RunTimeLearningTest.java
+++ b/src/test/java/madderrudder/sim/RunTimeLearningTest.java
@@ -14,24 +14,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What controllers learn of run times survives failovers, and costs few writes. */
+/**
+ * Guards against learned run times that are lost at a failover, written by a replaced leader, or
+ * that take a large share of the store's write rate.
+ */
 @Timeout(60)
 class RunTimeLearningTest {
   private static final long SECOND = SimulatedCluster.SECOND;
 
-  private static SimulatedCluster cluster(long seed, SimulatedCluster.Size size) {
+  private static SimulatedCluster clusterWithLearning(long seed, SimulatedCluster.Size size) {
     OperatorPolicy policy = SimPolicies.largeCluster(600, true);
     SimulatedCluster cluster = new SimulatedCluster(seed, policy, size);
     cluster.users.submitRandomJobs(2_000_000, 200 * SECOND);
     return cluster;
   }
 
-  private static JsonFields learned(SimulatedCluster cluster) throws MalformedMessageException {
+  private static JsonFields runTimeMetrics(SimulatedCluster cluster)
+      throws MalformedMessageException {
     return cluster.query(cluster.leader(), "/metrics").object("run_times");
   }
 
-  private static long runs(SimulatedCluster cluster) throws MalformedMessageException {
-    JsonFields classes = learned(cluster).object("ratio_to_guess");
+  private static long learnedSweepRuns(SimulatedCluster cluster) throws MalformedMessageException {
+    JsonFields classes = runTimeMetrics(cluster).object("ratio_to_guess");
     return classes.has("sweep") ? classes.object("sweep").count("runs") : 0;
   }
 
@@ -43,23 +47,26 @@
   }
 
   @Test
-  void aNewLeaderKnowsWhatEarlierOnesLearned() throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(2, SimulatedCluster.Size.SMALL);
+  void newLeaderLoadsRunTimesOfEarlierLeaders() throws MalformedMessageException {
+    SimulatedCluster cluster = clusterWithLearning(2, SimulatedCluster.Size.SMALL);
     cluster.runUntil(120 * SECOND);
-    assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs learned");
-    long kinds = learned(cluster).count("kinds");
+    assertTrue(
+        learnedSweepRuns(cluster) >= 8, "only " + learnedSweepRuns(cluster) + " runs learned");
+    long kinds = runTimeMetrics(cluster).count("kinds");
     failOver(cluster, 128);
-    JsonFields after = learned(cluster);
+    JsonFields after = runTimeMetrics(cluster);
+    assertTrue(
+        after.count("learned") < 8, "the new leader has itself learned " + after.count("learned"));
     assertTrue(
-        after.count("learned") < 8, "already it has itself learned " + after.count("learned"));
-    assertTrue(runs(cluster) >= 8, "only " + runs(cluster) + " runs known after the failover");
+        learnedSweepRuns(cluster) >= 8,
+        "only " + learnedSweepRuns(cluster) + " runs loaded after the failover");
     assertTrue(after.count("kinds") >= kinds / 2, after.count("kinds") + " kinds of " + kinds);
     cluster.assertNoViolations("failover");
   }
 
   /**
-   * Stored run times that can't be read once would have ended each failover: now learning starts
-   * afresh.
+   * Guards against stored run times that can't be read and make every failover fail: the new leader
+   * must ignore them and start learning from scratch.
    */
   @ParameterizedTest(name = "{0}")
   @ValueSource(
@@ -72,7 +79,7 @@
         "{\"d\":\"AQAAAAAAAAAAeJwDAAAAAAE=\"}"
       })
   void unreadableRunTimesAreIgnoredAtFailover(String value) throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(2, SimulatedCluster.Size.SMALL);
+    SimulatedCluster cluster = clusterWithLearning(2, SimulatedCluster.Size.SMALL);
     cluster.runUntil(100 * SECOND);
     String before = cluster.leader();
     cluster.crash(before, 200 * SECOND);
@@ -83,18 +90,19 @@
     assertNotEquals(before, cluster.leader());
     int starts = cluster.invariants.starts;
     cluster.runUntil(200 * SECOND);
-    assertTrue(cluster.invariants.starts > starts, "nothing starts any more");
-    assertTrue(learned(cluster).count("learned") > 0, "nothing is learned any more");
+    assertTrue(cluster.invariants.starts > starts, "no task was started after the failover");
+    assertTrue(
+        runTimeMetrics(cluster).count("learned") > 0, "no run time was learned after the failover");
     cluster.assertNoViolations("unreadable run times");
   }
 
   /**
-   * A leader that was paused beyond its lease goes on with what it was about to do, the next write
-   * of run times too.
+   * Guards against run times written by a replaced leader: after a pause longer than its lease, it
+   * continues with its pending work, which may be a write of run times.
    */
   @Test
-  void aReplacedLeaderWritesNoRunTimes() {
-    SimulatedCluster cluster = cluster(3, SimulatedCluster.Size.SMALL);
+  void replacedLeaderWritesNoRunTimes() {
+    SimulatedCluster cluster = clusterWithLearning(3, SimulatedCluster.Size.SMALL);
     for (int round = 0; round < 4; round++) {
       cluster.runUntil((50 + 35 * round) * SECOND);
       String before = cluster.leader();
@@ -109,10 +117,10 @@
     cluster.assertNoViolations("paused leaders");
   }
 
-  /** With about 400 machines, at most a hundredth of all writes are of run times. */
+  /** With about 400 machines, at most 1 % of all writes are writes of run times. */
   @Test
-  void learningTakesFewWrites() throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(4, SimulatedCluster.Size.LARGE);
+  void runTimesTakeAtMostOnePercentOfWrites() throws MalformedMessageException {
+    SimulatedCluster cluster = clusterWithLearning(4, SimulatedCluster.Size.LARGE);
     cluster.runUntil(60 * SECOND);
     long written = cluster.store.writesApplied;
     long runTimes = cluster.store.runTimeWrites;
@@ -123,31 +131,31 @@
     assertTrue(
         100 * runTimes <= written, runTimes + " of " + written + " writes were of run times");
     assertTrue(
-        learned(cluster).count("learned") > 500,
-        "only " + learned(cluster).count("learned") + " runs learned");
+        runTimeMetrics(cluster).count("learned") > 500,
+        "only " + runTimeMetrics(cluster).count("learned") + " runs learned");
   }
 
-  /** Operators collect what has run, a part a request. */
+  /** Operators read the history of runs page by page. */
   @Test
-  void theHistoryOfRunsIsServedInParts() throws MalformedMessageException {
-    SimulatedCluster cluster = cluster(5, SimulatedCluster.Size.LARGE);
+  void historyOfRunsIsServedInPages() throws MalformedMessageException {
+    SimulatedCluster cluster = clusterWithLearning(5, SimulatedCluster.Size.LARGE);
     cluster.runUntil(90 * SECOND);
     long next = 0;
     int runs = 0;
     while (true) {
-      JsonFields part = cluster.query(cluster.leader(), "/history/" + next);
-      assertEquals(0, part.count("missed"));
-      if (part.objects("runs").isEmpty()) {
+      JsonFields page = cluster.query(cluster.leader(), "/history/" + next);
+      assertEquals(0, page.count("missed"));
+      if (page.objects("runs").isEmpty()) {
         break;
       }
-      runs += part.objects("runs").size();
-      assertEquals(runs, part.count("next"));
-      next = part.count("next");
+      runs += page.objects("runs").size();
+      assertEquals(runs, page.count("next"));
+      next = page.count("next");
     }
     assertTrue(runs > 500, "only " + runs + " runs");
     String follower =
-        cluster.controllers().stream()
-            .filter(name -> !cluster.leads(name))
+        cluster.controllerNames().stream()
+            .filter(name -> !cluster.isLeader(name))
             .findFirst()
             .orElseThrow();
     assertTrue(cluster.query(follower, "/history/0").text("error").contains(cluster.leader()));
--- a/src/test/java/madderrudder/sim/SimCloud.java
+++ b/src/test/java/madderrudder/sim/SimCloud.java
@@ -16,11 +16,11 @@
 import madderrudder.transport.HttpResponse;
 
 /**
- * The simulated cloud provider: two machine types in two zones, pools of limited capacity, a list
- * that lags, and machines that boot slowly or never.
+ * The simulated cloud provider: two machine types in two zones, pools of limited capacity, a
+ * machine list that lags behind, and machines that boot slowly or not at all.
  */
 final class SimCloud implements HttpHandler {
-  private static final Map<String, Resources> TYPES =
+  private static final Map<String, Resources> CAPACITY_BY_TYPE =
       Map.of("small", Resources.of(4, 0, 16), "big", Resources.of(16, 0, 64));
 
   private static final double DEFAULT_BOOT_FAILURE_RATE = 0.05;
@@ -29,26 +29,28 @@
   private final SimNetwork network;
   private final InvariantChecker invariants;
   private final Deployment deployment;
-  private final Map<String, String> nodes;
+  private final Map<String, String> controllerAddresses;
 
-  /** Machines to be had of each type, zone and purchase kind. */
+  /** The most machines of each type, zone and purchase kind. */
   private final int capacityPerPool;
 
   private final TreeMap<String, Machine> machines = new TreeMap<>();
   private final Map<String, List<String>> rentalsByRequest = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
   private int machinesCreated;
-  private int owned;
+  private int ownedMachines;
 
-  /** Machines that were returned and had never started a task. */
+  /** The number of machines that were returned without having started a task. */
   int returnedUnused;
 
-  int calls;
-  private boolean down;
+  /** The number of requests. */
+  int requests;
+
+  private boolean unavailable;
   private double bootFailureRate = DEFAULT_BOOT_FAILURE_RATE;
   private double bootTimeFactor = 1;
 
-  /** A machine; its worker is null while it boots. */
+  /** A machine. Its worker is null while it boots, and remains null if the boot fails. */
   private static final class Machine {
     final String id;
     final String type;
@@ -64,6 +66,7 @@
     }
   }
 
+  /** The machine list at a time, as the answer to a request. */
   private record Snapshot(long atMicros, byte[] body) {}
 
   SimCloud(
@@ -71,77 +74,82 @@
       SimNetwork network,
       InvariantChecker invariants,
       Deployment deployment,
-      Map<String, String> nodes,
+      Map<String, String> controllerAddresses,
       int capacityPerPool) {
     this.capacityPerPool = capacityPerPool;
     this.scheduler = scheduler;
     this.network = network;
     this.invariants = invariants;
     this.deployment = deployment;
-    this.nodes = nodes;
+    this.controllerAddresses = controllerAddresses;
   }
 
-  void start(int owned) {
-    this.owned = owned;
-    for (int i = 0; i < owned; i++) {
-      boot(add(i % 2 == 0 ? "small" : "big", deployment.zones().get(i % 2), false));
+  /** Creates the owned machines, which are up immediately. */
+  void start(int ownedMachines) {
+    this.ownedMachines = ownedMachines;
+    for (int i = 0; i < ownedMachines; i++) {
+      completeBoot(addMachine(i % 2 == 0 ? "small" : "big", deployment.zones().get(i % 2), false));
     }
     snapshot();
   }
 
-  void outage(long forMicros) {
-    down = true;
-    scheduler.after(forMicros, () -> down = false);
+  /** Answers all requests with status 503. */
+  void outage(long durationMicros) {
+    unavailable = true;
+    scheduler.after(durationMicros, () -> unavailable = false);
   }
 
   /**
-   * For the time given, this share of rented machines never comes up, and the others take so many
-   * times as long to boot.
+   * For the given time, this share of newly rented machines never boots, and the boot time of the
+   * others is multiplied by the factor.
    */
-  void slowBoots(double failureRate, double timeFactor, long forMicros) {
+  void overrideBoots(double failureRate, double timeFactor, long durationMicros) {
     bootFailureRate = failureRate;
     bootTimeFactor = timeFactor;
     scheduler.after(
-        forMicros,
+        durationMicros,
         () -> {
           bootFailureRate = DEFAULT_BOOT_FAILURE_RATE;
           bootTimeFactor = 1;
         });
   }
 
-  /** Whether the machine was there from the start; such machines are never returned. */
+  /** Whether the machine is owned: it existed from the start and is never returned. */
   boolean isOwned(SimWorker worker) {
-    return worker.id.compareTo(String.format("m-%06d", owned)) < 0;
+    return worker.id.compareTo(String.format("m-%06d", ownedMachines)) < 0;
   }
 
-  /** All machines ever created, with those that never came up. */
+  /** The number of machines created so far, including those that never booted. */
   int machinesCreated() {
     return machinesCreated;
   }
 
+  /** The workers of all machines that are up, in the order of machine ids. */
   List<SimWorker> workers() {
     return machines.values().stream()
         .map(m -> m.worker)
-        .filter(w -> w != null && !w.gone())
+        .filter(w -> w != null && !w.isTerminated())
         .toList();
   }
 
-  /** The machine ends: the cloud reclaims it, or it dies. */
+  /** Ends the machine, because the cloud reclaims it, the leader returns it, or it fails. */
   void terminate(SimWorker worker) {
     network.stopServing(worker.address);
-    worker.vanish();
+    worker.terminate();
     if (worker.spot) {
       machines.remove(worker.id);
     }
   }
 
-  private Machine add(String type, String zone, boolean spot) {
+  /** Creates a machine, which is not up yet. */
+  private Machine addMachine(String type, String zone, boolean spot) {
     Machine machine = new Machine(String.format("m-%06d", machinesCreated++), type, zone, spot);
     machines.put(machine.id, machine);
     return machine;
   }
 
-  private void boot(Machine machine) {
+  /** Starts the worker of the machine, unless the machine has been returned. */
+  private void completeBoot(Machine machine) {
     if (machines.get(machine.id) == machine) {
       machine.worker =
           new SimWorker(
@@ -157,11 +165,12 @@
               machine.type,
               machine.zone,
               machine.spot,
-              TYPES.get(machine.type),
-              nodes);
+              CAPACITY_BY_TYPE.get(machine.type),
+              controllerAddresses);
     }
   }
 
+  /** Records the machine list every second, for {@link #list}. */
   private void snapshot() {
     snapshots.add(
         new Snapshot(
@@ -189,10 +198,12 @@
 
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> answer) {
-    calls++;
+    requests++;
     scheduler.after(
         80_000,
-        () -> answer.accept(down ? HttpResponse.of(503, Json.error("trouble")) : handle(request)));
+        () ->
+            answer.accept(
+                unavailable ? HttpResponse.of(503, Json.error("unavailable")) : handle(request)));
   }
 
   private HttpResponse handle(HttpRequest request) {
@@ -214,21 +225,23 @@
         default -> request.method().equals("GET") ? list() : rent(Json.readObject(request.body()));
       };
     } catch (MalformedMessageException e) {
-      throw new AssertionError("the cloud got nonsense", e);
+      throw new AssertionError("the cloud received a malformed request", e);
     }
   }
 
+  /** The machine list as it was between one and two lag times ago. */
   private HttpResponse list() {
     long lag = deployment.cloud().listLagMicros();
-    Snapshot best = snapshots.get(0);
+    Snapshot newestVisible = snapshots.get(0);
     for (Snapshot snapshot : snapshots) {
       if (snapshot.atMicros() <= scheduler.nowMicros - lag - scheduler.random.nextLong(lag)) {
-        best = snapshot;
+        newestVisible = snapshot;
       }
     }
-    return HttpResponse.of(200, best.body());
+    return HttpResponse.of(200, newestVisible.body());
   }
 
+  /** Rents machines; a repeated request id returns the machines of the first request. */
   private HttpResponse rent(JsonFields in) throws MalformedMessageException {
     String requestId = in.text("charter");
     List<String> rented = rentalsByRequest.get(requestId);
@@ -248,12 +261,12 @@
               .count();
       rented = new ArrayList<>();
       for (long i = existing; i < capacityPerPool && rented.size() < in.count("how_many"); i++) {
-        Machine machine = add(in.text("build"), in.text("berth"), in.flag("driftwood"));
+        Machine machine = addMachine(in.text("build"), in.text("berth"), in.flag("driftwood"));
         rented.add(machine.id);
         if (!scheduler.chance(bootFailureRate)) {
           scheduler.after(
               (long) (bootTimeFactor * (1_000_000 + scheduler.random.nextLong(15_000_000))),
-              () -> boot(machine));
+              () -> completeBoot(machine));
         }
       }
       if (rented.isEmpty()) {
@@ -279,7 +292,7 @@
         out -> {
           out.writeArrayFieldStart("builds");
           for (String type : List.of("small", "big")) {
-            Resources capacity = TYPES.get(type);
+            Resources capacity = CAPACITY_BY_TYPE.get(type);
             out.writeStartObject();
             out.writeStringField("label", type);
             out.writeNumberField("cores", capacity.milliCpus() / 1000.0);
--- a/src/test/java/madderrudder/sim/SimNetwork.java
+++ b/src/test/java/madderrudder/sim/SimNetwork.java
@@ -15,9 +15,9 @@
 import madderrudder.transport.Scheduler;
 
 /**
- * A network between named hosts, with delays, lost and duplicated messages and partitions. A
- * partition either drops messages or buffers them and delivers them when it ends, even though the
- * sender has given up. Faults end by themselves after the time given.
+ * The simulated network between named hosts, with latency, lost and duplicated messages and
+ * partitions. A partition either drops messages, or buffers them and delivers them when it ends,
+ * even if the sender has timed out. Each fault ends after its given duration.
  */
 final class SimNetwork {
   private static final long LATENCY_MICROS = 800;
@@ -25,19 +25,24 @@
   private final SimScheduler scheduler;
   private final double lossRate;
   private final Map<String, Endpoint> endpoints = new HashMap<>();
+
+  /** Partitions in force, by link name for two hosts and by zone name for a zone. */
   private final Map<String, Partition> partitions = new HashMap<>();
 
-  /** The zone of each host; store, cloud and users belong to the region, and are in no zone. */
+  /** The zone of each host. The store, the cloud and the users are regional and have no zone. */
   private final Map<String, String> zones = new HashMap<>();
 
-  /** Hosts whose messages arrive while nothing reaches them. */
+  /** Hosts that can send messages and receive none. */
   private final Set<String> inboundBlocked = new HashSet<>();
 
-  /** Machines that can open no connection to any controller, while direct commands reach them. */
+  /**
+   * Machines that can open no connection to any controller, but still receive commands that a
+   * controller sends them.
+   */
   private final Set<String> outboundBlocked = new HashSet<>();
 
-  /** Copies of heartbeats that wait for the next leader. */
-  private final List<Consumer<String>> captured = new ArrayList<>();
+  /** Deliveries of captured heartbeats; each takes the address of the receiving controller. */
+  private final List<Consumer<String>> capturedHeartbeats = new ArrayList<>();
 
   private double captureRate;
   private int latencyFactor = 1;
@@ -47,13 +52,16 @@
   private long maxHeartbeatDelayMicros;
   private double lateHeartbeatRate;
 
-  /** Copies of heartbeats that have arrived at least two seconds late. */
+  /** The number of heartbeat copies delivered with a delay of at least two seconds. */
   int lateHeartbeats;
 
-  /** What answers at an address, and on which host. */
+  /** The handler that serves an address, and its host. */
   private record Endpoint(String host, HttpHandler handler) {}
 
-  /** A partition between two hosts or around a zone, with what it buffers until it ends. */
+  /**
+   * A partition between two hosts or around a zone, with the messages that it buffers until it
+   * ends.
+   */
   private static final class Partition {
     final boolean buffered;
     final List<Runnable> messages = new ArrayList<>();
@@ -84,83 +92,88 @@
     zones.put(host, zone);
   }
 
-  void partition(String a, String b, boolean buffered, long forMicros) {
-    partition(linkName(a, b), buffered, forMicros);
+  void partition(String a, String b, boolean buffered, long durationMicros) {
+    partition(linkName(a, b), buffered, durationMicros);
   }
 
   /**
-   * Partitions a zone from everything else; what is in it, now or later, goes on talking inside.
+   * Partitions a zone from all hosts outside it. Hosts in the zone, also those added later, still
+   * reach each other.
    */
-  void partitionZone(String zone, boolean buffered, long forMicros) {
-    partition(zone, buffered, forMicros);
+  void partitionZone(String zone, boolean buffered, long durationMicros) {
+    partition(zone, buffered, durationMicros);
   }
 
-  /** What the host sends arrives, and no reply and no message reaches it. */
-  void blockInbound(String host, long forMicros) {
+  /** Drops all messages and replies to the host; the messages that it sends still arrive. */
+  void blockInbound(String host, long durationMicros) {
     if (inboundBlocked.add(host)) {
-      scheduler.after(forMicros, () -> inboundBlocked.remove(host));
+      scheduler.after(durationMicros, () -> inboundBlocked.remove(host));
     }
   }
 
-  /** All links take so many times as long. */
-  void slowDown(int factor, long forMicros) {
+  /** Multiplies the latency of all links by the factor. */
+  void slowDown(int factor, long durationMicros) {
     latencyFactor = factor;
-    scheduler.after(forMicros, () -> latencyFactor = 1);
+    scheduler.after(durationMicros, () -> latencyFactor = 1);
   }
 
   /**
-   * The machine reaches no controller, while direct commands reach it, and its replies to them come
-   * back.
+   * Fails all calls of the machine to controllers. Commands that a controller sends still reach it,
+   * and its replies to them arrive.
    */
-  void blockOutbound(String machine, long forMicros) {
+  void blockOutbound(String machine, long durationMicros) {
     if (outboundBlocked.add(machine)) {
-      scheduler.after(forMicros, () -> outboundBlocked.remove(machine));
+      scheduler.after(durationMicros, () -> outboundBlocked.remove(machine));
     }
   }
 
-  /** Keeps a copy of this share of heartbeats until {@link #deliverCaptured}. */
-  void captureHeartbeats(double share, long forMicros) {
+  /** Captures copies of this share of heartbeats for {@link #deliverCaptured}. */
+  void captureHeartbeats(double share, long durationMicros) {
     captureRate = share;
-    scheduler.after(forMicros, () -> captureRate = 0);
+    scheduler.after(durationMicros, () -> captureRate = 0);
   }
 
-  /** Delivers the captured copies to the address, if a controller is there; returns how many. */
+  /**
+   * Delivers the captured heartbeats to the controller at the address, and returns their number, or
+   * 0 if no controller serves the address.
+   */
   int deliverCaptured(String address) {
-    List.copyOf(captured).forEach(copy -> copy.accept(address));
-    return endpoints.containsKey(address) ? captured.size() : 0;
+    List.copyOf(capturedHeartbeats).forEach(copy -> copy.accept(address));
+    return endpoints.containsKey(address) ? capturedHeartbeats.size() : 0;
   }
 
+  /** Discards the captured heartbeats. */
   void discardCaptured() {
-    captured.clear();
+    capturedHeartbeats.clear();
   }
 
   /**
-   * Delivers further copies of some messages, one or several, each up to so long after the first:
-   * of a heartbeat to any controller, of everything else to its receiver. Replies to copies are
-   * dropped.
+   * Delivers one or more additional copies of some messages, each up to {@code maxDelayMicros}
+   * after the original. The copy of a heartbeat goes to a random controller, any other copy to its
+   * original receiver. Replies to copies are dropped.
    */
-  void duplicateMessages(long forMicros, long lateMicros) {
-    duplicatesUntilMicros = Math.max(duplicatesUntilMicros, scheduler.nowMicros + forMicros);
-    maxDuplicateDelayMicros = lateMicros;
+  void duplicateMessages(long durationMicros, long maxDelayMicros) {
+    duplicatesUntilMicros = Math.max(duplicatesUntilMicros, scheduler.nowMicros + durationMicros);
+    maxDuplicateDelayMicros = maxDelayMicros;
   }
 
   /**
-   * Delivers a copy of this share of heartbeats to any controller, between two seconds and so long
-   * later.
+   * Delivers copies of this share of heartbeats to random controllers, with a delay of two seconds
+   * plus up to {@code maxDelayMicros}.
    */
-  void delayHeartbeatCopies(double share, long forMicros, long lateMicros) {
+  void delayHeartbeatCopies(double share, long durationMicros, long maxDelayMicros) {
     lateHeartbeatRate = share;
-    lateHeartbeatsUntilMicros = scheduler.nowMicros + forMicros;
-    maxHeartbeatDelayMicros = lateMicros;
+    lateHeartbeatsUntilMicros = scheduler.nowMicros + durationMicros;
+    maxHeartbeatDelayMicros = maxDelayMicros;
   }
 
-  private void deliverLateCopy(String from, HttpRequest report) {
+  private void deliverLateCopy(String from, HttpRequest heartbeat) {
     if (scheduler.nowMicros < lateHeartbeatsUntilMicros && scheduler.chance(lateHeartbeatRate)) {
       scheduler.after(
           2 * SimulatedCluster.SECOND + scheduler.random.nextLong(maxHeartbeatDelayMicros),
           () -> {
             lateHeartbeats++;
-            deliver(from, randomController(), report, response -> {});
+            deliver(from, randomController(), heartbeat, response -> {});
           });
     }
   }
@@ -171,11 +184,11 @@
     }
   }
 
-  private void partition(String key, boolean buffered, long forMicros) {
+  private void partition(String key, boolean buffered, long durationMicros) {
     Partition partition = new Partition(buffered);
     if (partitions.putIfAbsent(key, partition) == null) {
       scheduler.after(
-          forMicros,
+          durationMicros,
           () -> {
             partitions.remove(key);
             partition.messages.forEach(message -> scheduler.after(LATENCY_MICROS, message));
@@ -183,17 +196,21 @@
     }
   }
 
+  /**
+   * The partition that separates the hosts, or null: one of their link first, then one of the zone
+   * of either.
+   */
   private Partition partitionBetween(String from, String to) {
     Partition partition = partitions.get(linkName(from, to));
-    String one = zones.get(from);
-    String other = zones.get(to);
-    if (partition != null || Objects.equals(one, other)) {
+    String fromZone = zones.get(from);
+    String toZone = zones.get(to);
+    if (partition != null || Objects.equals(fromZone, toZone)) {
       return partition;
     }
-    return partitions.containsKey(one) ? partitions.get(one) : partitions.get(other);
+    return partitions.containsKey(fromZone) ? partitions.get(fromZone) : partitions.get(toZone);
   }
 
-  /** Transmits one message, unless it is lost or a partition buffers it. */
+  /** Transmits one message, unless it is lost, dropped or buffered. */
   private void transmit(String from, String to, Runnable message) {
     Partition partition = partitionBetween(from, to);
     if (partition != null) {
@@ -209,14 +226,14 @@
     }
   }
 
-  /** The HTTP client of a host. */
+  /** The HTTP client of a host; {@code clock} measures its timeouts and runs its callbacks. */
   HttpCaller clientOf(String from, Scheduler clock) {
     return (address, request, timeoutMicros, answer) -> {
-      boolean[] settled = new boolean[1];
+      boolean[] answered = new boolean[1];
       Consumer<HttpResponse> once =
           response -> {
-            if (!settled[0]) {
-              settled[0] = true;
+            if (!answered[0]) {
+              answered[0] = true;
               answer.accept(response);
             }
           };
@@ -241,7 +258,7 @@
       if (request.path().equals("/hello")) {
         deliverLateCopy(from, request);
         if (captureRate > 0 && scheduler.chance(captureRate)) {
-          captured.add(to -> deliver(from, to, request, response -> {}));
+          capturedHeartbeats.add(to -> deliver(from, to, request, response -> {}));
         }
       }
       duplicate(
@@ -255,26 +272,31 @@
   }
 
   private String randomController() {
-    List<String> controllers =
+    List<String> controllerAddresses =
         endpoints.keySet().stream()
             .filter(address -> address.startsWith("10.0."))
             .sorted()
             .toList();
-    return controllers.isEmpty()
+    return controllerAddresses.isEmpty()
         ? ""
-        : controllers.get(scheduler.random.nextInt(controllers.size()));
+        : controllerAddresses.get(scheduler.random.nextInt(controllerAddresses.size()));
   }
 
   private void deliver(
-      String from, String address, HttpRequest request, Consumer<HttpResponse> back) {
+      String from, String address, HttpRequest request, Consumer<HttpResponse> onResponse) {
     Endpoint target = endpoints.get(address);
     if (target != null) {
       target
           .handler()
-          .handle(request, response -> transmit(target.host(), from, () -> back.accept(response)));
+          .handle(
+              request,
+              response -> transmit(target.host(), from, () -> onResponse.accept(response)));
     }
   }
 
+  /**
+   * Sends a message between controllers; {@code receive} runs on arrival, possibly more than once.
+   */
   void sendFrame(String from, String to, Runnable receive) {
     transmit(from, to, receive);
     duplicate(receive);
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -22,41 +22,51 @@
 import madderrudder.transport.HttpResponse;
 
 /**
- * The simulated state service: a consensus-backed key-value store by its published protocol, with
- * leases, conditional transactions, watches and rate limits. It checks what controllers write: a
- * task on two machines at once, or a job written after its end, is a violation.
+ * The simulated store: implements the published protocol of the state service, a consensus-backed
+ * key-value store with leases, conditional transactions, watches and rate limits. It records a
+ * violation when controllers place a task on two machines at once, write a job after its end, or
+ * write run times without a condition on the term.
  */
 final class SimStore {
   private final SimScheduler scheduler;
   private final RateLimit rateLimit;
   private final int maxWrites;
   private final int maxValueBytes;
-  private final TreeMap<String, Entry> keys = new TreeMap<>();
-  private final List<Event> log = new ArrayList<>();
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final List<Event> eventLog = new ArrayList<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Runnable> watches = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> refusedHosts = new HashSet<>();
   final List<String> violations = new ArrayList<>();
 
-  /** Where the log of placements has each task. */
+  /** The placements in the controllers' log. */
   final PlacementLog placementLog = new PlacementLog(violations);
 
   private long revision = 100;
   private long nextLease = 1;
-  private boolean down;
+  private boolean unavailable;
+
+  /** The number of requests, whatever their answer. */
   long requests;
+
+  /** The number of applied writes. */
   long writesApplied;
+
+  /** The number of applied writes of run times. */
   long runTimeWrites;
+
   private int latencyFactor = 1;
 
   private boolean rangeReadsFail;
   private double delayedCommitRate;
   private double lostReplyRate;
 
-  /** Transactions that were applied at once and whose reply was lost. */
+  /**
+   * The number of writing transactions that were applied immediately and whose reply was dropped.
+   */
   int lostReplies;
 
-  /** Delayed transactions whose conditions no longer held. */
+  /** The number of delayed transactions that failed, since their conditions no longer held. */
   int lateConflicts;
 
   private record Entry(byte[] data, long version, long lease) {}
@@ -75,12 +85,16 @@
     maxValueBytes = limits.valueBytes();
   }
 
-  void outage(long forMicros) {
-    down = true;
+  /**
+   * Makes the store unavailable to all clients. Leases don't expire meanwhile, and are extended at
+   * the end.
+   */
+  void outage(long durationMicros) {
+    unavailable = true;
     scheduler.after(
-        forMicros,
+        durationMicros,
         () -> {
-          down = false;
+          unavailable = false;
           leases
               .values()
               .forEach(lease -> lease.expiresMicros = scheduler.nowMicros + lease.durationMicros);
@@ -88,31 +102,31 @@
         });
   }
 
-  /** All requests take so many times as long. */
-  void slowDown(int factor, long forMicros) {
+  /** Multiplies the latency of all requests by the factor. */
+  void slowDown(int factor, long durationMicros) {
     latencyFactor = factor;
-    scheduler.after(forMicros, () -> latencyFactor = 1);
+    scheduler.after(durationMicros, () -> latencyFactor = 1);
   }
 
-  /** Range reads get 429, while all else is served. */
-  void failRangeReads(long forMicros) {
+  /** Answers range reads with status 429; all other requests are served. */
+  void failRangeReads(long durationMicros) {
     rangeReadsFail = true;
-    scheduler.after(forMicros, () -> rangeReadsFail = false);
+    scheduler.after(durationMicros, () -> rangeReadsFail = false);
   }
 
   /**
-   * Delays this share of transactions: they get no reply, and are applied 2 to 12 s later, after
-   * newer ones.
+   * Delays this share of transactions: they are applied 2 to 12 s later, possibly after newer ones,
+   * and get no reply.
    */
-  void delayCommits(double share, long forMicros) {
+  void delayCommits(double share, long durationMicros) {
     delayedCommitRate = share;
-    scheduler.after(forMicros, () -> delayedCommitRate = 0);
+    scheduler.after(durationMicros, () -> delayedCommitRate = 0);
   }
 
-  /** Applies this share of transactions at once and drops their reply. */
-  void loseReplies(double share, long forMicros) {
+  /** Applies this share of transactions immediately and drops their replies. */
+  void loseReplies(double share, long durationMicros) {
     lostReplyRate = share;
-    scheduler.after(forMicros, () -> lostReplyRate = 0);
+    scheduler.after(durationMicros, () -> lostReplyRate = 0);
   }
 
   private void commitLater(JsonFields transaction) {
@@ -120,23 +134,25 @@
         2 * SimulatedCluster.SECOND + scheduler.random.nextLong(10 * SimulatedCluster.SECOND),
         () -> {
           expireLeases();
-          if (down) {
+          if (unavailable) {
             commitLater(transaction);
             return;
           }
           try {
             commit(transaction, response -> lateConflicts += response.status() == 200 ? 0 : 1);
           } catch (MalformedMessageException e) {
-            throw new AssertionError("the store got nonsense", e);
+            throw new AssertionError("the store received a malformed request", e);
           }
         });
   }
 
-  void refuse(String host, long forMicros) {
-    refused.add(host);
-    scheduler.after(forMicros, () -> refused.remove(host));
+  /** Makes the store unavailable to one controller. */
+  void refuse(String host, long durationMicros) {
+    refusedHosts.add(host);
+    scheduler.after(durationMicros, () -> refusedHosts.remove(host));
   }
 
+  /** The store as served to one controller, with a random latency. */
   HttpHandler endpointFor(String host) {
     return (request, answer) ->
         scheduler.after(
@@ -152,12 +168,12 @@
       String path = request.path();
       int writes =
           path.equals("/commit") ? Json.readObject(request.body()).objects("writes").size() : 0;
-      if (!rateLimit.allows(writes, scheduler.nowMicros)) {
+      if (!rateLimit.tryAcquire(writes, scheduler.nowMicros)) {
         answer.accept(HttpResponse.of(429, Json.error("too many")));
       } else if (path.equals("/follow")) {
         watch(host, query(request), answer, scheduler.nowMicros);
-      } else if (down || refused.contains(host)) {
-        answer.accept(HttpResponse.of(503, Json.error("trouble")));
+      } else if (unavailable || refusedHosts.contains(host)) {
+        answer.accept(HttpResponse.of(503, Json.error("unavailable")));
       } else if (path.equals("/commit")
           && delayedCommitRate > 0
           && scheduler.chance(delayedCommitRate)) {
@@ -192,7 +208,7 @@
         answer.accept(HttpResponse.of(200, new byte[] {'{', '}'}));
       }
     } catch (MalformedMessageException e) {
-      throw new AssertionError("the store got nonsense: " + request.target(), e);
+      throw new AssertionError("the store received a malformed request: " + request.target(), e);
     }
   }
 
@@ -210,7 +226,7 @@
   }
 
   private void expireLeases() {
-    if (!down) {
+    if (!unavailable) {
       List.copyOf(leases.entrySet()).stream()
           .filter(lease -> lease.getValue().expiresMicros <= scheduler.nowMicros)
           .forEach(lease -> endLease(lease.getKey()));
@@ -219,30 +235,30 @@
 
   private void endLease(long lease) {
     leases.remove(lease);
-    List<String> attached =
-        keys.entrySet().stream()
+    List<String> attachedKeys =
+        entries.entrySet().stream()
             .filter(e -> e.getValue().lease() == lease)
             .map(Map.Entry::getKey)
             .toList();
-    if (!attached.isEmpty()) {
+    if (!attachedKeys.isEmpty()) {
       revision++;
-      attached.forEach(key -> put(key, null, 0));
+      attachedKeys.forEach(key -> put(key, null, 0));
       notifyWatches();
     }
   }
 
   private void put(String key, byte[] data, long lease) {
     if (data == null) {
-      keys.remove(key);
+      entries.remove(key);
     } else {
-      keys.put(key, new Entry(data, revision, lease));
+      entries.put(key, new Entry(data, revision, lease));
     }
-    log.add(new Event(key, data, revision));
+    eventLog.add(new Event(key, data, revision));
   }
 
-  /** Overwrites all values under the prefix with the data; returns how many. */
+  /** Overwrites all values whose keys have the prefix with the data, and returns their number. */
   int corrupt(String prefix, byte[] data) {
-    List<String> damaged = keys.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
+    List<String> damaged = entries.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
     damaged.forEach(key -> put(key, data, 0));
     return damaged.size();
   }
@@ -251,7 +267,7 @@
       throws MalformedMessageException {
     List<JsonFields> writes = in.objects("writes");
     if (writes.size() > maxWrites) {
-      throw new AssertionError("a transaction of " + writes.size() + " writes");
+      throw new AssertionError("a transaction with " + writes.size() + " writes exceeds the limit");
     }
     for (JsonFields write : writes) {
       if (write.has("mooring") && !leases.containsKey(write.count("mooring"))) {
@@ -259,23 +275,23 @@
         return;
       }
     }
-    List<String> failed = new ArrayList<>();
+    List<String> failedConditions = new ArrayList<>();
     boolean conditionalOnTerm = false;
     for (JsonFields condition : in.objects("when")) {
       conditionalOnTerm |= condition.text("path").equals(Keys.TERM);
-      Entry entry = keys.get(condition.text("path"));
+      Entry entry = entries.get(condition.text("path"));
       if ((entry == null ? 0 : entry.version()) != condition.count("entry")) {
-        failed.add(condition.text("path"));
+        failedConditions.add(condition.text("path"));
       }
     }
-    if (!failed.isEmpty()) {
+    if (!failedConditions.isEmpty()) {
       answer.accept(
           HttpResponse.of(
               409,
               Json.object(
                   out -> {
                     out.writeArrayFieldStart("failed");
-                    for (String key : failed) {
+                    for (String key : failedConditions) {
                       out.writeString(key);
                     }
                     out.writeEndArray();
@@ -284,28 +300,28 @@
       return;
     }
     revision++;
-    placementLog.read(writes);
+    placementLog.applyWrites(writes);
     for (JsonFields write : writes) {
       String key = write.text(write.has("drop") ? "drop" : "write");
       if (key.startsWith(Keys.RUN_TIMES)) {
         runTimeWrites++;
         if (!conditionalOnTerm) {
-          violations.add(key + " was written without a term");
+          violations.add(key + " was written without a condition on the term");
         }
       }
       writesApplied++;
-      if ((key.startsWith(Keys.FINISHED) && keys.containsKey(key))
+      if ((key.startsWith(Keys.FINISHED) && entries.containsKey(key))
           || (key.startsWith(Keys.LIVE)
-              && keys.containsKey(Keys.FINISHED + key.substring(Keys.LIVE.length()))
+              && entries.containsKey(Keys.FINISHED + key.substring(Keys.LIVE.length()))
               && !write.has("drop"))) {
-        violations.add(key + " is written again after its end");
+        violations.add(key + " is written after the end of its job");
       }
       if (write.has("drop")) {
         put(write.text("drop"), null, 0);
       } else {
         byte[] data = write.object("data").render();
         if (data.length > maxValueBytes) {
-          throw new AssertionError("a value of " + data.length + " bytes");
+          throw new AssertionError("a value of " + data.length + " bytes exceeds the limit");
         }
         put(write.text("write"), data, write.count("mooring", 0));
       }
@@ -315,11 +331,12 @@
   }
 
   /**
-   * Whether the store records that the task is done; of a job that has ended nothing need be kept.
+   * Whether the store records that the task is done. Also true once its job has no live record,
+   * since the tasks of an ended job need none.
    */
   boolean recordsDone(TaskId task) {
     int chunk = task.index() / JobRecords.CHUNK;
-    Entry progress = keys.get("p/" + task.job() + "/" + chunk);
+    Entry progress = entries.get("p/" + task.job() + "/" + chunk);
     BitSet completed = new BitSet();
     try {
       if (progress != null) {
@@ -328,11 +345,11 @@
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
-    return completed.get(task.index()) || !keys.containsKey("l/" + task.job());
+    return completed.get(task.index()) || !entries.containsKey("l/" + task.job());
   }
 
   private void read(String key, Consumer<HttpResponse> answer) {
-    Entry entry = keys.get(key);
+    Entry entry = entries.get(key);
     if (entry == null) {
       answer.accept(
           HttpResponse.of(404, Json.object(out -> out.writeNumberField("logline", revision))));
@@ -350,20 +367,20 @@
 
   private void range(Map<String, String> query, Consumer<HttpResponse> answer) {
     String prefix = query.get("under");
-    int most = Math.min(7, Integer.parseInt(query.get("most")));
+    int limit = Math.min(7, Integer.parseInt(query.get("most")));
     List<Map.Entry<String, Entry>> rows =
-        keys
+        entries
             .tailMap(query.getOrDefault("since", prefix), !query.containsKey("since"))
             .entrySet()
             .stream()
             .filter(e -> e.getKey().startsWith(prefix))
-            .limit(most + 1)
+            .limit(limit + 1)
             .toList();
     answer.accept(
         ok(
             out -> {
               out.writeArrayFieldStart("rows");
-              for (var row : rows.subList(0, Math.min(most, rows.size()))) {
+              for (var row : rows.subList(0, Math.min(limit, rows.size()))) {
                 out.writeStartObject();
                 out.writeStringField("path", row.getKey());
                 out.writeFieldName("data");
@@ -372,7 +389,7 @@
                 out.writeEndObject();
               }
               out.writeEndArray();
-              out.writeBooleanField("more", rows.size() > most);
+              out.writeBooleanField("more", rows.size() > limit);
               out.writeNumberField("logline", revision);
             }));
   }
@@ -385,11 +402,13 @@
     boolean[] answered = new boolean[1];
     Runnable deliver =
         () -> {
-          if (answered[0] || down || refused.contains(host)) {
+          if (answered[0] || unavailable || refusedHosts.contains(host)) {
             return;
           }
           List<Event> events =
-              log.stream().filter(e -> e.revision() > since && e.key().startsWith(prefix)).toList();
+              eventLog.stream()
+                  .filter(e -> e.revision() > since && e.key().startsWith(prefix))
+                  .toList();
           if (events.isEmpty() && scheduler.nowMicros < expiresMicros) {
             return;
           }
@@ -427,9 +446,9 @@
     List.copyOf(watches).forEach(Runnable::run);
   }
 
-  /** Expires leases even while nobody calls. */
-  void tick() {
+  /** Expires leases every 50 ms, also while no request arrives. */
+  void expireLeasesPeriodically() {
     expireLeases();
-    scheduler.after(50_000, this::tick);
+    scheduler.after(50_000, this::expireLeasesPeriodically);
   }
 }
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -33,15 +33,18 @@
 import madderrudder.transport.PeerMessenger;
 
 /**
- * A whole deployment in one thread and in virtual time: three real controllers ({@link
- * ControllerNode}) with simulated store, cloud, network, workers and users around them.
+ * A whole deployment on one thread and in virtual time: three real controllers ({@link
+ * ControllerNode}) and a simulated store, cloud, network, workers and users.
  *
- * <p>All randomness comes from one generator that the seed starts, so the same seed replays the
- * same run. {@link #runUntil} lets virtual time pass and has the {@link InvariantChecker} look
- * after each event. The methods named for faults inject one each; {@link RandomFaults} draws them.
+ * <p>All random numbers come from one generator, which is initialized with the seed, so the same
+ * seed replays the same run. {@link #runUntil} advances virtual time and runs {@link
+ * InvariantChecker#check} after each event. Methods such as {@link #crash} and {@link #isolate}
+ * inject one fault each; {@link RandomFaults} calls them at random.
  */
 final class SimulatedCluster {
+  /** One second, in microseconds. */
   static final long SECOND = 1_000_000;
+
   private static final double MESSAGE_LOSS = 0.0005;
   private static final List<String> ZONES = List.of("east", "west");
 
@@ -52,30 +55,36 @@
   final SimUsers users;
   final InvariantChecker invariants;
 
-  /** What is really so. */
+  /** The actual deployment, which the simulated workers, store and cloud follow. */
   final Deployment deployment;
 
-  /** What the controllers' settings say; tests of the checker have it differ. */
-  private final Deployment believedDeployment;
+  /**
+   * The deployment in the controllers' settings. Tests of the checker make it differ from {@link
+   * #deployment} to provoke violations.
+   */
+  private final Deployment configuredDeployment;
 
   private final long seed;
   private final OperatorPolicy policy;
-  private final Map<String, String> addresses = new LinkedHashMap<>();
+  private final Map<String, String> controllerAddresses = new LinkedHashMap<>();
   private final Map<String, ControllerProcess> processes = new LinkedHashMap<>();
 
   final HeartbeatReplay heartbeatReplay = new HeartbeatReplay(this);
 
-  /** A controller process; a crash ends it, and a restart makes a new one of the same name. */
+  /**
+   * A running controller process. A crash ends it; a restart creates another process with the same
+   * name.
+   */
   private record ControllerProcess(ControllerNode node, SimScheduler.HostClock clock) {}
 
   /**
-   * How much there is of everything.
+   * The size of the cluster and of its load.
    *
-   * @param ownedMachines machines that are there from the start and never returned
-   * @param capacityPerPool machines to be had of each type, zone and purchase kind
-   * @param guaranteedCpus the quota guaranteed to each team
-   * @param limitCpus the quota that each team can't exceed
-   * @param maxTasks the most tasks of a random job
+   * @param ownedMachines machines that exist from the start and are never returned to the cloud
+   * @param capacityPerPool machines that the cloud can provide of each type, zone and purchase kind
+   * @param guaranteedCpus the quota guaranteed to each team, in CPUs
+   * @param limitCpus the most CPUs that a team may use at a time
+   * @param maxTasks the largest number of tasks of a random array job
    */
   record Size(
       int ownedMachines,
@@ -83,18 +92,19 @@
       double guaranteedCpus,
       double limitCpus,
       int maxTasks) {
-    /** Of so many machines at the most, an eighth of them owned. */
+    /** A cluster of at most {@code machines} machines, one eighth of them owned. */
     static Size of(int machines) {
       return new Size(machines / 8, machines * 7 / 64, machines, 2.3 * machines, 300);
     }
 
+    /** Four owned machines, and arrays of at most 8 tasks. */
     static final Size SMALL = new Size(4, 4, 8, 20, 8);
 
     /** Up to 400 machines, and arrays of hundreds of tasks. */
     static final Size LARGE = new Size(48, 44, 400, 900, 300);
   }
 
-  /** A small cluster with the default times of workers. */
+  /** A {@link Size#SMALL} cluster with {@link #defaultWorkerTimes}. */
   SimulatedCluster(long seed, OperatorPolicy policy) {
     this(seed, policy, Size.SMALL);
   }
@@ -104,20 +114,20 @@
   }
 
   /**
-   * @param workers the times that the workers keep
-   * @param believed the times that the controllers take them to keep
+   * @param workers the intervals and deadlines that the workers apply
+   * @param configured the intervals and deadlines in the controllers' settings
    */
   SimulatedCluster(
       long seed,
       Deployment.WorkerTimes workers,
-      Deployment.WorkerTimes believed,
+      Deployment.WorkerTimes configured,
       OperatorPolicy policy,
       Size size) {
     this.seed = seed;
     this.policy = policy;
     scheduler = new SimScheduler(seed);
     deployment = deployment(workers, size);
-    believedDeployment = deployment(believed, size);
+    configuredDeployment = deployment(configured, size);
     network = new SimNetwork(scheduler, MESSAGE_LOSS);
     invariants = new InvariantChecker(scheduler, deployment);
     store = new SimStore(scheduler, deployment.state());
@@ -125,15 +135,23 @@
     invariants.recordsDone = store::recordsDone;
     store.placementLog.holderOf = invariants::holderOf;
     for (int i = 0; i < 3; i++) {
-      addresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
+      controllerAddresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
     }
     cloud =
-        new SimCloud(scheduler, network, invariants, deployment, addresses, size.capacityPerPool());
-    users = new SimUsers(scheduler, network, invariants, deployment, addresses, size.maxTasks());
+        new SimCloud(
+            scheduler,
+            network,
+            invariants,
+            deployment,
+            controllerAddresses,
+            size.capacityPerPool());
+    users =
+        new SimUsers(
+            scheduler, network, invariants, deployment, controllerAddresses, size.maxTasks());
     network.serve("10.2.0.2:1", "cloud", cloud);
-    store.tick();
+    store.expireLeasesPeriodically();
     cloud.start(size.ownedMachines());
-    controllers().forEach(this::start);
+    controllerNames().forEach(this::start);
   }
 
   private static Deployment deployment(Deployment.WorkerTimes times, Size size) {
@@ -148,93 +166,95 @@
         objectives());
   }
 
-  /** Three teams of equal quota, and a guest without a guarantee. */
+  /** Quotas of three teams with the same limits, and of a guest team without guaranteed quota. */
   private static Map<String, TeamQuota> quotas(Size size) {
     Resources limit = Resources.of(size.limitCpus(), 0, 0);
     Map<String, TeamQuota> teams = new LinkedHashMap<>();
     for (String name : List.of("alto", "basso", "canto")) {
       teams.put(name, new TeamQuota(name, Resources.of(size.guaranteedCpus(), 0, 0), limit));
     }
-    teams.put(SimUsers.GUEST, new TeamQuota(SimUsers.GUEST, Resources.NONE, limit));
+    teams.put(SimUsers.GUEST_TEAM, new TeamQuota(SimUsers.GUEST_TEAM, Resources.NONE, limit));
     return teams;
   }
 
   private static ServiceLevelObjectives objectives() {
     Map<String, Long> startWithin = new HashMap<>();
     Map<String, List<Long>> endWithin = new HashMap<>();
-    for (String name : SimUsers.CLASSES.values()) {
+    for (String name : SimUsers.JOB_CLASSES.values()) {
       startWithin.put(name, SECOND);
       endWithin.put(name, List.of(60 * SECOND));
     }
     return new ServiceLevelObjectives(startWithin, endWithin, Map.of());
   }
 
-  /** Heartbeats each 1.5 s, leases of 10 s, cancelled tasks gone within 30 s. */
+  /** Heartbeats every 1.5 s, leases of 10 s, cancelled tasks stopped within 30 s. */
   static Deployment.WorkerTimes defaultWorkerTimes() {
     return new Deployment.WorkerTimes(1_500_000, 10 * SECOND, 20 * SECOND, 4 * SECOND, 30 * SECOND);
   }
 
-  /** Each two of the values, once. */
-  static <T> Stream<List<T>> pairs(T[] all) {
+  /** All pairs of different values, each in the order of the array. */
+  static <T> Stream<List<T>> allPairs(T[] all) {
     return IntStream.range(0, all.length)
         .boxed()
         .flatMap(i -> IntStream.range(i + 1, all.length).mapToObj(j -> List.of(all[i], all[j])));
   }
 
-  List<String> controllers() {
-    return List.copyOf(addresses.keySet());
+  List<String> controllerNames() {
+    return List.copyOf(controllerAddresses.keySet());
   }
 
-  /** Where the controller serves users and workers. */
+  /** The address at which the controller serves users and workers. */
   String addressOf(String name) {
-    return addresses.get(name);
+    return controllerAddresses.get(name);
   }
 
-  private Map<String, String> peersOf(String name) {
-    Map<String, String> peers = new LinkedHashMap<>(addresses);
+  private Map<String, String> peerAddressesOf(String name) {
+    Map<String, String> peers = new LinkedHashMap<>(controllerAddresses);
     peers.remove(name);
     return peers;
   }
 
+  /** Starts a process for the controller and serves its address. */
   void start(String name) {
     SimScheduler.HostClock clock =
-        scheduler.new HostClock(clockRate(scheduler), scheduler.random.nextLong(500_000));
-    // Each controller has its own address of the store, so that it alone can be refused.
-    String storeAddress = "10.2.1." + (controllers().indexOf(name) + 1) + ":1";
+        scheduler.new HostClock(randomClockRate(scheduler), scheduler.random.nextLong(500_000));
+    // Each controller reaches the store at an address of its own, so that the store can refuse it
+    // alone.
+    String storeAddress = "10.2.1." + (controllerNames().indexOf(name) + 1) + ":1";
     network.serve(storeAddress, "store", store.endpointFor(name));
     network.setZone(name, zoneOf(name));
     PlatformSettings settings =
         new PlatformSettings(
             name,
             zoneOf(name),
-            addresses.get(name),
+            controllerAddresses.get(name),
             "10.0.0.9:1",
-            peersOf(name),
+            peerAddressesOf(name),
             "10.2.0.2:1",
             storeAddress,
-            believedDeployment,
+            configuredDeployment,
             1000);
     ControllerNode node =
         new ControllerNode(
             clock,
             network.clientOf(name, clock),
-            peersFor(name),
+            peerMessengerOf(name),
             scheduler.random.split(),
             settings,
             policy);
     processes.put(name, new ControllerProcess(node, clock));
     network.serve(
-        addresses.get(name),
+        controllerAddresses.get(name),
         name,
-        (request, answer) -> clock.whenAwake(() -> node.handle(request, answer)));
+        (request, answer) -> clock.runOrDefer(() -> node.handle(request, answer)));
     node.start();
   }
 
-  private PeerMessenger peersFor(String name) {
+  private PeerMessenger peerMessengerOf(String name) {
     return new PeerMessenger() {
       @Override
       public void broadcast(ByteBuffer frame) {
-        controllers().stream()
+        controllerNames().stream()
             .filter(other -> !other.equals(name))
             .forEach(other -> send(other, frame));
       }
@@ -248,31 +268,35 @@
     };
   }
 
-  /** The rate of a clock: wrong by 0.05 % at most, and often by just that. */
-  static double clockRate(SimScheduler scheduler) {
+  /**
+   * A random clock rate between 0.9995 and 1.0005; with probability 2/3 it is one of the two
+   * bounds.
+   */
+  static double randomClockRate(SimScheduler scheduler) {
     double off = scheduler.random.nextInt(3) - 1;
     return 1 + 0.0005 * (off == 0 ? 2 * scheduler.random.nextDouble() - 1 : off);
   }
 
-  /** Every other controller is in the second zone. */
+  /** The zone of the controller; controllers alternate between the two zones. */
   String zoneOf(String name) {
-    return deployment.zones().get(controllers().indexOf(name) % 2);
+    return deployment.zones().get(controllerNames().indexOf(name) % 2);
   }
 
   private void receive(String name, byte[] bytes) {
     ControllerProcess target = processes.get(name);
     if (target != null) {
-      // The length prefix is read by the transport.
+      // The transport has already read the 4-byte length prefix.
       ByteBuffer body = ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice();
-      target.clock().whenAwake(() -> target.node().receive(body));
+      target.clock().runOrDefer(() -> target.node().receive(body));
     }
   }
 
-  boolean leads(String name) {
+  /** Whether the controller is running and considers itself the leader. */
+  boolean isLeader(String name) {
     return processes.containsKey(name) && processes.get(name).node().leads();
   }
 
-  /** The answer of a controller to an operator's GET request. */
+  /** The JSON answer of a running controller to an operator's GET request. */
   JsonFields query(String name, String path) {
     List<JsonFields> answers = new ArrayList<>();
     processes
@@ -290,7 +314,7 @@
     return answers.get(0);
   }
 
-  /** A counter of GET /metrics, 0 if the controller is down. */
+  /** The value of a field of GET /metrics, or 0 if the controller is down. */
   long metric(String name, String field) {
     try {
       return processes.containsKey(name) ? query(name, "/metrics").count(field) : 0;
@@ -299,13 +323,13 @@
     }
   }
 
-  /** The highest term that a controller knows of. */
-  long term() {
-    return controllers().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
+  /** The highest term that any running controller reports. */
+  long highestTerm() {
+    return controllerNames().stream().mapToLong(name -> metric(name, "term")).max().orElse(0);
   }
 
-  /** The workers of a zone that run tasks, with their epochs. */
-  Map<SimWorker, Long> busyEpochs(String zone) {
+  /** The workers of the zone that run at least one task, with their current epochs. */
+  Map<SimWorker, Long> epochsOfBusyWorkers(String zone) {
     Map<SimWorker, Long> epochs = new LinkedHashMap<>();
     cloud.workers().stream()
         .filter(worker -> worker.zone.equals(zone) && invariants.tasksOn(worker) > 0)
@@ -313,17 +337,26 @@
     return epochs;
   }
 
-  /** The controller that leads, or the first one if none does. */
+  /**
+   * The name of the first controller that considers itself the leader, or of the first controller
+   * if none does.
+   */
   String leader() {
-    return controllers().stream().filter(this::leads).findFirst().orElse(controllers().get(0));
+    return controllerNames().stream()
+        .filter(this::isLeader)
+        .findFirst()
+        .orElse(controllerNames().get(0));
   }
 
   /**
-   * Delivers a heartbeat of a machine without tasks, or with all its tasks ended by an error, as
-   * one that was delayed for long; its reply is dropped.
+   * Sends the controller a heartbeat in a machine's name, as if it had been delayed by the network,
+   * and drops the reply.
+   *
+   * @param tasksFailed whether the heartbeat reports all tasks of the machine as failed; if not, it
+   *     reports no tasks
    */
   void deliverLateHeartbeat(
-      String node, SimWorker worker, long epoch, long sequence, boolean exits) {
+      String name, SimWorker worker, long epoch, long sequence, boolean tasksFailed) {
     HttpRequest heartbeat =
         HttpRequest.post(
             "/hello",
@@ -334,103 +367,112 @@
                   out.writeStringField("berth", worker.zone);
                   out.writeNumberField("watch", epoch);
                   out.writeNumberField("knot", sequence);
-                  out.writeNumberField("helm", worker.token());
+                  out.writeNumberField("helm", worker.fencingToken());
                   out.writeArrayFieldStart("strokes");
-                  if (exits) {
+                  if (tasksFailed) {
                     worker.writeTasks(out, true);
                   }
                   out.writeEndArray();
                 }));
     network
         .clientOf("late", scheduler.new HostClock(1, 0))
-        .call(addresses.get(node), heartbeat, SECOND, response -> {});
+        .call(controllerAddresses.get(name), heartbeat, SECOND, response -> {});
   }
 
-  /** The status of a controller's answer within the time, 0 for none. */
-  int statusOf(String node, String path, long withinMicros) {
+  /**
+   * Sends a GET request, advances virtual time by {@code waitMicros} and returns the HTTP status of
+   * the answer, or 0 if there was none.
+   */
+  int awaitStatus(String name, String path, long waitMicros) {
     int[] status = new int[1];
-    requestStatus(node, path, got -> status[0] = got);
-    runUntil(scheduler.nowMicros + withinMicros);
+    requestStatus(name, path, got -> status[0] = got);
+    runUntil(scheduler.nowMicros + waitMicros);
     return status[0];
   }
 
-  void requestStatus(String node, String path, IntConsumer status) {
+  /**
+   * Sends a GET request to the controller and passes the HTTP status of its answer to the consumer.
+   */
+  void requestStatus(String name, String path, IntConsumer status) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
         .call(
-            addresses.get(node),
+            controllerAddresses.get(name),
             HttpRequest.get(path),
             2 * SECOND,
             response -> status.accept(response.status()));
   }
 
-  /** Sends a heartbeat with the given body, whatever it says. */
-  void sendHeartbeat(String node, String body, Consumer<HttpResponse> answer) {
+  /** Sends the controller a heartbeat with the given body, which may be invalid. */
+  void sendHeartbeat(String name, String body, Consumer<HttpResponse> answer) {
     network
         .clientOf("asker", scheduler.new HostClock(1, 0))
         .call(
-            addresses.get(node),
+            controllerAddresses.get(name),
             HttpRequest.post("/hello", body.getBytes(StandardCharsets.UTF_8)),
             2 * SECOND,
             answer);
   }
 
-  /** Partitions a controller from everybody but users and cloud. */
-  void isolate(String node, boolean buffered, long forMicros) {
-    partitionFromWorkers(node, buffered, forMicros);
-    network.partition(node, "store", buffered, forMicros);
-    controllers().forEach(other -> network.partition(node, other, buffered, forMicros));
+  /** Partitions a controller from the workers, the store and the other controllers. */
+  void isolate(String name, boolean buffered, long durationMicros) {
+    partitionFromWorkers(name, buffered, durationMicros);
+    network.partition(name, "store", buffered, durationMicros);
+    controllerNames().forEach(other -> network.partition(name, other, buffered, durationMicros));
   }
 
-  /** Ends a controller process and starts another of its name after the time. */
-  void crash(String name, long forMicros) {
+  /** Ends a controller process and starts another one with the same name after the given time. */
+  void crash(String name, long durationMicros) {
     ControllerProcess ended = processes.remove(name);
     if (ended != null) {
       ended.clock().ended = true;
-      network.stopServing(addresses.get(name));
-      scheduler.after(forMicros, () -> start(name));
+      network.stopServing(controllerAddresses.get(name));
+      scheduler.after(durationMicros, () -> start(name));
     }
   }
 
   /** Pauses a controller process; see {@link SimScheduler.HostClock#pause}. */
-  void pause(String name, long forMicros) {
+  void pause(String name, long durationMicros) {
     ControllerProcess paused = processes.get(name);
     if (paused != null) {
-      paused.clock().pause(forMicros);
+      paused.clock().pause(durationMicros);
     }
   }
 
   /** Partitions all controllers from one another. */
-  void partitionControllers(long forMicros) {
-    for (String one : controllers()) {
-      controllers().forEach(other -> network.partition(one, other, false, forMicros));
+  void partitionControllers(long durationMicros) {
+    for (String one : controllerNames()) {
+      controllerNames().forEach(other -> network.partition(one, other, false, durationMicros));
     }
   }
 
   /** See {@link SimNetwork#partitionZone}. */
-  void partitionZone(String zone, boolean buffered, long forMicros) {
-    network.partitionZone(zone, buffered, forMicros);
+  void partitionZone(String zone, boolean buffered, long durationMicros) {
+    network.partitionZone(zone, buffered, durationMicros);
   }
 
-  /** Partitions a controller from all workers that are there now. */
-  void partitionFromWorkers(String node, boolean buffered, long forMicros) {
-    cloud.workers().forEach(worker -> network.partition(node, worker.id, buffered, forMicros));
+  /** Partitions a controller from all current workers. */
+  void partitionFromWorkers(String name, boolean buffered, long durationMicros) {
+    cloud.workers().forEach(worker -> network.partition(name, worker.id, buffered, durationMicros));
   }
 
-  /** All controllers crash; each restarts after its own time. */
-  void crashAll(long... forMicros) {
-    for (int i = 0; i < controllers().size(); i++) {
-      crash(controllers().get(i), forMicros[Math.min(i, forMicros.length - 1)]);
+  /**
+   * Crashes all controllers. Each restarts after the time at its index; the last time given applies
+   * to the rest.
+   */
+  void crashAll(long... durationMicros) {
+    for (int i = 0; i < controllerNames().size(); i++) {
+      crash(controllerNames().get(i), durationMicros[Math.min(i, durationMicros.length - 1)]);
     }
   }
 
   /**
-   * Tasks of live jobs whose record in the log diverges from the truth: where they are, or that
-   * they are somewhere.
+   * The tasks of live jobs for which the store's log names another machine than the one that holds
+   * the task, or only one of the two names a machine.
    */
   Set<TaskId> divergentTasks() {
     Set<TaskId> tasks = new HashSet<>(invariants.heldTasks());
-    tasks.addAll(store.placementLog.tasks());
+    tasks.addAll(store.placementLog.placedTasks());
     tasks.removeIf(
         task ->
             !invariants.isLive(task.job())
@@ -440,55 +482,64 @@
   }
 
   /**
-   * Users cancel running jobs within a fifth of a second, and up to eight of their machines hang
-   * for so long.
+   * Has users cancel up to {@code maxJobs} running jobs within 200 ms, and hangs up to eight
+   * machines of these jobs.
    */
-  void cancelAndHang(int most, long hangMicros) {
+  void cancelJobsAndHangMachines(int maxJobs, long hangMicros) {
     Set<SimWorker> machines = new LinkedHashSet<>();
-    for (String job : users.cancelRunningSoon(most)) {
+    for (String job : users.cancelRunningStaggered(maxJobs)) {
       machines.addAll(invariants.machinesOf(job));
     }
     machines.stream().limit(8).forEach(machine -> machine.hang(hangMicros));
   }
 
   /** See {@link HeartbeatReplay}. */
-  void replayHeartbeatsToNextLeader(double share, long captureMicros, long withinMicros) {
-    heartbeatReplay.start(share, captureMicros, withinMicros);
+  void replayHeartbeatsToNextLeader(double share, long captureMicros, long waitMicros) {
+    heartbeatReplay.start(share, captureMicros, waitMicros);
   }
 
-  /** From now on, checks every second which jobs wait though there is capacity. */
+  /**
+   * Checks every second from now on that no job is starved; see {@link
+   * InvariantChecker#checkStarvation}.
+   */
   void checkStarvationEverySecond() {
     invariants.checkStarvation(cloud.workers());
     scheduler.after(SECOND, this::checkStarvationEverySecond);
   }
 
-  /** Leaves a controller workers, users and cloud, but neither store nor other controllers. */
-  void isolateFromStoreAndPeers(String node, boolean buffered, long forMicros) {
-    network.partition(node, "store", buffered, forMicros);
-    controllers().stream()
-        .filter(other -> !other.equals(node))
-        .forEach(other -> network.partition(node, other, buffered, forMicros));
+  /**
+   * Partitions a controller from the store and the other controllers; it still reaches workers,
+   * users and cloud.
+   */
+  void isolateFromStoreAndPeers(String name, boolean buffered, long durationMicros) {
+    network.partition(name, "store", buffered, durationMicros);
+    controllerNames().stream()
+        .filter(other -> !other.equals(name))
+        .forEach(other -> network.partition(name, other, buffered, durationMicros));
   }
 
-  /** The process crashes and is back within half a second, up to four times in a row. */
-  void flap(String node) {
+  /**
+   * Crashes the controller repeatedly within four seconds; each time it restarts within half a
+   * second.
+   */
+  void flap(String name) {
     long atMicros = 0;
     do {
       scheduler.after(
-          atMicros, () -> crash(node, SECOND / 20 + scheduler.random.nextLong(SECOND * 9 / 20)));
+          atMicros, () -> crash(name, SECOND / 20 + scheduler.random.nextLong(SECOND * 9 / 20)));
       atMicros += SECOND / 2 + scheduler.random.nextLong(SECOND);
     } while (atMicros < 4 * SECOND && scheduler.chance(0.6));
   }
 
-  /** Lets virtual time pass, with a check of the invariants after each event. */
+  /** Advances virtual time to {@code untilMicros}, and checks the invariants after each event. */
   void runUntil(long untilMicros) {
     scheduler.runUntil(untilMicros, invariants::check);
   }
 
   /**
-   * Fails if a violation was found, by the checker or by the store.
+   * Fails if the checker or the store has recorded a violation.
    *
-   * @param scenario what was played, for the message; the seed is added
+   * @param scenario the scenario of the run; the failure message contains it and the seed
    */
   void assertNoViolations(Object scenario) {
     assertEquals(List.of(), invariants.violations, () -> scenario + ", seed " + seed);
