--- a/src/test/java/madderrudder/LayersTest.java
+++ b/src/test/java/madderrudder/LayersTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The layers of the program: which package may use which. What a package may use is written out
- * here; all else of the project it may not.
+ * Guards the layering of the packages. Each package may depend only on the project packages that
+ * are listed for it here, so that a new dependency, such as one of a lower layer on a higher one,
+ * fails the build.
  */
 class LayersTest {
-  private static final JavaClasses ALL =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("madderrudder");
@@ -53,7 +54,7 @@
             + "coordination.cloud coordination.registry coordination.leader",
         "cli|transport protocol estimates persistence metrics config coordination.policy coordination.membership service"
       })
-  void usesNothingAboveIt(String layer, String below) {
+  void packageDependsOnlyOnAllowedPackages(String packageName, String allowedProjectPackages) {
     List<String> allowed =
         new java.util.ArrayList<>(
             List.of(
@@ -62,25 +63,26 @@
                 "org.slf4j..",
                 "org.HdrHistogram..",
                 "org.apache.commons.cli..",
-                "madderrudder." + layer));
-    if (below != null) {
-      List.of(below.split(" ")).forEach(name -> allowed.add("madderrudder." + name));
+                "madderrudder." + packageName));
+    if (allowedProjectPackages != null) {
+      List.of(allowedProjectPackages.split(" "))
+          .forEach(name -> allowed.add("madderrudder." + name));
     }
     classes()
         .that()
-        .resideInAPackage("madderrudder." + layer)
+        .resideInAPackage("madderrudder." + packageName)
         .should()
         .onlyDependOnClassesThat()
         .resideInAnyPackage(allowed.toArray(String[]::new))
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   /**
-   * Decisions get the cluster state, the clock and the policy as data: nothing in them reaches the
-   * outside, or asks what time it is.
+   * The packages that make decisions receive the cluster state, the time and the policy as data.
+   * They do no input or output, log nothing, use no concurrency utilities and read no clock.
    */
   @Test
-  void decisionsArePure() {
+  void decisionPackagesDoNoInputOutputAndReadNoClock() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -102,11 +104,11 @@
         .callMethod(System.class, "nanoTime")
         .orShould()
         .callMethod(System.class, "currentTimeMillis")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void packagesAreFreeOfCycles() {
-    slices().matching("madderrudder.(**)").should().beFreeOfCycles().check(ALL);
+  void packagesHaveNoDependencyCycles() {
+    slices().matching("madderrudder.(**)").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
   }
 }
