--- a/src/main/java/madderrudder/cli/ClassPreloader.java
+++ b/src/main/java/madderrudder/cli/ClassPreloader.java
@@ -21,64 +21,67 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Loads every class of the program and sends itself one request over loopback, so that the
- * class-data archive that the build makes of the run holds all that a controller needs to start. On
- * a third of a core this saves most of the time of the start.
+ * The {@code rehearse} command: loads the classes of the controller and of its libraries and sends
+ * one HTTP request over loopback. The build records a class-data sharing (CDS) archive from this
+ * run, which then holds the classes that a controller needs to start. On a third of a core the
+ * archive saves most of the startup time.
  */
 final class ClassPreloader {
   private static final Logger LOG = LoggerFactory.getLogger(ClassPreloader.class);
-  private static final long TIMEOUT_MICROS = 5_000_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 5_000_000;
 
-  /** The packages of the controller and its libraries, as paths in the jar. */
-  private static final List<String> PACKAGES =
+  /** Path prefixes in the jar of the packages of the controller and its libraries. */
+  private static final List<String> PACKAGE_PATHS =
       List.of("madderrudder/", "com/fasterxml/jackson/core/", "org/slf4j/", "org/HdrHistogram/");
 
   private static final String CLASS_SUFFIX = ".class";
 
   private ClassPreloader() {}
 
-  /** Loads the classes and returns the exit status. */
+  /** Runs the command and returns the exit status; a failure is printed to the stream. */
   static int run(PrintStream err) {
     try {
       loadClasses();
-      exerciseTransport();
+      exerciseJsonAndHttp();
       return 0;
     } catch (IOException | URISyntaxException | MalformedMessageException e) {
-      err.println("madderrudder: rehearsal failed: " + e);
+      err.println("madderrudder: rehearse failed: " + e);
       return 1;
     }
   }
 
   private static void loadClasses() throws IOException, URISyntaxException {
-    Path self =
+    Path jarFile =
         Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-    try (JarFile jar = new JarFile(self.toFile())) {
+    try (JarFile jar = new JarFile(jarFile.toFile())) {
       long loaded =
           jar.stream()
               .map(entry -> entry.getName())
               .filter(name -> name.endsWith(CLASS_SUFFIX))
-              .filter(name -> PACKAGES.stream().anyMatch(name::startsWith))
-              .filter(name -> load(className(name)))
+              .filter(name -> PACKAGE_PATHS.stream().anyMatch(name::startsWith))
+              .filter(name -> tryLoad(className(name)))
               .count();
-      LOG.debug("{} classes loaded", loaded);
+      LOG.debug("loaded {} classes", loaded);
     }
   }
 
-  private static String className(String entry) {
-    return entry.substring(0, entry.length() - CLASS_SUFFIX.length()).replace('/', '.');
+  private static String className(String entryName) {
+    return entryName.substring(0, entryName.length() - CLASS_SUFFIX.length()).replace('/', '.');
   }
 
-  private static boolean load(String name) {
+  private static boolean tryLoad(String name) {
     try {
       Class.forName(name, false, ClassPreloader.class.getClassLoader());
       return true;
     } catch (ClassNotFoundException | LinkageError e) {
-      // Optional parts of a library may lack what they build on; a controller does not use them.
+      // Optional parts of a library may need classes that are not in the jar. The controller does
+      // not
+      // use these parts.
       return false;
     }
   }
 
-  private static void exerciseTransport() throws IOException, MalformedMessageException {
+  private static void exerciseJsonAndHttp() throws IOException, MalformedMessageException {
     Json.readObject("{\"a\":[1,2.5,\"b\",true,null]}".getBytes(StandardCharsets.UTF_8)).render();
     EventLoop loop = new EventLoop();
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
@@ -97,7 +100,7 @@
           client.call(
               address,
               HttpRequest.post("/", Json.error("none")),
-              TIMEOUT_MICROS,
+              REQUEST_TIMEOUT_MICROS,
               response -> loop.shutdown());
         });
     loop.run();
--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -15,14 +15,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs a controller on real sockets and clocks. */
+/** The {@code serve} command: runs a controller on real sockets and clocks. */
 final class ServeCommand {
   private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
-  /** For the listeners, the channel group's own descriptors and the connections to peers. */
+  /**
+   * Sockets set aside for the listeners, the channel group's own descriptors and the connections to
+   * other controllers.
+   */
   private static final int RESERVED_SOCKETS = 48;
 
-  private static final int MIN_SOCKETS = 32;
+  private static final int MIN_HTTP_SOCKETS = 32;
 
   private final PlatformSettings settings;
   private final OperatorPolicy policy;
@@ -34,16 +37,17 @@
   }
 
   /**
-   * Makes the calling thread the event loop thread of a controller.
+   * Runs a controller on the calling thread, which becomes its event loop thread.
    *
-   * @return 1 if the controller could not begin; otherwise 0, once the event loop was shut down
+   * @return the exit status: 1 if the controller failed to start, 0 after the event loop is shut
+   *     down
    */
   int run() {
     EventLoop loop = new EventLoop();
     try {
       start(loop);
     } catch (IOException e) {
-      LOG.error("can't begin to serve: {}", e.toString());
+      LOG.error("controller failed to start: {}", e.toString());
       return 1;
     }
     loop.run();
@@ -52,26 +56,33 @@
 
   private void start(EventLoop loop) throws IOException {
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
-    int sockets = Math.max(MIN_SOCKETS, settings.maxSockets() - RESERVED_SOCKETS);
-    HttpClient client = new HttpClient(loop, group, sockets / 4);
+    int httpSockets = Math.max(MIN_HTTP_SOCKETS, settings.maxSockets() - RESERVED_SOCKETS);
+    HttpClient client = new HttpClient(loop, group, httpSockets / 4);
     PeerTransport peers =
         new PeerTransport(
             loop,
             group,
-            Addresses.parse(settings.peerListen()),
+            Addresses.parse(settings.peerListenAddress()),
             settings.peers(),
             PeerMessageCodec.MAX_BYTES,
             message -> node.receive(message));
     node = new ControllerNode(loop, client, peers, new SplittableRandom(), settings, policy);
     HttpServer server =
         new HttpServer(
-            loop, group, Addresses.parse(settings.clientListen()), sockets - sockets / 4, node);
+            loop,
+            group,
+            Addresses.parse(settings.clientListenAddress()),
+            httpSockets - httpSockets / 4,
+            node);
     loop.execute(
         () -> {
           peers.start();
           server.start();
           node.start();
-          LOG.info("{} serves on {}", settings.member(), settings.clientListen());
+          LOG.info(
+              "controller {} serves users and workers on {}",
+              settings.member(),
+              settings.clientListenAddress());
         });
   }
 }
--- a/src/main/java/madderrudder/cli/SettingsArguments.java
+++ b/src/main/java/madderrudder/cli/SettingsArguments.java
@@ -7,33 +7,35 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * The options of the commands that read the settings.
+ * The options of the commands that read the settings files.
  *
- * @param configFile the file with the platform's settings
- * @param operatorFile the file with the operators' own settings; null if none was named
+ * @param configFile the path of the platform's settings file
+ * @param operatorFile the path of the operators' settings file; null if the option is absent
  */
 record SettingsArguments(String configFile, String operatorFile) {
-  private static final String CONFIG = "config";
-  private static final String OPERATOR = "operator";
+  private static final String CONFIG_OPTION = "config";
+  private static final String OPERATOR_OPTION = "operator";
 
   /**
-   * Reads the arguments behind the command.
+   * Parses the arguments that follow the command.
    *
-   * @throws UsageException if there are others, or a needed one is missing
+   * @throws UsageException if an argument is unknown, or a required option or a value is missing
    */
   static SettingsArguments parse(String[] arguments) throws UsageException {
     Options options = new Options();
-    options.addOption(Option.builder().longOpt(CONFIG).hasArg().required().get());
-    options.addOption(Option.builder().longOpt(OPERATOR).hasArg().get());
-    CommandLine line;
+    options.addOption(Option.builder().longOpt(CONFIG_OPTION).hasArg().required().get());
+    options.addOption(Option.builder().longOpt(OPERATOR_OPTION).hasArg().get());
+    CommandLine commandLine;
     try {
-      line = DefaultParser.builder().setAllowPartialMatching(false).get().parse(options, arguments);
+      commandLine =
+          DefaultParser.builder().setAllowPartialMatching(false).get().parse(options, arguments);
     } catch (ParseException e) {
       throw new UsageException(e.getMessage());
     }
-    if (!line.getArgList().isEmpty()) {
-      throw new UsageException("unexpected " + line.getArgList().get(0));
+    if (!commandLine.getArgList().isEmpty()) {
+      throw new UsageException("unexpected argument " + commandLine.getArgList().get(0));
     }
-    return new SettingsArguments(line.getOptionValue(CONFIG), line.getOptionValue(OPERATOR));
+    return new SettingsArguments(
+        commandLine.getOptionValue(CONFIG_OPTION), commandLine.getOptionValue(OPERATOR_OPTION));
   }
 }
--- a/src/main/java/madderrudder/cli/SettingsFiles.java
+++ b/src/main/java/madderrudder/cli/SettingsFiles.java
@@ -10,20 +10,21 @@
 import madderrudder.config.PlatformSettings;
 import madderrudder.coordination.policy.OperatorPolicy;
 
-/** Reads the files of the settings; each problem is told with the name of its file. */
+/** Reads the settings files and adds the name of the file to each problem found. */
 final class SettingsFiles {
   private SettingsFiles() {}
 
   /**
    * Reads the platform's settings.
    *
-   * @throws InvalidSettingsException if the file can't be read, or with all that is wrong in it
+   * @throws InvalidSettingsException if the file can't be read, or has invalid settings; lists all
+   *     problems found
    */
   static PlatformSettings readPlatform(String file) throws InvalidSettingsException {
     try {
       return PlatformSettings.parse(Files.readAllBytes(Path.of(file)));
     } catch (IOException e) {
-      throw unreadable(file, e);
+      throw unreadableFile(file, e);
     } catch (InvalidSettingsException e) {
       throw new InvalidSettingsException(
           e.problems().stream().map(problem -> file + ": " + problem).toList());
@@ -31,9 +32,11 @@
   }
 
   /**
-   * Reads the operators' own settings; the defaults if no file is given.
+   * Reads the operators' settings.
    *
-   * @throws InvalidSettingsException if the file can't be read, or with what is wrong in it
+   * @param file the path of the file; null for the defaults
+   * @throws InvalidSettingsException if the file can't be read or is invalid; holds the first
+   *     problem found
    */
   static OperatorPolicy readOperator(String file) throws InvalidSettingsException {
     if (file == null) {
@@ -42,13 +45,13 @@
     try {
       return OperatorSettings.parse(Files.readString(Path.of(file)));
     } catch (IOException e) {
-      throw unreadable(file, e);
+      throw unreadableFile(file, e);
     } catch (MalformedSExpressionException e) {
       throw new InvalidSettingsException(List.of(file + ": " + e.getMessage()));
     }
   }
 
-  private static InvalidSettingsException unreadable(String file, IOException cause) {
+  private static InvalidSettingsException unreadableFile(String file, IOException cause) {
     return new InvalidSettingsException(List.of("can't read " + file + ": " + cause.getMessage()));
   }
 }
--- a/src/main/java/madderrudder/cli/UsageException.java
+++ b/src/main/java/madderrudder/cli/UsageException.java
@@ -1,6 +1,6 @@
 package madderrudder.cli;
 
-/** A command line that can't be understood; the message says why, for the user. */
+/** Thrown when the command line is invalid; the message is printed to the user. */
 final class UsageException extends Exception {
   UsageException(String message) {
     super(message);
--- a/src/main/java/madderrudder/cli/package-info.java
+++ b/src/main/java/madderrudder/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line of the controller: it reads the settings, then runs a controller on real sockets
- * and clocks, or checks the settings and ends. All of it runs on the main thread, which becomes the
- * event loop thread of a serving controller.
+ * The command line of the controller. It reads the settings and either runs a controller on real
+ * sockets and clocks, or only validates the settings. All of it runs on the main thread, which
+ * becomes the event loop thread once a controller serves.
  */
 package madderrudder.cli;
--- a/src/main/java/madderrudder/config/InvalidSettingsException.java
+++ b/src/main/java/madderrudder/config/InvalidSettingsException.java
@@ -3,19 +3,19 @@
 import java.io.Serial;
 import java.util.List;
 
-/** Settings that can't be used, with everything that is wrong with them. */
+/** Thrown when settings are invalid or can't be read; lists all problems that were found. */
 public final class InvalidSettingsException extends Exception {
   @Serial private static final long serialVersionUID = 1;
 
   private final List<String> problems;
 
-  /** Creates one with at least one problem, each a line of text that names the setting. */
+  /** Creates an exception from one or more problems, each a line of text. */
   public InvalidSettingsException(List<String> problems) {
     super(String.join("; ", problems));
     this.problems = List.copyOf(problems);
   }
 
-  /** Everything that is wrong, a line each. */
+  /** Returns the problems, one line of text each. */
   public List<String> problems() {
     return problems;
   }
--- a/src/main/java/madderrudder/config/MalformedSExpressionException.java
+++ b/src/main/java/madderrudder/config/MalformedSExpressionException.java
@@ -2,7 +2,9 @@
 
 import java.io.Serial;
 
-/** A text that is no S-expression, or not the one that is expected at that place. */
+/**
+ * Thrown when a text is not a valid S-expression, or has an unexpected expression at some position.
+ */
 public final class MalformedSExpressionException extends Exception {
   @Serial private static final long serialVersionUID = 1;
 
@@ -10,11 +12,11 @@
   private final int column;
 
   /**
-   * Creates one for a place in the text.
+   * Creates an exception for a position in the text.
    *
    * @param line the line, from 1
    * @param column the column, from 1
-   * @param problem what is wrong there
+   * @param problem a description of the error
    */
   public MalformedSExpressionException(int line, int column, String problem) {
     super("line " + line + ", column " + column + ": " + problem);
@@ -22,17 +24,17 @@
     this.column = column;
   }
 
-  /** Creates one for the place where an expression begins. */
-  MalformedSExpressionException(SExpression where, String problem) {
-    this(where.line(), where.column(), problem);
+  /** Creates an exception for the position where the expression begins. */
+  MalformedSExpressionException(SExpression expression, String problem) {
+    this(expression.line(), expression.column(), problem);
   }
 
-  /** The line of the mistake, from 1. */
+  /** Returns the line of the error, from 1. */
   public int line() {
     return line;
   }
 
-  /** The column of the mistake, from 1. */
+  /** Returns the column of the error, from 1. */
   public int column() {
     return column;
   }
--- a/src/main/java/madderrudder/config/OperatorSettings.java
+++ b/src/main/java/madderrudder/config/OperatorSettings.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 import java.util.Set;
 import madderrudder.config.SExpression.Atom;
-import madderrudder.config.SExpression.Items;
+import madderrudder.config.SExpression.ListExpression;
 import madderrudder.coordination.policy.OperatorPolicy;
 import madderrudder.coordination.policy.OperatorPolicy.SpotMode;
 
 /**
- * Reads the operators' own settings: {@code (madderrudder (threshold-s 20) ...)}. What is left out
- * has its default.
+ * Reads the operators' settings, an S-expression of the form {@code (madderrudder (threshold-s 20)
+ * ...)}. A setting that is left out has its default.
  */
 public final class OperatorSettings {
-  private static final String ROOT = "madderrudder";
-  private static final Set<String> NAMES =
+  private static final String ROOT_NAME = "madderrudder";
+  private static final Set<String> SETTING_NAMES =
       Set.of(
           "threshold-s",
           "poll-s",
@@ -37,38 +37,39 @@
   }
 
   /**
-   * Reads the settings from the text of the file.
+   * Parses and validates the contents of the settings file.
    *
-   * @throws MalformedSExpressionException if the text is broken, names a setting that does not
-   *     exist or twice, or a value is not within its bounds
+   * @throws MalformedSExpressionException if the text is not an S-expression of the expected form,
+   *     names an unknown setting, sets one twice, or has an invalid value
    */
   public static OperatorPolicy parse(String text) throws MalformedSExpressionException {
     Map<String, Atom> values = new HashMap<>();
-    for (SExpression setting : settings(SExpression.parse(text))) {
+    for (SExpression setting : settingsIn(SExpression.parse(text))) {
       putSetting(setting, values);
     }
-    return new OperatorSettings(values).policy();
+    return new OperatorSettings(values).toPolicy();
   }
 
-  private static List<SExpression> settings(SExpression root) throws MalformedSExpressionException {
-    if (!(root instanceof Items list)
+  private static List<SExpression> settingsIn(SExpression root)
+      throws MalformedSExpressionException {
+    if (!(root instanceof ListExpression list)
         || list.items().isEmpty()
         || !(list.items().get(0) instanceof Atom head)
-        || !head.text().equals(ROOT)) {
-      throw new MalformedSExpressionException(1, 1, "expected (" + ROOT + " ...)");
+        || !head.text().equals(ROOT_NAME)) {
+      throw new MalformedSExpressionException(1, 1, "expected (" + ROOT_NAME + " ...)");
     }
     return list.items().subList(1, list.items().size());
   }
 
   private static void putSetting(SExpression setting, Map<String, Atom> values)
       throws MalformedSExpressionException {
-    if (!(setting instanceof Items pair)
+    if (!(setting instanceof ListExpression pair)
         || pair.items().size() != 2
         || !(pair.items().get(0) instanceof Atom name)
         || !(pair.items().get(1) instanceof Atom value)) {
       throw new MalformedSExpressionException(setting, "expected (name value)");
     }
-    if (!NAMES.contains(name.text())) {
+    if (!SETTING_NAMES.contains(name.text())) {
       throw new MalformedSExpressionException(name, "unknown setting " + name.text());
     }
     if (values.put(name.text(), value) != null) {
@@ -76,72 +77,74 @@
     }
   }
 
-  private OperatorPolicy policy() throws MalformedSExpressionException {
+  private OperatorPolicy toPolicy() throws MalformedSExpressionException {
     OperatorPolicy defaults = OperatorPolicy.defaults();
     return new OperatorPolicy(
-        micros("threshold-s", 0, 86_400, defaults.thresholdMicros()),
-        micros("poll-s", 0.1, 3_600, defaults.pollMicros()),
+        secondsAsMicros("threshold-s", 0, 86_400, defaults.thresholdMicros()),
+        secondsAsMicros("poll-s", 0.1, 3_600, defaults.pollMicros()),
         (int) number("budget", 0, 1_000_000, defaults.budget()),
-        micros("budget-window-s", 1, 604_800, defaults.budgetWindowMicros()),
-        micros("idle-s", 1, 86_400, defaults.idleMicros()),
+        secondsAsMicros("budget-window-s", 1, 604_800, defaults.budgetWindowMicros()),
+        secondsAsMicros("idle-s", 1, 86_400, defaults.idleMicros()),
         spotMode("spot", defaults.spotMode()),
-        micros("hold-s", 1, 60, defaults.leaseMicros()),
+        secondsAsMicros("hold-s", 1, 60, defaults.leaseMicros()),
         number("headroom", 0, 0.9, defaults.headroom()),
         number("patience", 0, 1, defaults.patience()),
         isOn("deputies", defaults.delegation()),
         isOn("learned-run-times", defaults.learnedRunTimes()));
   }
 
-  private SpotMode spotMode(String name, SpotMode otherwise) throws MalformedSExpressionException {
+  private SpotMode spotMode(String name, SpotMode defaultMode)
+      throws MalformedSExpressionException {
     Atom value = values.get(name);
     if (value == null) {
-      return otherwise;
+      return defaultMode;
     }
     try {
       return SpotMode.valueOf(value.text().toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw wrongValue(value, "never, uncounted or always");
+      throw invalidValue(value, "never, uncounted or always");
     }
   }
 
-  private boolean isOn(String name, boolean otherwise) throws MalformedSExpressionException {
+  private boolean isOn(String name, boolean defaultValue) throws MalformedSExpressionException {
     Atom value = values.get(name);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     return switch (value.text()) {
       case "on" -> true;
       case "off" -> false;
-      default -> throw wrongValue(value, "on or off");
+      default -> throw invalidValue(value, "on or off");
     };
   }
 
-  /** A time that is given in seconds, in microseconds. */
-  private long micros(String name, double leastS, double mostS, long otherwiseMicros)
+  /** Returns a duration, which the file gives in seconds, in microseconds. */
+  private long secondsAsMicros(
+      String name, double minSeconds, double maxSeconds, long defaultMicros)
       throws MalformedSExpressionException {
     return values.containsKey(name)
-        ? Math.round(number(name, leastS, mostS, 0) * 1e6)
-        : otherwiseMicros;
+        ? Math.round(number(name, minSeconds, maxSeconds, 0) * 1e6)
+        : defaultMicros;
   }
 
-  private double number(String name, double least, double most, double otherwise)
+  private double number(String name, double min, double max, double defaultValue)
       throws MalformedSExpressionException {
     Atom value = values.get(name);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     try {
       double number = Double.parseDouble(value.text());
-      if (number >= least && number <= most) {
+      if (number >= min && number <= max) {
         return number;
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one complaint below.
+      // Rejected below, like a number that is out of bounds.
     }
-    throw wrongValue(value, "a number from " + least + " to " + most);
+    throw invalidValue(value, "a number from " + min + " to " + max);
   }
 
-  private static MalformedSExpressionException wrongValue(Atom value, String expected) {
+  private static MalformedSExpressionException invalidValue(Atom value, String expected) {
     return new MalformedSExpressionException(
         value, "expected " + expected + ", not \"" + value.text() + '"');
   }
--- a/src/main/java/madderrudder/config/PlatformSettings.java
+++ b/src/main/java/madderrudder/config/PlatformSettings.java
@@ -4,23 +4,24 @@
 import madderrudder.coordination.policy.Deployment;
 
 /**
- * The platform's settings, checked.
+ * The platform's settings, validated.
  *
  * @param member this controller's name
- * @param zone the zone this controller stands in
- * @param clientListen the address where users and workers are served
- * @param peerListen the address where the other controllers are listened to
- * @param peers the other controllers' addresses by their names
+ * @param zone the zone this controller runs in
+ * @param clientListenAddress the address on which this controller serves users and workers
+ * @param peerListenAddress the address on which this controller accepts connections of other
+ *     controllers
+ * @param peers the addresses of the other controllers, by name
  * @param cloudAddress the address of the cloud's API
  * @param stateAddress the address of the key-value store
- * @param deployment what the platform says of the place this service runs in
- * @param maxSockets how many sockets this process may have open
+ * @param deployment the zones, teams, limits and objectives of the platform
+ * @param maxSockets the maximum number of sockets that this process may have open
  */
 public record PlatformSettings(
     String member,
     String zone,
-    String clientListen,
-    String peerListen,
+    String clientListenAddress,
+    String peerListenAddress,
     Map<String, String> peers,
     String cloudAddress,
     String stateAddress,
@@ -28,11 +29,11 @@
     int maxSockets) {
 
   /**
-   * Reads the settings from the bytes of the file, a JSON object.
+   * Parses and validates the contents of the settings file, a JSON object.
    *
-   * @throws InvalidSettingsException with everything that is wrong with them
+   * @throws InvalidSettingsException with all problems found
    */
-  public static PlatformSettings parse(byte[] text) throws InvalidSettingsException {
-    return PlatformSettingsReader.read(text);
+  public static PlatformSettings parse(byte[] json) throws InvalidSettingsException {
+    return PlatformSettingsReader.read(json);
   }
 }
--- a/src/main/java/madderrudder/config/PlatformSettingsReader.java
+++ b/src/main/java/madderrudder/config/PlatformSettingsReader.java
@@ -8,78 +8,81 @@
 import madderrudder.protocol.JsonFields;
 import madderrudder.protocol.MalformedMessageException;
 
-/** Reads the platform's settings, naming all mistakes at once. */
+/** Reads the platform's settings and reports all problems at once. */
 final class PlatformSettingsReader {
   private static final double DEFAULT_MAX_SOCKETS = 1024;
 
   private final SettingsProblems problems = new SettingsProblems();
   private final JsonFields root;
 
-  /** Stands for a section that is missing. */
-  private final JsonFields empty;
+  /** Replaces a missing section, so that the fields required in it are reported too. */
+  private final JsonFields emptySection;
 
-  private PlatformSettingsReader(JsonFields root, JsonFields empty) {
+  private PlatformSettingsReader(JsonFields root, JsonFields emptySection) {
     this.root = root;
-    this.empty = empty;
+    this.emptySection = emptySection;
   }
 
-  static PlatformSettings read(byte[] text) throws InvalidSettingsException {
+  static PlatformSettings read(byte[] json) throws InvalidSettingsException {
     PlatformSettingsReader reader;
     try {
-      JsonFields empty = Json.readObject(new byte[] {'{', '}'});
-      reader = new PlatformSettingsReader(Json.readObject(text), empty);
+      JsonFields emptySection = Json.readObject(new byte[] {'{', '}'});
+      reader = new PlatformSettingsReader(Json.readObject(json), emptySection);
     } catch (MalformedMessageException e) {
-      throw new InvalidSettingsException(List.of("the settings are " + e.getMessage()));
+      throw new InvalidSettingsException(List.of("invalid platform settings: " + e.getMessage()));
     }
-    return reader.settings();
+    return reader.readSettings();
   }
 
-  private PlatformSettings settings() throws InvalidSettingsException {
-    Map<String, String> peers = peers();
-    JsonFields external = problems.read("external", empty, () -> root.object("external"));
-    JsonFields deployment = problems.read("deployment", empty, () -> root.object("deployment"));
+  private PlatformSettings readSettings() throws InvalidSettingsException {
+    Map<String, String> peers = readPeers();
+    JsonFields external =
+        problems.readOrDefault("external", emptySection, () -> root.object("external"));
+    JsonFields deployment =
+        problems.readOrDefault("deployment", emptySection, () -> root.object("deployment"));
     PlatformSettings settings =
         new PlatformSettings(
-            problems.read("member", "", () -> root.text("member")),
-            problems.read("zone", "", () -> root.text("zone")),
+            problems.readOrDefault("member", "", () -> root.text("member")),
+            problems.readOrDefault("zone", "", () -> root.text("zone")),
             problems.address("", root, "client_listen"),
             problems.address("", root, "mesh_addr"),
             peers,
             problems.address("external.", external, "cloud"),
             problems.address("external.", external, "state"),
-            deployment(deployment, peers.size() + 1),
-            maxSockets(deployment));
+            readDeployment(deployment, peers.size() + 1),
+            readMaxSockets(deployment));
     problems.throwIfAny();
     return settings;
   }
 
-  private Map<String, String> peers() {
+  private Map<String, String> readPeers() {
     Map<String, String> peers = new LinkedHashMap<>();
     List<JsonFields> members =
-        problems.read("members", List.<JsonFields>of(), () -> root.objects("members"));
+        problems.readOrDefault("members", List.<JsonFields>of(), () -> root.objects("members"));
     for (JsonFields peer : members) {
       String path = "members[" + peers.size() + "].";
-      String name = problems.read(path + "member", "", () -> peer.text("member"));
+      String name = problems.readOrDefault(path + "member", "", () -> peer.text("member"));
       if (peers.put(name, problems.address(path, peer, "peer_addr")) != null) {
-        problems.add(path + "member", "\"" + name + "\" is named twice");
+        problems.add(path + "member", "\"" + name + "\" is listed twice");
       }
     }
     return peers;
   }
 
-  private Deployment deployment(JsonFields section, int members) {
-    return new DeploymentReader(problems, section, empty).read(members);
+  private Deployment readDeployment(JsonFields section, int controllerCount) {
+    return new DeploymentReader(problems, section, emptySection).read(controllerCount);
   }
 
-  private int maxSockets(JsonFields deployment) {
+  private int readMaxSockets(JsonFields deployment) {
     if (!deployment.has("limits")) {
       return (int) DEFAULT_MAX_SOCKETS;
     }
     JsonFields limits =
-        problems.read("deployment.limits", empty, () -> deployment.object("limits"));
+        problems.readOrDefault(
+            "deployment.limits", emptySection, () -> deployment.object("limits"));
     return (int)
         (limits.has("max_sockets")
-            ? problems.positive("deployment.limits.", limits, "max_sockets")
+            ? problems.positiveAmount("deployment.limits.", limits, "max_sockets")
             : DEFAULT_MAX_SOCKETS);
   }
 }
--- a/src/main/java/madderrudder/config/SExpression.java
+++ b/src/main/java/madderrudder/config/SExpression.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** A parsed S-expression with the place where it begins, so that mistakes can be pointed at. */
+/** A parsed S-expression with the position where it begins, for use in error messages. */
 public sealed interface SExpression {
-  /** The line where the expression begins, from 1. */
+  /** Returns the line where the expression begins, from 1. */
   int line();
 
-  /** The column where the expression begins, from 1. */
+  /** Returns the column where the expression begins, from 1. */
   int column();
 
   /**
@@ -20,18 +20,20 @@
   record Atom(String text, int line, int column) implements SExpression {}
 
   /**
-   * Expressions in parentheses.
+   * A list: expressions in parentheses.
    *
-   * @param items the expressions in their order
+   * @param items the expressions in the list, in order
    * @param line the line of the opening parenthesis, from 1
    * @param column the column of the opening parenthesis, from 1
    */
-  record Items(List<SExpression> items, int line, int column) implements SExpression {}
+  record ListExpression(List<SExpression> items, int line, int column) implements SExpression {}
 
   /**
-   * Reads the one expression of a text; {@code ;} begins a comment that ends with the line.
+   * Parses a text that holds exactly one expression; {@code ;} begins a comment that extends to the
+   * end of the line.
    *
-   * @throws MalformedSExpressionException if the text holds none, or more than one, or is broken
+   * @throws MalformedSExpressionException if the text holds no expression, more than one, or a
+   *     malformed one
    */
   static SExpression parse(String text) throws MalformedSExpressionException {
     return new SExpressionParser(text).parse();
--- a/src/main/java/madderrudder/config/SExpressionParser.java
+++ b/src/main/java/madderrudder/config/SExpressionParser.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import madderrudder.config.SExpression.Atom;
-import madderrudder.config.SExpression.Items;
+import madderrudder.config.SExpression.ListExpression;
 
-/** Walks once over a text, counting lines and columns. */
+/** A recursive-descent parser that tracks the line and column of its position in the text. */
 final class SExpressionParser {
-  private static final int MAX_DEPTH = 32;
-  private static final String ENDS_OF_WORD = "();\"";
+  private static final int MAX_NESTING_DEPTH = 32;
+  private static final String WORD_DELIMITERS = "();\"";
 
   private final String text;
   private int position;
@@ -19,16 +19,16 @@
     this.text = text;
   }
 
-  /** The one expression of the text. */
+  /** Parses the text, which must hold exactly one expression. */
   SExpression parse() throws MalformedSExpressionException {
-    skipBlanks();
+    skipWhitespaceAndComments();
     if (atEnd()) {
       throw malformed("expected an expression");
     }
-    SExpression expression = next(0);
-    skipBlanks();
+    SExpression expression = parseExpression(0);
+    skipWhitespaceAndComments();
     if (!atEnd()) {
-      throw malformed("text after the expression");
+      throw malformed("unexpected text after the expression");
     }
     return expression;
   }
@@ -45,7 +45,7 @@
     return text.charAt(position);
   }
 
-  private void step() {
+  private void advance() {
     if (current() == '\n') {
       line++;
       column = 1;
@@ -55,12 +55,12 @@
     position++;
   }
 
-  private void skipBlanks() {
+  private void skipWhitespaceAndComments() {
     while (!atEnd()) {
       if (current() == ';') {
         skipComment();
       } else if (Character.isWhitespace(current())) {
-        step();
+        advance();
       } else {
         return;
       }
@@ -69,63 +69,65 @@
 
   private void skipComment() {
     while (!atEnd() && current() != '\n') {
-      step();
+      advance();
     }
   }
 
-  /** The expression that begins here; blanks before it have been skipped. */
-  private SExpression next(int depth) throws MalformedSExpressionException {
-    if (depth > MAX_DEPTH) {
+  /** Parses the expression that begins at the current position, which is not whitespace. */
+  private SExpression parseExpression(int depth) throws MalformedSExpressionException {
+    if (depth > MAX_NESTING_DEPTH) {
       throw malformed("nested too deeply");
     }
     return switch (current()) {
       case ')' -> throw malformed("unexpected )");
-      case '(' -> list(depth);
-      case '"' -> string();
-      default -> word();
+      case '(' -> parseList(depth);
+      case '"' -> parseString();
+      default -> parseWord();
     };
   }
 
-  private SExpression list(int depth) throws MalformedSExpressionException {
+  private SExpression parseList(int depth) throws MalformedSExpressionException {
     int startLine = line;
     int startColumn = column;
-    step();
+    advance();
     List<SExpression> items = new ArrayList<>();
-    skipBlanks();
+    skipWhitespaceAndComments();
     while (!atEnd() && current() != ')') {
-      items.add(next(depth + 1));
-      skipBlanks();
+      items.add(parseExpression(depth + 1));
+      skipWhitespaceAndComments();
     }
     if (atEnd()) {
-      throw new MalformedSExpressionException(startLine, startColumn, "( without )");
+      throw new MalformedSExpressionException(startLine, startColumn, "( without a matching )");
     }
-    step();
-    return new Items(items, startLine, startColumn);
+    advance();
+    return new ListExpression(items, startLine, startColumn);
   }
 
-  private SExpression string() throws MalformedSExpressionException {
+  private SExpression parseString() throws MalformedSExpressionException {
     int startLine = line;
     int startColumn = column;
-    step();
-    int from = position;
+    advance();
+    int start = position;
     while (!atEnd() && current() != '"') {
-      step();
+      advance();
     }
     if (atEnd()) {
-      throw new MalformedSExpressionException(startLine, startColumn, "string without end");
+      throw new MalformedSExpressionException(startLine, startColumn, "unterminated string");
     }
-    String content = text.substring(from, position);
-    step();
+    String content = text.substring(start, position);
+    advance();
     return new Atom(content, startLine, startColumn);
   }
 
-  private SExpression word() {
+  private SExpression parseWord() {
     int startLine = line;
     int startColumn = column;
-    int from = position;
-    while (!atEnd() && ENDS_OF_WORD.indexOf(current()) < 0 && !Character.isWhitespace(current())) {
-      step();
+    int start = position;
+    while (!atEnd()
+        && WORD_DELIMITERS.indexOf(current()) < 0
+        && !Character.isWhitespace(current())) {
+      advance();
     }
-    return new Atom(text.substring(from, position), startLine, startColumn);
+    return new Atom(text.substring(start, position), startLine, startColumn);
   }
 }
--- a/src/main/java/madderrudder/config/SettingsProblems.java
+++ b/src/main/java/madderrudder/config/SettingsProblems.java
@@ -7,31 +7,31 @@
 import madderrudder.transport.Addresses;
 
 /**
- * Reads single settings and collects what is wrong with them, so that all mistakes are reported at
- * once. A setting that is wrong gets a harmless value, with which the reading goes on.
+ * Reads single settings and collects the problems found, so that all are reported at once. A
+ * missing or invalid setting is replaced by a default with which reading can continue.
  */
 final class SettingsProblems {
   private final List<String> problems = new ArrayList<>();
 
-  /** Reads one field. */
+  /** Reads one field of a JSON object. */
   interface FieldReader<T> {
     T read() throws MalformedMessageException;
   }
 
-  /** Whether nothing is wrong so far. */
-  boolean none() {
+  /** Returns whether no problem was found so far. */
+  boolean isEmpty() {
     return problems.isEmpty();
   }
 
-  /** Notes that the setting at the path is wrong. */
+  /** Records a problem of the setting at the path. */
   void add(String path, String problem) {
     problems.add(path + ": " + problem);
   }
 
   /**
-   * Ends the reading if anything is wrong.
+   * Throws if any problem was recorded.
    *
-   * @throws InvalidSettingsException with all problems
+   * @throws InvalidSettingsException with all recorded problems
    */
   void throwIfAny() throws InvalidSettingsException {
     if (!problems.isEmpty()) {
@@ -39,28 +39,33 @@
     }
   }
 
-  /** The value that is read, or the other one if the field is missing or invalid. */
-  <T> T read(String path, T otherwise, FieldReader<T> reader) {
+  /**
+   * Returns the value that the reader reads. If the field is missing or invalid, records this under
+   * the path and returns the default.
+   */
+  <T> T readOrDefault(String path, T defaultValue, FieldReader<T> reader) {
     try {
       return reader.read();
     } catch (MalformedMessageException e) {
       add(path, e.getMessage());
-      return otherwise;
+      return defaultValue;
     }
   }
 
-  /** An address with a port; empty if it is wrong. */
-  String address(String path, JsonFields in, String name) {
-    String address = read(path + name, "", () -> in.text(name));
+  /** Reads an IPv4 address with a port; empty if the field is missing or not a string. */
+  String address(String path, JsonFields fields, String name) {
+    String address = readOrDefault(path + name, "", () -> fields.text(name));
     if (!address.isEmpty() && !Addresses.valid(address)) {
-      add(path + name, "\"" + address + "\" is not an address like 10.0.0.1:8080");
+      add(
+          path + name,
+          "\"" + address + "\" is not an IPv4 address with a port, such as 10.0.0.1:8080");
     }
     return address;
   }
 
-  /** A number above 0; 1 if it is wrong. */
-  double positive(String path, JsonFields in, String name) {
-    double value = read(path + name, 1.0, () -> in.amount(name));
+  /** Reads a number above 0; returns 1 if the field is missing or invalid. */
+  double positiveAmount(String path, JsonFields fields, String name) {
+    double value = readOrDefault(path + name, 1.0, () -> fields.amount(name));
     if (value <= 0) {
       add(path + name, "must be above 0, not " + value);
       return 1.0;
@@ -68,8 +73,8 @@
     return value;
   }
 
-  /** A time above 0 that is given in seconds, in microseconds. */
-  long positiveMicros(String path, JsonFields in, String name) {
-    return Math.round(positive(path, in, name) * 1e6);
+  /** Reads a duration above 0 in seconds and returns it in microseconds; 1 s if invalid. */
+  long positiveSecondsAsMicros(String path, JsonFields fields, String name) {
+    return Math.round(positiveAmount(path, fields, name) * 1e6);
   }
 }
--- a/src/main/java/madderrudder/config/package-info.java
+++ b/src/main/java/madderrudder/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The two settings files: the platform's (JSON) and the operators' (an S-expression). Each is read
- * and checked in one place, and a mistake is reported with the value that was wrong and where it
- * stands.
+ * Reads and validates the two settings files: the platform's (JSON) and the operators' (an
+ * S-expression). An error names the invalid value and its location: the path of the field in the
+ * JSON file, the line and column in the S-expression.
  */
 package madderrudder.config;
--- a/src/test/java/madderrudder/cli/MainTest.java
+++ b/src/test/java/madderrudder/cli/MainTest.java
@@ -15,9 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The controller's command line: exit statuses, and what goes to which stream. */
+/**
+ * Tests the controller's command line: exit statuses and the texts on standard output and error.
+ */
 class MainTest {
-  @TempDir Path folder;
+  @TempDir Path directory;
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -37,8 +39,8 @@
     return err.toString(StandardCharsets.UTF_8);
   }
 
-  private String file(String name, String text) throws IOException {
-    return Files.writeString(folder.resolve(name), text).toString();
+  private String writeFile(String name, String text) throws IOException {
+    return Files.writeString(directory.resolve(name), text).toString();
   }
 
   @ParameterizedTest
@@ -56,7 +58,7 @@
         "serve",
         "serve --config x --help",
       })
-  void aWrongCommandLineEndsWithStatus2AndOneLineOfError(String line) {
+  void invalidCommandLineExitsWithStatus2AndOneErrorLine(String line) {
     assertEquals(2, run(line.split(" ", -1)));
     assertTrue(errors().startsWith("madderrudder: "), errors());
     assertEquals(1, errors().lines().count(), errors());
@@ -64,7 +66,7 @@
   }
 
   @Test
-  void noCommandEndsWithStatus2AndTheHelpOnStandardError() {
+  void missingCommandExitsWithStatus2AndPrintsHelpToStandardError() {
     assertEquals(2, run());
     assertTrue(errors().startsWith("usage: madderrudder COMMAND [OPTIONS]"), errors());
     assertEquals("", output());
@@ -72,7 +74,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"--help", "-h", "help"})
-  void theHelpGoesToStandardOutput(String command) {
+  void helpGoesToStandardOutput(String command) {
     assertEquals(0, run(command));
     assertTrue(output().startsWith("usage: madderrudder COMMAND [OPTIONS]"), output());
     assertTrue(output().contains("--config FILE") && output().contains("--operator FILE"));
@@ -80,24 +82,26 @@
   }
 
   @Test
-  void theVersionGoesToStandardOutput() {
+  void versionGoesToStandardOutput() {
     assertEquals(0, run("--version"));
     assertTrue(output().startsWith("madderrudder "), output());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"check --config FILE", "check --config=FILE"})
-  void goodSettingsEndWithStatus0(String line) throws IOException {
-    String config = file("good.json", SettingsTest.GOOD);
+  void validSettingsExitWithStatus0(String line) throws IOException {
+    String config = writeFile("good.json", SettingsTest.VALID_PLATFORM_SETTINGS);
     assertEquals(0, run(line.replace("FILE", config).split(" ", -1)));
-    assertEquals("the settings of n-0 are good", output().strip());
+    assertEquals("the settings of n-0 are valid", output().strip());
     assertEquals("", errors());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"check", "serve"})
-  void wrongSettingsEndWithStatus1AndNameTheFile(String command) throws IOException {
-    String config = file("bad.json", SettingsTest.GOOD.replace("\"member\":\"n-0\",", ""));
+  void invalidSettingsExitWithStatus1AndNameFile(String command) throws IOException {
+    String config =
+        writeFile(
+            "bad.json", SettingsTest.VALID_PLATFORM_SETTINGS.replace("\"member\":\"n-0\",", ""));
     assertEquals(1, run(command, "--config", config));
     assertTrue(
         errors().startsWith("madderrudder: " + config + ": member: field member is missing"),
@@ -106,16 +110,16 @@
   }
 
   @Test
-  void aMissingFileEndsWithStatus1AndIsNamed() {
-    String config = folder.resolve("absent.json").toString();
+  void missingFileExitsWithStatus1AndIsNamed() {
+    String config = directory.resolve("absent.json").toString();
     assertEquals(1, run("check", "--config", config));
     assertTrue(errors().startsWith("madderrudder: can't read " + config), errors());
   }
 
   @Test
-  void wrongOperatorSettingsEndWithStatus1AndNameTheFile() throws IOException {
-    String config = file("good.json", SettingsTest.GOOD);
-    String operator = file("bad.sexp", "(");
+  void invalidOperatorSettingsExitWithStatus1AndNameFile() throws IOException {
+    String config = writeFile("good.json", SettingsTest.VALID_PLATFORM_SETTINGS);
+    String operator = writeFile("bad.sexp", "(");
     assertEquals(1, run("check", "--operator", operator, "--config", config));
     assertTrue(errors().startsWith("madderrudder: " + operator + ": "), errors());
   }
--- a/src/test/java/madderrudder/cli/PackagedProgramIT.java
+++ b/src/test/java/madderrudder/cli/PackagedProgramIT.java
@@ -32,22 +32,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged program, as a process of its own, on real sockets; store and cloud are simulated on
- * loopback.
+ * Runs the packaged program as a separate process on real sockets, with a simulated store and cloud
+ * on loopback. Guards against faults that only the packaged jars or real input and output show.
  */
 @Timeout(60)
 class PackagedProgramIT {
   private static final Path JAR = Path.of("target", "madderrudder.jar");
   private static final Path JAVA = Path.of(System.getProperty("java.home"), "bin", "java");
 
-  @TempDir Path folder;
+  @TempDir Path directory;
 
-  private static Process program(Path errors, String... arguments) throws IOException {
+  private static Process startController(Path output, String... arguments) throws IOException {
     List<String> command = new ArrayList<>(List.of(JAVA.toString(), "-jar", JAR.toString()));
     command.addAll(List.of(arguments));
     return new ProcessBuilder(command)
-        .redirectError(errors.toFile())
-        .redirectOutput(errors.toFile())
+        .redirectError(output.toFile())
+        .redirectOutput(output.toFile())
         .start();
   }
 
@@ -57,9 +57,9 @@
     }
   }
 
-  /** The controller starts on a third of a core: what it does not need is not in its jar. */
+  /** The controller has to start on a third of a core, so its jar holds none of the tools. */
   @Test
-  void toolsArePackagedApartFromTheController() throws Exception {
+  void toolsArePackagedSeparatelyFromController() throws Exception {
     try (JarFile jar = new JarFile(JAR.toFile())) {
       List<String> unexpected =
           jar.stream()
@@ -76,12 +76,12 @@
               .toList();
       assertEquals(List.of(), unexpected);
     }
-    Path history = folder.resolve("drawn.csv");
-    Path page = folder.resolve("page.html");
-    Path output = folder.resolve("output");
+    Path history = directory.resolve("drawn.csv");
+    Path page = directory.resolve("page.html");
+    Path output = directory.resolve("output");
     assertEquals(
         0,
-        tool(
+        runCommand(
             output,
             "history",
             "generate",
@@ -94,7 +94,7 @@
     assertEquals(2_001, Files.readAllLines(history).size());
     assertEquals(
         0,
-        tool(
+        runCommand(
             output,
             "estimate",
             "replay",
@@ -111,15 +111,16 @@
     assertTrue(Files.readString(page).contains("<svg"));
     assertEquals(
         0,
-        tool(
+        runCommand(
             output,
             "check",
             "--config",
-            Files.writeString(folder.resolve("good.json"), SettingsTest.GOOD).toString()),
+            Files.writeString(directory.resolve("good.json"), SettingsTest.VALID_PLATFORM_SETTINGS)
+                .toString()),
         Files.readString(output));
   }
 
-  private static int tool(Path output, String... arguments) throws Exception {
+  private static int runCommand(Path output, String... arguments) throws Exception {
     List<String> command = new ArrayList<>(List.of("sh", "bin/madderrudder"));
     command.addAll(List.of(arguments));
     Process process =
@@ -132,12 +133,13 @@
   }
 
   @Test
-  void invalidSettingsAreNamedAndEndTheProgram() throws Exception {
+  void invalidSettingsAreReportedAndEndProgram() throws Exception {
     Path settings =
         Files.writeString(
-            folder.resolve("bad.json"), SettingsTest.GOOD.replace("\"member\":\"n-0\",", ""));
-    Path errors = folder.resolve("errors");
-    Process process = program(errors, "serve", "--config", settings.toString());
+            directory.resolve("bad.json"),
+            SettingsTest.VALID_PLATFORM_SETTINGS.replace("\"member\":\"n-0\",", ""));
+    Path errors = directory.resolve("errors");
+    Process process = startController(errors, "serve", "--config", settings.toString());
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     assertEquals(1, process.exitValue());
     assertTrue(
@@ -150,79 +152,85 @@
     EventLoop loop = new EventLoop();
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
     LoopbackServices services = new LoopbackServices(loop);
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    HttpServer store = new HttpServer(loop, group, any, 64, services.store());
-    HttpServer cloud = new HttpServer(loop, group, any, 64, services.cloud());
+    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    HttpServer store = new HttpServer(loop, group, anyPort, 64, services.store());
+    HttpServer cloud = new HttpServer(loop, group, anyPort, 64, services.cloud());
     loop.execute(
         () -> {
           store.start();
           cloud.start();
         });
-    Thread simulated = new Thread(loop::run, "simulated-services");
-    simulated.setDaemon(true);
-    simulated.start();
+    Thread servicesThread = new Thread(loop::run, "simulated-services");
+    servicesThread.setDaemon(true);
+    servicesThread.start();
     int port = freePort();
     Path settings =
         Files.writeString(
-            folder.resolve("good.json"),
-            SettingsTest.GOOD
+            directory.resolve("good.json"),
+            SettingsTest.VALID_PLATFORM_SETTINGS
                 .replace("127.0.0.1:8080", "127.0.0.1:" + port)
                 .replace("127.0.0.1:8081", "127.0.0.1:" + freePort())
                 .replace("127.0.0.1:8443", "127.0.0.1:" + cloud.port())
                 .replace("127.0.0.1:2379", "127.0.0.1:" + store.port()));
-    Process process = program(folder.resolve("log"), "serve", "--config", settings.toString());
+    Process process =
+        startController(directory.resolve("log"), "serve", "--config", settings.toString());
     try {
-      String base = "http://127.0.0.1:" + port;
-      awaitHealthy(base);
+      String baseUrl = "http://127.0.0.1:" + port;
+      awaitHealthy(baseUrl);
       String job =
           "{\"id\":\"req-000001\",\"rig\":\"a\",\"crew\":\"alto\",\"cut\":\"array\",\"rank\":\"standard\","
               + "\"strokes\":2,\"cores\":2.0,\"accelerators\":0.0,\"mem_gb\":4.0,\"hull\":\"i\",\"image_gb\":1.0,"
               + "\"one_zone\":false,\"apart\":false,\"driftwood\":false,\"reckon_s\":5.0,\"mark_s\":0.0,\"stow_s\":0.0}";
-      assertEquals(201, call("POST", base + "/v1/jobs", job).statusCode());
-      assertEquals(200, call("POST", base + "/v1/jobs", job).statusCode());
+      assertEquals(201, call("POST", baseUrl + "/v1/jobs", job).statusCode());
+      assertEquals(200, call("POST", baseUrl + "/v1/jobs", job).statusCode());
       assertEquals(
           422,
-          call("POST", base + "/v1/jobs", job.replace("000001", "000002").replace("alto", "solo"))
+          call(
+                  "POST",
+                  baseUrl + "/v1/jobs",
+                  job.replace("000001", "000002").replace("alto", "solo"))
               .statusCode());
-      assertEquals(400, call("POST", base + "/v1/jobs", "[]").statusCode());
+      assertEquals(400, call("POST", baseUrl + "/v1/jobs", "[]").statusCode());
       assertEquals(
           400,
           call(
                   "POST",
-                  base + "/v1/jobs",
+                  baseUrl + "/v1/jobs",
                   job.replace("000001", "000004").replace("\"apart\":false,", ""))
               .statusCode());
-      assertEquals(400, call("POST", base + "/v1/jobs", "x".repeat(70_000)).statusCode());
-      assertEquals(404, call("GET", base + "/v1/jobs/req-000009", "").statusCode());
-      assertEquals(404, call("GET", base + "/nowhere", "").statusCode());
-      assertEquals(405, call("DELETE", base + "/v1/jobs", "").statusCode());
-      assertTrue(call("GET", base + "/v1/jobs/req-000001", "").body().contains("\"pending\""));
-      String metrics = call("GET", base + "/metrics", "").body();
+      assertEquals(400, call("POST", baseUrl + "/v1/jobs", "x".repeat(70_000)).statusCode());
+      assertEquals(404, call("GET", baseUrl + "/v1/jobs/req-000009", "").statusCode());
+      assertEquals(404, call("GET", baseUrl + "/nowhere", "").statusCode());
+      assertEquals(405, call("DELETE", baseUrl + "/v1/jobs", "").statusCode());
+      assertTrue(call("GET", baseUrl + "/v1/jobs/req-000001", "").body().contains("\"pending\""));
+      String metrics = call("GET", baseUrl + "/metrics", "").body();
       assertTrue(
           metrics.contains("\"member\":\"n-0\"")
               && metrics.contains("\"submission\":{\"count\":5,"),
           metrics);
       assertTrue(
-          call("POST", base + "/v1/jobs/req-000001/withdraw", "").body().contains("\"aborted\""));
-      assertTrue(call("GET", base + "/v1/jobs/req-000001", "").body().contains("\"aborted\""));
+          call("POST", baseUrl + "/v1/jobs/req-000001/withdraw", "")
+              .body()
+              .contains("\"aborted\""));
+      assertTrue(call("GET", baseUrl + "/v1/jobs/req-000001", "").body().contains("\"aborted\""));
       assertEquals(
           201,
           call(
                   "POST",
-                  base + "/v1/jobs",
+                  baseUrl + "/v1/jobs",
                   job.replace("000001", "000003").replace("\"strokes\":2", "\"strokes\":1"))
               .statusCode());
-      runOneTask(base, "req-000003/0");
-      Path output = folder.resolve("output");
-      Path history = folder.resolve("history.jsonl");
+      runOneTask(baseUrl, "req-000003/0");
+      Path output = directory.resolve("output");
+      Path history = directory.resolve("history.jsonl");
       assertEquals(
           0,
-          tool(
+          runCommand(
               output,
               "history",
               "export",
               "--from",
-              "http://127.0.0.1:1," + base,
+              "http://127.0.0.1:1," + baseUrl,
               "--out",
               history.toString()),
           Files.readString(output));
@@ -235,7 +243,7 @@
           line);
       assertEquals(
           0,
-          tool(
+          runCommand(
               output,
               "estimate",
               "--history",
@@ -254,7 +262,7 @@
               "5"),
           Files.readString(output));
       assertTrue(Files.readString(output).contains("work: 1 runs"), Files.readString(output));
-      assertEquals(1, tool(output, "history", "export", "--from", "http://127.0.0.1:1"));
+      assertEquals(1, runCommand(output, "history", "export", "--from", "http://127.0.0.1:1"));
       assertTrue(
           Files.readString(output).startsWith("madderrudder: no controller answers as the leader"),
           Files.readString(output));
@@ -266,61 +274,63 @@
   }
 
   /**
-   * Acts as a worker: gets the command to start the task, runs it for a moment, and gets the
-   * command to forget it. Its heartbeats carry the highest fencing token it was answered: a worker
-   * without is one that no reply reaches, and gets no task.
+   * Acts as a worker: receives the command to start the task, reports it as running and then as
+   * done, and returns when it receives the command to forget it. Each heartbeat carries the fencing
+   * token of the latest reply. The controller takes a worker without a token for one that its
+   * replies do not reach, and gives it no task.
    */
-  private static void runOneTask(String base, String task) throws Exception {
-    String trim = "";
-    Pattern start =
+  private static void runOneTask(String baseUrl, String task) throws Exception {
+    String taskFields = "";
+    Pattern startCommand =
         Pattern.compile("\"order\":\"start\",\"stroke\":\"" + task + "\",\"launch\":([0-9]+)");
-    Pattern token = Pattern.compile("\"helm\":([0-9]+)");
-    String launch = "";
-    String seen = "0";
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-    for (int knot = 1; System.nanoTime() < until; knot++) {
-      String report =
+    Pattern tokenField = Pattern.compile("\"helm\":([0-9]+)");
+    String attempt = "";
+    String fencingToken = "0";
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    for (int sequence = 1; System.nanoTime() < deadlineNanos; sequence++) {
+      String heartbeat =
           "{\"vessel\":\"m-900001\",\"addr\":\"\",\"build\":\"big\",\"berth\":\"east\",\"driftwood\":false,"
               + "\"watch\":1,\"knot\":"
-              + knot
+              + sequence
               + ",\"helm\":"
-              + seen
+              + fencingToken
               + ",\"recall_s\":null,\"strokes\":["
-              + (trim.isEmpty()
+              + (taskFields.isEmpty()
                   ? ""
-                  : "{\"stroke\":\"" + task + "\",\"launch\":" + launch + "," + trim + "}")
+                  : "{\"stroke\":\"" + task + "\",\"launch\":" + attempt + "," + taskFields + "}")
               + "]}";
-      String answer = call("POST", base + "/hello", report).body();
-      Matcher answered = token.matcher(answer);
-      seen = answered.find() ? answered.group(1) : seen;
-      Matcher command = start.matcher(answer);
-      if (command.find()) {
-        launch = command.group(1);
-        trim = "\"trim\":\"running\"";
-      } else if (trim.contains("running")) {
-        trim = "\"trim\":\"ended\",\"wake\":\"done\"";
+      String answer = call("POST", baseUrl + "/hello", heartbeat).body();
+      Matcher tokenMatch = tokenField.matcher(answer);
+      fencingToken = tokenMatch.find() ? tokenMatch.group(1) : fencingToken;
+      Matcher commandMatch = startCommand.matcher(answer);
+      if (commandMatch.find()) {
+        attempt = commandMatch.group(1);
+        taskFields = "\"trim\":\"running\"";
+      } else if (taskFields.contains("running")) {
+        taskFields = "\"trim\":\"ended\",\"wake\":\"done\"";
       } else if (answer.contains("\"reap\"")) {
         return;
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
-    throw new AssertionError(task + " was not run in time, but " + trim);
+    throw new AssertionError(
+        task + " was not completed and forgotten in time; last reported as: " + taskFields);
   }
 
-  private static void awaitHealthy(String base) throws Exception {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-    while (System.nanoTime() < until) {
+  private static void awaitHealthy(String baseUrl) throws Exception {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    while (System.nanoTime() < deadlineNanos) {
       try {
-        if (call("GET", base + "/healthz", "").statusCode() == 200) {
+        if (call("GET", baseUrl + "/healthz", "").statusCode() == 200) {
           return;
         }
       } catch (IOException e) {
-        // Not listening yet.
+        // The controller does not listen yet.
         TimeUnit.MILLISECONDS.sleep(100);
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
-    throw new AssertionError("not healthy in time");
+    throw new AssertionError("the controller was not healthy in time");
   }
 
   private static HttpResponse<String> call(String method, String uri, String body)
--- a/src/test/java/madderrudder/config/SettingsPropertiesTest.java
+++ b/src/test/java/madderrudder/config/SettingsPropertiesTest.java
@@ -9,7 +9,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import madderrudder.config.SExpression.Atom;
-import madderrudder.config.SExpression.Items;
+import madderrudder.config.SExpression.ListExpression;
 import madderrudder.protocol.Documents;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
@@ -19,13 +19,17 @@
 import net.jqwik.api.Tuple;
 import net.jqwik.api.statistics.Statistics;
 
-/** Settings, of the platform or the operators, end in a value or in a complaint that says where. */
+/**
+ * Guards against a settings parser that throws an unexpected exception or reports an error without
+ * its location. Generated texts, valid and malformed, must either be accepted or be rejected with
+ * an error that names the position or the problem.
+ */
 class SettingsPropertiesTest {
-  private static final Pattern PLACE = Pattern.compile("line ([0-9]+), column ([0-9]+): .+");
+  private static final Pattern POSITION = Pattern.compile("line ([0-9]+), column ([0-9]+): .+");
 
-  /** An expression without its places. */
+  /** An expression without its positions. */
   private sealed interface Tree {
-    record Word(String text) implements Tree {
+    record Leaf(String text) implements Tree {
       @Override
       public String toString() {
         return text.isEmpty()
@@ -45,24 +49,25 @@
     }
   }
 
-  private static Tree withoutPlaces(SExpression expression) {
-    return expression instanceof Items list
-        ? new Tree.Branch(list.items().stream().map(SettingsPropertiesTest::withoutPlaces).toList())
-        : new Tree.Word(((Atom) expression).text());
+  private static Tree withoutPositions(SExpression expression) {
+    return expression instanceof ListExpression list
+        ? new Tree.Branch(
+            list.items().stream().map(SettingsPropertiesTest::withoutPositions).toList())
+        : new Tree.Leaf(((Atom) expression).text());
   }
 
   private static Arbitrary<Tree> trees(int depth) {
-    Arbitrary<Tree> words =
+    Arbitrary<Tree> leaves =
         Arbitraries.strings()
             .withCharRange(' ', '~')
             .withChars('\u20ac', '\n', '\t')
             .excludeChars('"')
             .ofMaxLength(12)
-            .map(Tree.Word::new);
+            .map(Tree.Leaf::new);
     return depth == 0
-        ? words
+        ? leaves
         : Arbitraries.frequencyOf(
-            Tuple.of(2, words),
+            Tuple.of(2, leaves),
             Tuple.of(
                 1,
                 Arbitraries.lazy(() -> trees(depth - 1))
@@ -77,13 +82,13 @@
   }
 
   @Property(seed = "41")
-  void anExpressionReadsBackTheSame(@ForAll("trees") Tree tree)
+  void parsedExpressionEqualsPrintedOne(@ForAll("trees") Tree tree)
       throws MalformedSExpressionException {
-    assertEquals(tree, withoutPlaces(SExpression.parse(tree.toString())));
+    assertEquals(tree, withoutPositions(SExpression.parse(tree.toString())));
   }
 
   @Provide
-  Arbitrary<String> nearlySettings() {
+  Arbitrary<String> almostValidOperatorSettings() {
     Arbitrary<String> pieces =
         Arbitraries.of(
             "(madderrudder",
@@ -113,43 +118,46 @@
   }
 
   @Property(seed = "42", tries = 3000)
-  void operatorSettingsAreTakenOrTheMistakeIsPointedAt(@ForAll("nearlySettings") String text) {
-    boolean taken = true;
+  void operatorSettingsAreAcceptedOrErrorHasPosition(
+      @ForAll("almostValidOperatorSettings") String text) {
+    boolean accepted = true;
     try {
       OperatorSettings.parse(text);
     } catch (MalformedSExpressionException e) {
-      taken = false;
-      Matcher place = PLACE.matcher(e.getMessage());
-      assertTrue(place.lookingAt(), e.getMessage());
+      accepted = false;
+      Matcher position = POSITION.matcher(e.getMessage());
+      assertTrue(position.lookingAt(), e.getMessage());
       List<String> lines = List.of(text.split("\n", -1));
-      int line = Integer.parseInt(place.group(1));
+      int line = Integer.parseInt(position.group(1));
       assertEquals(line, e.line());
-      assertEquals(Integer.parseInt(place.group(2)), e.column());
+      assertEquals(Integer.parseInt(position.group(2)), e.column());
       assertTrue(line >= 1 && line <= lines.size(), e.getMessage());
       assertTrue(
-          Integer.parseInt(place.group(2)) <= lines.get(line - 1).length() + 1, e.getMessage());
+          Integer.parseInt(position.group(2)) <= lines.get(line - 1).length() + 1, e.getMessage());
     }
-    Statistics.collect(taken);
-    Statistics.coverage(coverage -> coverage.check(true).percentage(share -> share > 1));
+    Statistics.collect(accepted);
+    Statistics.coverage(coverage -> coverage.check(true).percentage(percentage -> percentage > 1));
   }
 
   @Provide
   Arbitrary<byte[]> platformSettings() {
-    return Documents.nearly(SettingsTest.GOOD);
+    return Documents.nearly(SettingsTest.VALID_PLATFORM_SETTINGS);
   }
 
   @Property(seed = "43", tries = 2000)
-  void platformSettingsAreTakenOrEachProblemIsNamed(@ForAll("platformSettings") byte[] text) {
-    boolean taken = true;
+  void platformSettingsAreAcceptedOrEachProblemIsDescribed(
+      @ForAll("platformSettings") byte[] text) {
+    boolean accepted = true;
     try {
       PlatformSettings.parse(text);
     } catch (InvalidSettingsException e) {
-      taken = false;
+      accepted = false;
       assertFalse(e.problems().isEmpty());
       assertTrue(e.problems().stream().noneMatch(String::isBlank), e.getMessage());
     }
-    Statistics.collect(taken);
+    Statistics.collect(accepted);
     Statistics.coverage(
-        coverage -> coverage.check(true).percentage(share -> share > 5 && share < 90));
+        coverage ->
+            coverage.check(true).percentage(percentage -> percentage > 5 && percentage < 90));
   }
 }
--- a/src/test/java/madderrudder/config/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -13,9 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Tests the parsers of both settings files: values, defaults, and errors that name the setting or
+ * the position and the invalid value.
+ */
 public class SettingsTest {
-  /** What the platform hands over, with a field that nobody knows. */
-  public static final String GOOD =
+  /** Valid platform settings, with one field that the controller does not know: {@code later}. */
+  public static final String VALID_PLATFORM_SETTINGS =
       """
             {"member":"n-0","zone":"east","client_listen":"127.0.0.1:8080","mesh_addr":"127.0.0.1:8081","later":{},
              "members":[{"member":"n-1","zone":"west","peer_addr":"127.0.0.1:8082"}],
@@ -32,54 +36,55 @@
   }
 
   @Test
-  void platformSettingsAreRead() throws InvalidSettingsException {
-    PlatformSettings settings = parse(GOOD);
+  void readsPlatformSettings() throws InvalidSettingsException {
+    PlatformSettings settings = parse(VALID_PLATFORM_SETTINGS);
     assertEquals(14_000_000, settings.deployment().workers().leaseMicros());
     assertEquals(2, settings.deployment().members());
     assertEquals(900, settings.maxSockets());
   }
 
-  private static TeamQuota team(String text) throws InvalidSettingsException {
+  private static TeamQuota altoQuota(String text) throws InvalidSettingsException {
     return parse(text).deployment().teams().get("alto");
   }
 
-  /** Quotas in accelerators alone have a limit of 0 processors, which stands for none. */
+  /** A quota for accelerators alone sets the limit of processors to 0, which means no limit. */
   @Test
-  void aQuotaOfZeroLeavesTheResourceUnlimited() throws InvalidSettingsException {
-    TeamQuota team =
-        team(
-            GOOD.replace(
+  void quotaOfZeroLeavesResourceUnlimited() throws InvalidSettingsException {
+    TeamQuota quota =
+        altoQuota(
+            VALID_PLATFORM_SETTINGS.replace(
                 "\"cpus\":32.0,\"cpus_max\":72.0,\"gpus\":0.0,\"gpus_max\":0.0",
                 "\"cpus\":0.0,\"cpus_max\":0.0,\"gpus\":9.0,\"gpus_max\":20.0"));
-    assertTrue(team.allows(Resources.of(5_000, 20, 0)));
-    assertFalse(team.allows(Resources.of(1, 21, 0)));
-    assertTrue(team.guarantees(Resources.of(5_000, 9, 0)));
-    assertFalse(team.guarantees(Resources.of(1, 10, 0)));
+    assertTrue(quota.allows(Resources.of(5_000, 20, 0)));
+    assertFalse(quota.allows(Resources.of(1, 21, 0)));
+    assertTrue(quota.guarantees(Resources.of(5_000, 9, 0)));
+    assertFalse(quota.guarantees(Resources.of(1, 10, 0)));
   }
 
   @Test
-  void aTeamWithoutAGuaranteeIsGuaranteedNothing() throws InvalidSettingsException {
-    TeamQuota team = team(GOOD.replace("\"cpus\":32.0", "\"cpus\":0.0"));
-    assertFalse(team.guarantees(Resources.of(1, 0, 0)));
-    assertFalse(team.allows(Resources.of(73, 0, 0)));
+  void teamWithoutGuaranteeIsGuaranteedNothing() throws InvalidSettingsException {
+    TeamQuota quota = altoQuota(VALID_PLATFORM_SETTINGS.replace("\"cpus\":32.0", "\"cpus\":0.0"));
+    assertFalse(quota.guarantees(Resources.of(1, 0, 0)));
+    assertFalse(quota.allows(Resources.of(73, 0, 0)));
   }
 
   @Test
-  void everyProblemIsNamedAtOnce() {
+  void reportsAllProblemsAtOnce() {
     InvalidSettingsException invalid =
         assertThrows(
             InvalidSettingsException.class,
             () ->
                 parse(
-                    GOOD.replace("\"lease_s\":14.0", "\"lease_s\":0")
+                    VALID_PLATFORM_SETTINGS
+                        .replace("\"lease_s\":14.0", "\"lease_s\":0")
                         .replace("127.0.0.1:8443", "cloud:8443")
                         .replace("\"zone\":\"east\",", "")
                         .replace("\"txn_ops\":48", "\"txn_ops\":1")));
-    String all = String.join("\n", invalid.problems());
+    String problems = String.join("\n", invalid.problems());
     for (String field : new String[] {"lease_s", "external.cloud", "zone", "txn_ops"}) {
-      assertTrue(all.contains(field), all);
+      assertTrue(problems.contains(field), problems);
     }
-    assertEquals(4, invalid.problems().size(), all);
+    assertEquals(4, invalid.problems().size(), problems);
   }
 
   @ParameterizedTest
@@ -90,24 +95,26 @@
     "txn_ops\":48, txn_ops\":7, 'deployment.state.txn_ops: must be at least 8, not 7'",
     "value_kb\":16.0, value_kb\":2.5, 'deployment.state.value_kb: must be at least 4, not 2.5'"
   })
-  void aProblemNamesTheSettingAndItsValue(String good, String wrong, String problem) {
+  void problemNamesSettingAndValue(String validText, String invalidText, String problem) {
     InvalidSettingsException invalid =
-        assertThrows(InvalidSettingsException.class, () -> parse(GOOD.replace(good, wrong)));
+        assertThrows(
+            InvalidSettingsException.class,
+            () -> parse(VALID_PLATFORM_SETTINGS.replace(validText, invalidText)));
     assertEquals(1, invalid.problems().size(), invalid.getMessage());
     assertTrue(invalid.problems().get(0).startsWith(problem), invalid.getMessage());
   }
 
   @Test
-  void timesWithoutASafeBoundAreRefused() {
+  void rejectsWorkerTimesWithoutSafeBound() {
     InvalidSettingsException invalid =
         assertThrows(
             InvalidSettingsException.class,
-            () -> parse(GOOD.replace("\"cancel_s\":44.0", "\"cancel_s\":18.0")));
+            () -> parse(VALID_PLATFORM_SETTINGS.replace("\"cancel_s\":44.0", "\"cancel_s\":18.0")));
     assertTrue(invalid.getMessage().contains("cancel_s"));
   }
 
   @Test
-  void operatorSettingsAreRead() throws MalformedSExpressionException {
+  void readsOperatorSettings() throws MalformedSExpressionException {
     OperatorPolicy policy =
         OperatorSettings.parse(
             "; ours\n(madderrudder (threshold-s 2.5) (budget \"7\") (spot never))");
@@ -130,13 +137,13 @@
         "(madderrudder (idle-s -1))|expected a number from 1.0 to 86400.0, not \"-1\"",
         "(madderrudder (deputies yes))|expected on or off, not \"yes\"",
         "(madderrudder (spot often))|expected never, uncounted or always, not \"often\"",
-        "(madderrudder (spot \"x))|string without end",
+        "(madderrudder (spot \"x))|unterminated string",
         "''|expected an expression",
         ")|unexpected )"
       })
-  void mistakesInTheOperatorSettingsArePointedAt(String text, String complaint) {
+  void operatorSettingsErrorHasPositionOrReason(String text, String expected) {
     MalformedSExpressionException malformed =
         assertThrows(MalformedSExpressionException.class, () -> OperatorSettings.parse(text));
-    assertTrue(malformed.getMessage().contains(complaint), malformed.getMessage());
+    assertTrue(malformed.getMessage().contains(expected), malformed.getMessage());
   }
 }
