--- a/src/main/java/madderrudder/estimates/ClassRatios.java
+++ b/src/main/java/madderrudder/estimates/ClassRatios.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * One ratio of true run times to owners' estimates for each class, an exponential moving average.
- * The controllers use it where learned run times are switched off, and the replay compares the
- * {@link Estimator} with it. Not safe for use by several threads; memory grows with the number of
+ * For each class, an exponential moving average of the ratio of actual run times to owners'
+ * estimates. The controllers use it if learned run times are switched off, and the replay uses it
+ * as a baseline for the {@link Estimator}. Not thread-safe; memory grows with the number of
  * classes.
  */
 public final class ClassRatios {
@@ -15,7 +15,10 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  /** Takes in a run; one that is not complete, or has no owner's estimate, changes nothing. */
+  /**
+   * Updates the ratio of the run's class; ignores incomplete runs and runs without an owner's
+   * estimate.
+   */
   public void observe(TaskRun run) {
     if (!run.complete() || run.ownerEstimateMicros() <= 0) {
       return;
@@ -29,8 +32,8 @@
   }
 
   /**
-   * The owner's estimate corrected by the ratio of the class, in microseconds. As long as no run of
-   * the class has been observed, it is the owner's estimate itself.
+   * The owner's estimate multiplied by the ratio of the class, in microseconds; the owner's
+   * estimate itself if no run of the class has been observed.
    */
   public long expectedMicros(String jobClass, long ownerEstimateMicros) {
     return (long) (ownerEstimateMicros * ratios.getOrDefault(jobClass, 1.0));
--- a/src/main/java/madderrudder/estimates/DeviationTracker.java
+++ b/src/main/java/madderrudder/estimates/DeviationTracker.java
@@ -4,76 +4,81 @@
 import madderrudder.util.BoundedMap;
 
 /**
- * Moving averages of deviations from predictions, one for each name, compared with the average of
- * all names. Without it, a faulty machine whose tasks run slowly would teach that the tasks are
- * longer.
+ * Tracks a moving average of deviations from predictions for each name of a machine or machine
+ * type, and compares it with the average over all names. Slow runs on a faulty machine can thus be
+ * told apart from tasks that take longer; otherwise the estimates of these tasks would increase.
  */
 final class DeviationTracker {
-  /** As many names as the largest fleet has machines; the least recently used is forgotten. */
+  /** Enough for every machine of the largest fleet; the least recently used name is evicted. */
   private static final int MAX_NAMES = 4_096;
 
   private final double smoothingFactor;
-  private final Map<String, Mean> means =
-      BoundedMap.evictingLeastRecentlyUsed(MAX_NAMES, mean -> addToTotals(mean, -1));
+  private final Map<String, MovingAverage> averages =
+      BoundedMap.evictingLeastRecentlyUsed(MAX_NAMES, average -> addToTotals(average, -1));
 
-  /** The sum of the weights of all means. */
+  /** The sum of the weights of all averages. */
   private double totalWeight;
 
-  /** The sum of all means times their weights. */
+  /** The sum of all averages, each multiplied by its weight. */
   private double weightedSum;
 
-  /** The average of the latest deviations of a name, and how many there have been. */
-  private static final class Mean {
+  /** The moving average of the deviations of a name, and their number. */
+  private static final class MovingAverage {
     private double value;
     private int count;
   }
 
-  /** {@code smoothingFactor} is the part of a mean that the latest deviation makes up. */
+  /** {@code smoothingFactor} is the weight of the latest deviation in a moving average. */
   DeviationTracker(double smoothingFactor) {
     this.smoothingFactor = smoothingFactor;
   }
 
-  /** A mean weighs as much as the number of runs that it effectively averages. */
-  private void addToTotals(Mean mean, int sign) {
-    double weight = Math.min(mean.count, 1 / smoothingFactor);
+  /**
+   * Adds the average to the totals (sign 1) or subtracts it (sign -1). Its weight is its effective
+   * sample size.
+   */
+  private void addToTotals(MovingAverage average, int sign) {
+    double weight = Math.min(average.count, 1 / smoothingFactor);
     totalWeight += sign * weight;
-    weightedSum += sign * weight * mean.value;
+    weightedSum += sign * weight * average.value;
   }
 
-  /** Adds a deviation; an empty name is left out. */
+  /** Adds a deviation of the name; ignores an empty name. */
   void add(String name, double deviation) {
     if (name.isEmpty()) {
       return;
     }
-    Mean mean = means.computeIfAbsent(name, added -> new Mean());
-    addToTotals(mean, -1);
-    mean.count++;
-    mean.value += Math.max(smoothingFactor, 1.0 / mean.count) * (deviation - mean.value);
-    addToTotals(mean, 1);
+    MovingAverage average = averages.computeIfAbsent(name, added -> new MovingAverage());
+    addToTotals(average, -1);
+    average.count++;
+    average.value += Math.max(smoothingFactor, 1.0 / average.count) * (deviation - average.value);
+    addToTotals(average, 1);
   }
 
-  /** Takes in what another has seen, each mean by its count. */
+  /** Merges the averages of the other tracker into this one, weighted by their counts. */
   void merge(DeviationTracker other) {
-    other.means.forEach(
-        (name, theirs) -> {
-          Mean mean = means.computeIfAbsent(name, added -> new Mean());
-          addToTotals(mean, -1);
-          int both = mean.count + theirs.count;
-          mean.value = (mean.value * mean.count + theirs.value * theirs.count) / both;
-          mean.count = both;
-          addToTotals(mean, 1);
+    other.averages.forEach(
+        (name, otherAverage) -> {
+          MovingAverage average = averages.computeIfAbsent(name, added -> new MovingAverage());
+          addToTotals(average, -1);
+          int totalCount = average.count + otherAverage.count;
+          average.value =
+              (average.value * average.count + otherAverage.value * otherAverage.count)
+                  / totalCount;
+          average.count = totalCount;
+          addToTotals(average, 1);
         });
   }
 
   /**
-   * How far the mean of the name lies above the mean of all; 0 if the name is empty or has fewer
-   * than {@code minCount} deviations.
+   * The average of the name minus the weighted average over all names; 0 if the name is empty or
+   * has fewer than {@code minCount} deviations.
    */
-  double deviationFromOthers(String name, int minCount) {
-    Mean mean = name.isEmpty() ? null : means.get(name);
-    if (mean == null || mean.count < minCount) {
+  double deviationFromAverage(String name, int minCount) {
+    MovingAverage average = name.isEmpty() ? null : averages.get(name);
+    if (average == null || average.count < minCount) {
       return 0;
     }
-    return mean.value - weightedSum / totalWeight;
+    return average.value - weightedSum / totalWeight;
   }
 }
--- a/src/main/java/madderrudder/estimates/Estimate.java
+++ b/src/main/java/madderrudder/estimates/Estimate.java
@@ -1,16 +1,17 @@
 package madderrudder.estimates;
 
 /**
- * How long a task runs from its start: the median of the predictive distribution and a prediction
- * interval around it. All times are in microseconds.
+ * The estimated run time of a task, measured from its start: the median of the predictive
+ * distribution and a prediction interval around it. All times are in microseconds.
  *
- * @param medianMicros half of such tasks take less; 0 if nothing is known
+ * @param medianMicros the median of the predictive distribution; 0 if the run time is unknown
  * @param lowMicros the lower bound of the prediction interval
  * @param highMicros the upper bound of the prediction interval
- * @param coverage the share of such tasks that the interval is expected to contain, between 0 and 1
- * @param runs how many runs of {@code level} the estimate goes by
+ * @param coverage the probability with which the interval contains the run time, between 0 and 1; 0
+ *     without an interval
+ * @param runs the number of runs at {@code level} that the estimate is based on
  * @param level the level with the largest weight in the estimate
- * @param basis what was taken to be alike between runs
+ * @param basis the quantity that is modelled
  */
 public record Estimate(
     long medianMicros,
@@ -21,39 +22,42 @@
     Level level,
     Basis basis) {
 
-  /** What is taken to be alike between runs of a level. */
+  /** The quantity whose distribution over the runs of a level is used for prediction. */
   public enum Basis {
-    /** The ratio of the true run time to the owner's estimate. */
+    /** The ratio of the actual run time to the owner's estimate. */
     RATIO,
     /** The run time itself. */
     TIME
   }
 
-  private static final int CONFIDENT_RUNS = 8;
+  /** The minimum number of runs behind a confident estimate. */
+  private static final int MIN_CONFIDENT_RUNS = 8;
 
-  /** Of a task of which nothing is known. */
+  /** The estimate for a task without similar runs and without an owner's estimate. */
   static final Estimate UNKNOWN = new Estimate(0, 0, 0, 0, 0, Level.NONE, Basis.RATIO);
 
   /**
    * An estimate without a prediction interval and without evidence: both bounds are the median.
    *
-   * @param micros the median, or 0 if nothing is known
+   * @param micros the median in microseconds, or 0 if the run time is unknown
    */
   public static Estimate ofPoint(long micros) {
     return new Estimate(micros, micros, micros, 0, 0, Level.NONE, Basis.RATIO);
   }
 
-  /** Whether no time can be given: nothing alike has run and there is no owner's estimate. */
+  /**
+   * Whether the run time is unknown because there are neither similar runs nor an owner's estimate.
+   */
   public boolean isUnknown() {
     return medianMicros == 0;
   }
 
-  /** Whether it goes by at least 8 runs that have at least the class and the team in common. */
+  /** Whether the estimate is based on at least 8 runs of the same class and team. */
   public boolean isConfident() {
-    return level.compareTo(Level.TEAM) <= 0 && runs >= CONFIDENT_RUNS;
+    return level.compareTo(Level.TEAM) <= 0 && runs >= MIN_CONFIDENT_RUNS;
   }
 
-  /** Whether the time lies within the prediction interval, its bounds included. */
+  /** Whether the time in microseconds lies within the prediction interval, bounds included. */
   public boolean contains(long micros) {
     return micros >= lowMicros && micros <= highMicros;
   }
--- a/src/main/java/madderrudder/estimates/EstimatePages.java
+++ b/src/main/java/madderrudder/estimates/EstimatePages.java
@@ -6,18 +6,19 @@
 import java.util.List;
 
 /**
- * Stores an estimator's evidence as a few pages of text, so that the next leader goes on from
- * there. An entry always belongs to the same page, so that each page can be written by itself. Of a
- * page's entries the most recently used are kept, as many as fit. What is known of single jobs,
- * machines and machine types is not stored: it is soon learned again.
+ * Encodes the evidence of an estimator as a fixed number of text pages, from which the next leader
+ * restores it after a failover. An entry always belongs to the same page, so that each page can be
+ * written independently. If the entries of a page exceed its size limit, the least recently used
+ * ones are dropped. Evidence on single jobs, machines and machine types is not stored because it is
+ * relearned quickly.
  *
- * <p>Not safe for use by several threads; the controller confines it to the event loop thread.
+ * <p>Not thread-safe; the controller confines it to the event loop thread.
  */
 public final class EstimatePages {
-  /** Entries that do not fit are tried again with this part of their number. */
+  /** The factor by which the number of entries is reduced if they exceed the page size. */
   private static final double SHRINK_FACTOR = 0.9;
 
-  /** The first trial has so many times the entries that fitted the last time. */
+  /** The factor by which the first attempt exceeds the number of entries that fitted last time. */
   private static final double GROWTH_FACTOR = 1.1;
 
   private final Estimator estimator;
@@ -25,58 +26,66 @@
   private final int maxPageBytes;
   private final BitSet changedPages = new BitSet();
 
-  /** Of each page, how many entries fitted when it was last written; 0 if it was not yet. */
-  private final int[] fittedEntries;
+  /**
+   * By page, the number of entries in the last written text; 0 if the page has not been written.
+   */
+  private final int[] lastFittedCounts;
 
   /**
-   * Pages of the estimator; all of them count as unchanged.
+   * Creates the pages of the estimator, all marked as unchanged.
    *
-   * @param estimator what is stored, and what stored pages are read into
-   * @param pageCount the number of pages, the same for all who read and write them
-   * @param maxPageBytes the greatest length of a page's text, in bytes
+   * @param estimator the estimator whose evidence is written, and into which stored pages are read
+   * @param pageCount the number of pages, which must be the same for all readers and writers
+   * @param maxPageBytes the maximum length of the text of a page, in bytes
    */
   public EstimatePages(Estimator estimator, int pageCount, int maxPageBytes) {
     this.estimator = estimator;
     this.pageCount = pageCount;
     this.maxPageBytes = maxPageBytes;
-    fittedEntries = new int[pageCount];
+    lastFittedCounts = new int[pageCount];
   }
 
   /**
-   * Marks the pages that have changed because the estimator has observed a run: those of its
-   * profile at each level, and those of its class's and of all calibration scores.
+   * Marks the pages that change when the estimator observes a run of the profile: the pages of its
+   * evidence at each level, of the calibration scores of its class, and of those of all classes.
    */
   public void changed(TaskProfile profile) {
     for (Level level : EvidenceStore.LEVELS) {
-      changedPages.set(pageOf(profile.keyAt(level)));
+      changedPages.set(profilePageIndex(profile.keyAt(level)));
     }
-    changedPages.set(pageOfScores(profile.jobClass()));
-    changedPages.set(pageOfScores(CalibrationKey.ALL_CLASSES));
+    changedPages.set(scoresPageIndex(profile.jobClass()));
+    changedPages.set(scoresPageIndex(CalibrationKey.ALL_CLASSES));
   }
 
-  /** The next changed page, in turn from the given one on, or -1 if none has changed. */
+  /**
+   * The first changed page at or after the given one, wrapping around; -1 if no page has changed.
+   */
   public int nextChanged(int from) {
     int next = changedPages.nextSetBit(from);
     return next >= 0 ? next : changedPages.nextSetBit(0);
   }
 
-  /** The same in every process, unlike the hash of a record with an enum in it. */
-  private int pageOf(ProfileKey key) {
+  /**
+   * The page of the evidence of a profile. It is the same in every process, unlike the hash code of
+   * a record with an enum component.
+   */
+  private int profilePageIndex(ProfileKey key) {
     int hash = List.of(key.jobClass(), key.team(), key.image(), key.sizeBucket()).hashCode();
     return Math.floorMod(key.level().name().hashCode() * 31 + hash, pageCount);
   }
 
-  /** All calibration scores of a class are on one page. */
-  private int pageOfScores(String jobClass) {
+  /** The page of all calibration scores of a class. */
+  private int scoresPageIndex(String jobClass) {
     return Math.floorMod(jobClass.hashCode(), pageCount);
   }
 
-  /** The text of the page as it is now; the page then counts as unchanged. */
+  /** Encodes the current entries of the page and marks it as unchanged. */
   public String write(int page) {
     changedPages.clear(page);
     List<PageEntry> entries = new ArrayList<>();
-    // Calibration scores of all classes are few, and all estimates rely on them; those of one class
-    // are a refinement, and are left out first.
+    // The list is reversed below, so that the entries added first are dropped first if space runs
+    // out. Scores that cover all classes are few and affect every estimate, so they are added last;
+    // scores of a single class only refine estimates, so they are added first.
     addScores(entries, page, false);
     addEvidence(entries, page);
     addScores(entries, page, true);
@@ -89,8 +98,8 @@
         .evidenceByProfile()
         .forEach(
             (key, evidence) -> {
-              if (pageOf(key) == page) {
-                entries.add(new PageEntry.OfProfile(key, evidence));
+              if (profilePageIndex(key) == page) {
+                entries.add(new PageEntry.ProfileEntry(key, evidence));
               }
             });
   }
@@ -101,21 +110,25 @@
         .forEach(
             (key, scores) -> {
               String jobClass = key.jobClass();
-              if (pageOfScores(jobClass) == page && jobClass.isEmpty() == ofAllClasses) {
-                entries.add(new PageEntry.OfCalibration(key, scores));
+              if (scoresPageIndex(jobClass) == page && jobClass.isEmpty() == ofAllClasses) {
+                entries.add(new PageEntry.CalibrationEntry(key, scores));
               }
             });
   }
 
-  /** As many of the first entries as fit; it begins with a few more than fitted the last time. */
-  private String encodeFitting(List<PageEntry> all, int page) {
-    int fitted = fittedEntries[page];
-    int firstTrial = fitted == 0 ? all.size() : (int) (GROWTH_FACTOR * fitted) + 1;
-    List<PageEntry> entries = all.subList(0, Math.min(all.size(), firstTrial));
+  /**
+   * Encodes as many of the first candidates as fit. The first attempt uses slightly more entries
+   * than fitted last time, which limits the number of attempts.
+   */
+  private String encodeFitting(List<PageEntry> candidates, int page) {
+    int lastFittedCount = lastFittedCounts[page];
+    int initialCount =
+        lastFittedCount == 0 ? candidates.size() : (int) (GROWTH_FACTOR * lastFittedCount) + 1;
+    List<PageEntry> entries = candidates.subList(0, Math.min(candidates.size(), initialCount));
     while (true) {
       String text = PageCodec.encode(entries);
       if (text.length() <= maxPageBytes || entries.isEmpty()) {
-        fittedEntries[page] = entries.size();
+        lastFittedCounts[page] = entries.size();
         return text;
       }
       entries = entries.subList(0, (int) (SHRINK_FACTOR * entries.size()));
@@ -123,9 +136,9 @@
   }
 
   /**
-   * Takes over the page of an earlier leader.
+   * Restores the entries of a stored page into the estimator.
    *
-   * @throws MalformedPageException if it can't be read as a whole; nothing of it is taken over then
+   * @throws MalformedPageException if the page is malformed; the estimator is unchanged then
    */
   public void read(String text) throws MalformedPageException {
     List<PageEntry> entries = PageCodec.decode(text);
--- a/src/main/java/madderrudder/estimates/Estimator.java
+++ b/src/main/java/madderrudder/estimates/Estimator.java
@@ -7,21 +7,27 @@
 import madderrudder.estimates.Estimate.Basis;
 
 /**
- * Learns from tasks that have run how long others will run. The median comes from a hierarchical
- * model ({@link Predictor}), the prediction interval from how far similar predictions have missed
- * lately ({@link IntervalCalibration}). {@code docs/estimates.md} has the methods that were
- * compared and their results.
+ * Estimates run times of tasks from the runs of ended tasks. The median comes from a hierarchical
+ * model ({@link Predictor}), and the prediction interval from the errors of recent similar
+ * predictions ({@link IntervalCalibration}). {@code docs/estimates.md} compares this with other
+ * methods.
  *
- * <p>Has no clock and no store, and is not safe for use by several threads; the controller confines
- * it to the event loop thread. Memory is bounded by the numbers of profiles and jobs that it is
- * given; the least recently used are forgotten.
+ * <p>Uses no clock and no storage. Not thread-safe; the controller confines it to the event loop
+ * thread. Memory is bounded by the maximum numbers of profiles and jobs; the least recently used
+ * ones are evicted.
  */
 public final class Estimator {
-  /** A run that was stopped before nearly all others end gives no information. */
+  /**
+   * A censored run is ignored if the probability of a shorter run is below this: it then carries
+   * almost no information.
+   */
   private static final double MIN_INFORMATIVE_PROBABILITY = 0.05;
 
-  /** Multiples of it, modulo 1, are spread evenly between 0 and 1 however many there are. */
-  private static final double GOLDEN_RATIO = 0.6180339887498949;
+  /**
+   * The multiples of this number modulo 1 form a low-discrepancy sequence: any number of them is
+   * spread evenly between 0 and 1.
+   */
+  private static final double GOLDEN_RATIO_CONJUGATE = 0.6180339887498949;
 
   private final EvidenceStore evidence;
   private final Predictor predictor;
@@ -30,17 +36,17 @@
   private final MachineSpeeds machineSpeeds = new MachineSpeeds();
   private final EstimatorCounts counts = new EstimatorCounts();
 
-  /** An estimator that learns with {@link LearningMethod#HIERARCHICAL}. */
+  /** Creates an empty estimator that uses {@link LearningMethod#HIERARCHICAL}. */
   public Estimator(int maxProfiles, int maxJobs) {
     this(maxProfiles, maxJobs, LearningMethod.HIERARCHICAL);
   }
 
   /**
-   * An estimator that has seen nothing.
+   * Creates an empty estimator.
    *
-   * @param maxProfiles how many profiles are remembered, and how many calibration keys
-   * @param maxJobs how many single jobs are remembered
-   * @param method how levels are combined
+   * @param maxProfiles the maximum number of profiles, and of calibration keys
+   * @param maxJobs the maximum number of jobs whose tasks are tracked separately
+   * @param method how the levels are combined
    */
   public Estimator(int maxProfiles, int maxJobs, LearningMethod method) {
     evidence = new EvidenceStore(maxProfiles, maxJobs, method);
@@ -52,31 +58,31 @@
   /**
    * Learns from a run.
    *
-   * @return false if it is not plausible, or is one more task of a gang's attempt that has been
-   *     seen: nothing has changed then
+   * @return false if the run is ignored because it is implausible or belongs to the same attempt of
+   *     a gang as the previous run of the job
    */
   public boolean observe(TaskRun run) {
     if (!run.isPlausible()) {
-      counts.refused++;
+      counts.rejected++;
       return false;
     }
     TaskProfile profile = run.profile();
-    SiblingTasks siblings = evidence.siblings(profile.job());
-    if (!siblings.beginAttempt(run.attempt())) {
+    SiblingTasks siblings = evidence.getOrCreateSiblings(profile.job());
+    if (!siblings.recordAttempt(run.attempt())) {
       return false;
     }
     Optional<Prediction> prediction = predict(profile, run.ownerEstimateMicros());
     double durationMicros = run.durationMicros() / machineSpeeds.typeFactor(run.machineType());
     if (run.complete()) {
       if (prediction.isPresent()
-          && !learnFromError(run, siblings, prediction.get(), durationMicros)) {
+          && !recordPredictionError(run, siblings, prediction.get(), durationMicros)) {
         return true;
       }
       learn(run, siblings, durationMicros);
     } else {
-      counts.stopped++;
+      counts.censored++;
       prediction
-          .flatMap(known -> imputedMicros(durationMicros, known))
+          .flatMap(predicted -> imputedMicros(durationMicros, predicted))
           .ifPresent(imputed -> learn(run, siblings, imputed));
     }
     return true;
@@ -93,46 +99,48 @@
   }
 
   /**
-   * Compares a complete run with its prediction; false if its machine is so slow that the run has
-   * to be set aside.
+   * Records the prediction error of a complete run; returns false if its machine is so slow that
+   * the run must be excluded from learning.
    */
-  private boolean learnFromError(
+  private boolean recordPredictionError(
       TaskRun run, SiblingTasks siblings, Prediction prediction, double durationMicros) {
-    if (machineSpeeds.isSlow(run, prediction, durationMicros)) {
-      counts.setAside++;
+    if (machineSpeeds.recordAndCheckSlowMachine(run, prediction, durationMicros)) {
+      counts.excluded++;
       return false;
     }
     IntervalSide side = calibration.record(run.profile(), prediction, durationMicros);
-    counts.judged++;
+    counts.evaluated++;
     if (side == IntervalSide.INSIDE) {
       counts.withinInterval++;
     }
     if (siblings.isEmpty()) {
-      counts.shifts += modelSelection.compareBases(run, side, durationMicros);
-    } else if (siblings.countIsPowerOfTwo()) {
-      modelSelection.compareSiblings(run, durationMicros);
+      counts.changePoints += modelSelection.compareBases(run, side, durationMicros);
+    } else if (siblings.isTaskCountPowerOfTwo()) {
+      modelSelection.compareSiblingWeights(run, durationMicros);
     }
     return true;
   }
 
   /**
-   * A run that was stopped stands for one of those that take longer than it did, each time for
-   * another of them, as in the estimator of Kaplan and Meier; empty if it gives no information.
+   * Imputes the complete run time of a censored run: a quantile of the predictive distribution
+   * conditional on run times longer than the observed one. The quantile varies from run to run, so
+   * that the weight of censored runs is spread over all longer run times, as in the Kaplan-Meier
+   * estimator. Empty if the run carries almost no information.
    */
-  private Optional<Double> imputedMicros(double stoppedAfterMicros, Prediction prediction) {
+  private Optional<Double> imputedMicros(double censoredAtMicros, Prediction prediction) {
     PredictiveDistribution distribution = prediction.distribution();
-    if (distribution.cumulativeProbability(stoppedAfterMicros) < MIN_INFORMATIVE_PROBABILITY) {
+    if (distribution.cumulativeProbability(censoredAtMicros) < MIN_INFORMATIVE_PROBABILITY) {
       return Optional.empty();
     }
-    double multiple = counts.stopped * GOLDEN_RATIO;
+    double multiple = counts.censored * GOLDEN_RATIO_CONJUGATE;
     double probability = multiple - Math.floor(multiple);
-    return Optional.of(distribution.conditionalQuantile(stoppedAfterMicros, probability));
+    return Optional.of(distribution.conditionalQuantile(censoredAtMicros, probability));
   }
 
   /**
-   * The estimate for a task; {@link Estimate#isUnknown()} if nothing alike has run and there is no
-   * owner's estimate. For a task that has run for some time already, it is that of tasks that take
-   * longer.
+   * Estimates the run time of a task. The estimate {@linkplain Estimate#isUnknown() is unknown} if
+   * there are neither similar runs nor an owner's estimate. For a running task, the estimate is
+   * conditional on run times longer than the elapsed time.
    */
   public Estimate estimate(EstimateQuery query) {
     Basis basis = predictor.basis(query.profile(), query.ownerEstimateMicros());
@@ -144,43 +152,43 @@
 
   private Estimate estimate(EstimateQuery query, Basis basis, Prediction prediction) {
     double typeFactor = machineSpeeds.typeFactor(query.machineType());
-    double elapsed = query.elapsedMicros() / typeFactor;
+    double elapsedMicros = query.elapsedMicros() / typeFactor;
     PredictiveDistribution distribution = prediction.distribution();
-    double median = distribution.conditionalQuantile(elapsed, 0.5);
-    double low = calibration.lowerMicros(query.profile(), prediction, query.coverage());
-    double high = calibration.upperMicros(query.profile(), prediction, query.coverage());
-    if (elapsed > 0) {
-      // The interval of what has run for some time is that of what takes longer.
+    double median = distribution.conditionalQuantile(elapsedMicros, 0.5);
+    double low = calibration.lowerBoundMicros(query.profile(), prediction, query.coverage());
+    double high = calibration.upperBoundMicros(query.profile(), prediction, query.coverage());
+    if (elapsedMicros > 0) {
+      // The interval of a running task is conditional on run times longer than the elapsed time.
       double upperQuantile = (1 + query.coverage()) / 2;
-      low = Math.max(elapsed, Math.min(low, median));
-      high = Math.max(high, distribution.conditionalQuantile(elapsed, upperQuantile));
+      low = Math.max(elapsedMicros, Math.min(low, median));
+      high = Math.max(high, distribution.conditionalQuantile(elapsedMicros, upperQuantile));
     }
     return new Estimate(
-        wholeMicros(median * typeFactor),
-        wholeMicros(low * typeFactor),
-        wholeMicros(high * typeFactor),
+        roundToMicros(median * typeFactor),
+        roundToMicros(low * typeFactor),
+        roundToMicros(high * typeFactor),
         query.coverage(),
         prediction.runs(),
         prediction.level(),
         basis);
   }
 
-  private static long wholeMicros(double micros) {
+  private static long roundToMicros(double micros) {
     return Math.max(1, Math.round(micros));
   }
 
   /**
-   * Why the estimate is what it is, in one line of text for operators: the basis, of each level the
-   * runs, the weight and the median in seconds, what the interval goes by, and the factor of the
-   * machine type.
+   * Explains the estimate in one line of text for operators: the basis; the number of runs, weight
+   * and median in seconds of each level; the calibration of the interval; and the speed factor of
+   * the machine type.
    */
   public String explain(EstimateQuery query) {
-    return new Explanation(predictor, calibration, machineSpeeds).of(query);
+    return new Explanation(predictor, calibration, machineSpeeds).describe(query);
   }
 
   /**
-   * Takes in what another estimator has learned of other runs, within this one's bounds. What it
-   * knows of single jobs, and its counts, are left out.
+   * Merges the evidence of another estimator, which must have observed other runs, into this one,
+   * up to this estimator's size limits. Evidence on single jobs and the counts are not merged.
    */
   public void merge(Estimator other) {
     evidence.merge(other.evidence);
@@ -188,22 +196,21 @@
     calibration.merge(other.calibration);
   }
 
-  /** What has been done so far; the counts go on changing. */
+  /** A live view of the counts of processed runs. */
   public EstimatorCounts counts() {
     return counts;
   }
 
-  /** How many profiles are known, over all levels. */
+  /** The number of profiles with evidence, over all levels. */
   public int size() {
     return evidence.byProfile().size();
   }
 
   /**
-   * The classes with the most runs.
+   * Summarizes the classes with the most runs.
    *
-   * @param maxClasses the most classes that are returned
-   * @return the classes in the order of their names; those without any owner's estimate are left
-   *     out
+   * @param maxClasses the maximum number of classes
+   * @return the summaries ordered by class name, without classes that have no owner's estimates
    */
   public List<ClassSummary> classes(int maxClasses) {
     Map<String, ClassSummary> byName = new TreeMap<>();
@@ -212,29 +219,29 @@
         .filter(entry -> entry.getValue().ratios.count() > 0)
         .sorted((a, b) -> Integer.compare(b.getValue().ratios.count(), a.getValue().ratios.count()))
         .limit(maxClasses)
-        .map(entry -> summary(entry.getKey().jobClass(), entry.getValue().ratios))
+        .map(entry -> summarize(entry.getKey().jobClass(), entry.getValue().ratios))
         .forEach(summary -> byName.put(summary.jobClass(), summary));
     return List.copyOf(byName.values());
   }
 
-  private static ClassSummary summary(String jobClass, WindowedHistogram ratios) {
+  private static ClassSummary summarize(String jobClass, WindowedHistogram ratios) {
     PredictiveDistribution distribution = new PredictiveDistribution();
     distribution.add(ratios, 1.0 / HistogramScale.RATIO_ONE, 1);
     return new ClassSummary(
         jobClass,
         ratios.count(),
-        distribution.quantile(Prediction.LOWER_QUANTILE),
+        distribution.quantile(Prediction.LOWER_PROBABILITY),
         distribution.quantile(0.5),
-        distribution.quantile(Prediction.UPPER_QUANTILE),
+        distribution.quantile(Prediction.UPPER_PROBABILITY),
         Prediction.REFERENCE_COVERAGE);
   }
 
-  /** The evidence by profile, the least recently used first. */
+  /** A live view of the evidence by profile, the least recently used first. */
   Map<ProfileKey, Evidence> evidenceByProfile() {
     return evidence.byProfile();
   }
 
-  /** The calibration scores, the least recently used first. */
+  /** A live view of the calibration scores, the least recently used first. */
   Map<CalibrationKey, CalibrationScores> scoresByKey() {
     return calibration.scoresByKey();
   }
--- a/src/main/java/madderrudder/estimates/EstimatorCounts.java
+++ b/src/main/java/madderrudder/estimates/EstimatorCounts.java
@@ -2,26 +2,39 @@
 
 import java.util.function.BiConsumer;
 
-/** What an {@link Estimator} has done since it was created, in counts of runs. */
+/** Counts of runs that an {@link Estimator} has processed since it was created, by outcome. */
 public final class EstimatorCounts {
+  /** Runs added to the evidence, including imputed run times of incomplete runs. */
   long learned;
-  long stopped;
-  long refused;
-  long setAside;
-  long shifts;
-  long judged;
+
+  /** Incomplete runs. */
+  long censored;
+
+  /** Implausible runs. */
+  long rejected;
+
+  /** Complete runs excluded from learning because their machine was slow. */
+  long excluded;
+
+  /** Change points, counted once per level. */
+  long changePoints;
+
+  /** Complete runs whose run time was compared with its prediction. */
+  long evaluated;
+
+  /** Evaluated runs that ended within the prediction interval. */
   long withinInterval;
 
   EstimatorCounts() {}
 
-  /** Calls the consumer with each count and its name in the metrics, always in the same order. */
+  /** Passes each count with its metric name to the consumer, always in the same order. */
   public void each(BiConsumer<String, Long> consumer) {
     consumer.accept("learned", learned);
-    consumer.accept("stopped", stopped);
-    consumer.accept("refused", refused);
-    consumer.accept("set_aside", setAside);
-    consumer.accept("shifts", shifts);
-    consumer.accept("judged", judged);
+    consumer.accept("stopped", censored);
+    consumer.accept("refused", rejected);
+    consumer.accept("set_aside", excluded);
+    consumer.accept("shifts", changePoints);
+    consumer.accept("judged", evaluated);
     consumer.accept("within_bounds", withinInterval);
   }
 }
--- a/src/main/java/madderrudder/estimates/EvidenceStore.java
+++ b/src/main/java/madderrudder/estimates/EvidenceStore.java
@@ -5,11 +5,11 @@
 import madderrudder.util.BoundedMap;
 
 /**
- * All evidence that an estimator has, by profile and by job. Bounded: the least recently used
- * profile or job is forgotten, where a look-up counts as a use.
+ * Holds the evidence of an estimator by profile and by job. Both maps are bounded and evict the
+ * least recently used entry; a lookup counts as a use.
  */
 final class EvidenceStore {
-  /** The levels whose evidence outlasts a job, the most specific first. */
+  /** The levels whose evidence spans several jobs, the most specific first. */
   static final List<Level> LEVELS = List.of(Level.WORK, Level.TEAM, Level.CLASS, Level.ALL);
 
   private final LearningMethod method;
@@ -22,48 +22,51 @@
     byJob = BoundedMap.evictingLeastRecentlyUsed(maxJobs);
   }
 
-  /** The evidence for the task at the level, or null if nothing alike has run. */
+  /** The evidence for the task at the level, or null if there is none. */
   Evidence find(TaskProfile profile, Level level) {
     return byProfile.get(profile.keyAt(level));
   }
 
-  /** The tasks of the job that have run, or null if none has been seen. */
+  /** The observed tasks of the job, or null if there are none. */
   SiblingTasks findSiblings(String job) {
     return byJob.get(job);
   }
 
-  /** The tasks of the job that have run, added if none has been seen. */
-  SiblingTasks siblings(String job) {
+  /** The observed tasks of the job, created empty if there are none. */
+  SiblingTasks getOrCreateSiblings(String job) {
     return byJob.computeIfAbsent(job, added -> new SiblingTasks());
   }
 
   /**
-   * Takes in a run. A job of many tasks says little more about other jobs than one of few: it
-   * counts with its first task, and again each time that the number of its tasks has doubled.
+   * Adds a run to the evidence of its job and, at some counts, of its profile. A job with many
+   * tasks carries little more information about other jobs than a job with few: only its first
+   * task, and the task at each doubling of the count, are added at the levels above the job.
    */
   void learn(TaskRun run, SiblingTasks siblings, double durationMicros) {
-    siblings.learn(durationMicros);
-    if (!siblings.countIsPowerOfTwo()) {
+    siblings.add(durationMicros);
+    if (!siblings.isTaskCountPowerOfTwo()) {
       return;
     }
-    long ratio = HistogramScale.ratio(durationMicros, run.ownerEstimateMicros());
-    long duration = HistogramScale.duration(durationMicros);
+    long ratio = HistogramScale.toStoredRatio(durationMicros, run.ownerEstimateMicros());
+    long duration = HistogramScale.toStoredDuration(durationMicros);
     for (Level level : LEVELS) {
-      evidence(run.profile().keyAt(level)).add(ratio, duration);
+      getOrCreateEvidence(run.profile().keyAt(level)).add(ratio, duration);
     }
   }
 
-  private Evidence evidence(ProfileKey profile) {
+  private Evidence getOrCreateEvidence(ProfileKey profile) {
     return byProfile.computeIfAbsent(
-        profile, added -> new Evidence(method.windowRuns(added.level())));
+        profile, added -> new Evidence(method.generationRuns(added.level())));
   }
 
-  /** Takes in the evidence by profile of another store; single jobs are left out. */
+  /**
+   * Merges the evidence by profile of the other store into this one; evidence by job is not merged.
+   */
   void merge(EvidenceStore other) {
-    other.byProfile.forEach((profile, evidence) -> evidence(profile).merge(evidence));
+    other.byProfile.forEach((profile, evidence) -> getOrCreateEvidence(profile).merge(evidence));
   }
 
-  /** The evidence by profile, the least recently used first. */
+  /** A live view of the evidence by profile, the least recently used first. */
   Map<ProfileKey, Evidence> byProfile() {
     return byProfile;
   }
--- a/src/main/java/madderrudder/estimates/Explanation.java
+++ b/src/main/java/madderrudder/estimates/Explanation.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import madderrudder.estimates.Estimate.Basis;
 
-/** Puts into words why an estimate is what it is. */
+/** Formats the explanation of an estimate for operators. */
 final class Explanation {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -18,18 +18,19 @@
     this.machineSpeeds = machineSpeeds;
   }
 
-  String of(EstimateQuery query) {
+  /** One line of text with the parts that {@link Estimator#explain} lists. */
+  String describe(EstimateQuery query) {
     Basis basis = predictor.basis(query.profile(), query.ownerEstimateMicros());
     List<MixtureComponent> components =
         predictor.components(query.profile(), query.ownerEstimateMicros(), basis);
     StringBuilder text = new StringBuilder("by " + lowerCase(basis));
-    components.forEach(component -> text.append(ofComponent(component)));
-    text.append(ofInterval(query.profile(), components));
-    text.append(ofMachineType(query.machineType()));
+    components.forEach(component -> text.append(describeComponent(component)));
+    text.append(describeInterval(query.profile(), components));
+    text.append(describeMachineType(query.machineType()));
     return text.toString();
   }
 
-  private static String ofComponent(MixtureComponent component) {
+  private static String describeComponent(MixtureComponent component) {
     return String.format(
         Locale.ROOT,
         "; %s: %d runs, weight %.2f, median %.3f s",
@@ -39,14 +40,14 @@
         component.medianMicros() / MICROS_PER_SECOND);
   }
 
-  private String ofInterval(TaskProfile profile, List<MixtureComponent> components) {
+  private String describeInterval(TaskProfile profile, List<MixtureComponent> components) {
     return Prediction.of(components)
         .flatMap(prediction -> calibration.scores(profile, prediction))
-        .map(scores -> "; bounds as " + scores.count() + " such estimates held")
-        .orElse("; bounds as it is spread");
+        .map(scores -> "; interval calibrated on " + scores.count() + " similar predictions")
+        .orElse("; interval not calibrated");
   }
 
-  private String ofMachineType(String machineType) {
+  private String describeMachineType(String machineType) {
     double factor = machineSpeeds.typeFactor(machineType);
     if (factor == 1) {
       return "";
--- a/src/main/java/madderrudder/estimates/HistogramScale.java
+++ b/src/main/java/madderrudder/estimates/HistogramScale.java
@@ -1,16 +1,17 @@
 package madderrudder.estimates;
 
-/**
- * How ratios and run times are stored as the whole numbers that a {@link WindowedHistogram} takes.
- */
+/** Converts ratios and run times to the integer values of a {@link WindowedHistogram}. */
 final class HistogramScale {
-  /** The stored value of a ratio of one. */
+  /** The stored value of a ratio of 1. */
   static final long RATIO_ONE = 1_024;
 
-  /** Run times are stored in milliseconds. */
-  static final long MICROS_PER_VALUE = 1_000;
+  /** The unit of stored run times: a millisecond. */
+  static final long MICROS_PER_DURATION_UNIT = 1_000;
 
-  /** No ratio is stored, and no prediction interval reaches, further off than this factor. */
+  /**
+   * The limit of stored ratios, as a factor from 1, and of the bounds of prediction intervals, as a
+   * factor from the median.
+   */
   static final long MAX_FACTOR = 64;
 
   private static final long MIN_RATIO = RATIO_ONE / MAX_FACTOR;
@@ -18,8 +19,11 @@
 
   private HistogramScale() {}
 
-  /** The stored ratio of the time to the owner's estimate, or 0 if there is no estimate. */
-  static long ratio(double durationMicros, long ownerEstimateMicros) {
+  /**
+   * The stored value of the ratio of the run time to the owner's estimate, or 0 if there is no
+   * owner's estimate.
+   */
+  static long toStoredRatio(double durationMicros, long ownerEstimateMicros) {
     if (ownerEstimateMicros == 0) {
       return 0;
     }
@@ -27,8 +31,8 @@
     return Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
   }
 
-  /** The stored run time, at least 1. */
-  static long duration(double durationMicros) {
-    return Math.max(1, Math.round(durationMicros / MICROS_PER_VALUE));
+  /** The stored value of the run time, at least 1. */
+  static long toStoredDuration(double durationMicros) {
+    return Math.max(1, Math.round(durationMicros / MICROS_PER_DURATION_UNIT));
   }
 }
--- a/src/main/java/madderrudder/estimates/IntervalCalibration.java
+++ b/src/main/java/madderrudder/estimates/IntervalCalibration.java
@@ -6,13 +6,14 @@
 import madderrudder.util.BoundedMap;
 
 /**
- * Sets the bounds of prediction intervals by how far similar predictions have missed lately
- * (conformal prediction), so that intervals have the coverage that they promise.
+ * Derives the bounds of prediction intervals from the errors of recent similar predictions
+ * (conformal prediction), so that the actual coverage of the intervals matches the nominal one.
  */
 final class IntervalCalibration {
-  /** A class's own scores are used from this count on, before it those of all classes. */
+  /** The minimum number of scores of a class; below it, the scores of all classes are used. */
   private static final int MIN_CLASS_SCORES = 100;
 
+  /** The minimum number of scores of all classes; below it, intervals are not calibrated. */
   private static final int MIN_SCORES = 20;
 
   private final Map<CalibrationKey, CalibrationScores> scoresByKey;
@@ -22,9 +23,10 @@
   }
 
   /**
-   * Records how far the run ended from its prediction, for the intervals of later ones.
+   * Records the standardized error of the prediction for the calibration of later intervals.
    *
-   * @return where it ended, seen from the interval of the reference coverage as it was until now
+   * @return the position of the run time relative to the interval at the reference coverage, as
+   *     calibrated before this run
    */
   IntervalSide record(TaskProfile profile, Prediction prediction, double durationMicros) {
     IntervalSide side = side(profile, prediction, durationMicros);
@@ -41,61 +43,62 @@
 
   private IntervalSide side(TaskProfile profile, Prediction prediction, double durationMicros) {
     double coverage = Prediction.REFERENCE_COVERAGE;
-    if (durationMicros > upperMicros(profile, prediction, coverage)) {
+    if (durationMicros > upperBoundMicros(profile, prediction, coverage)) {
       return IntervalSide.ABOVE;
     }
-    if (durationMicros < lowerMicros(profile, prediction, coverage)) {
+    if (durationMicros < lowerBoundMicros(profile, prediction, coverage)) {
       return IntervalSide.BELOW;
     }
     return IntervalSide.INSIDE;
   }
 
   /**
-   * The scores of similar predictions: the class's own if there are enough of them, otherwise those
-   * of all classes; empty if there are not enough of these either.
+   * The scores of similar predictions: those of the class if there are enough, otherwise those of
+   * all classes; empty if these are too few as well.
    */
   Optional<CalibrationScores> scores(TaskProfile profile, Prediction prediction) {
-    CalibrationScores own = scoresByKey.get(CalibrationKey.ofClass(profile.jobClass(), prediction));
-    if (own != null && own.count() >= MIN_CLASS_SCORES) {
-      return Optional.of(own);
+    CalibrationScores classScores =
+        scoresByKey.get(CalibrationKey.ofClass(profile.jobClass(), prediction));
+    if (classScores != null && classScores.count() >= MIN_CLASS_SCORES) {
+      return Optional.of(classScores);
     }
     return Optional.ofNullable(scoresByKey.get(CalibrationKey.ofAllClasses(prediction)))
-        .filter(all -> all.count() >= MIN_SCORES);
+        .filter(scores -> scores.count() >= MIN_SCORES);
   }
 
   /**
-   * The upper bound of the prediction interval; a quantile of the predictive distribution where no
-   * scores are known.
+   * The upper bound of the prediction interval in microseconds; a quantile of the predictive
+   * distribution if there are too few scores.
    */
-  double upperMicros(TaskProfile profile, Prediction prediction, double coverage) {
-    double tail = (1 - coverage) / 2;
+  double upperBoundMicros(TaskProfile profile, Prediction prediction, double coverage) {
+    double tailProbability = (1 - coverage) / 2;
     double bound =
         scores(profile, prediction)
-            .map(scores -> scores.quantileAbove(tail) * prediction.logSpreadAbove())
+            .map(scores -> scores.quantileAbove(tailProbability) * prediction.logSpreadAbove())
             .map(logDistance -> prediction.medianMicros() * Math.exp(logDistance))
-            .orElseGet(() -> prediction.distribution().quantile(1 - tail));
+            .orElseGet(() -> prediction.distribution().quantile(1 - tailProbability));
     return Math.min(bound, HistogramScale.MAX_FACTOR * prediction.medianMicros());
   }
 
-  /** The lower bound; see {@link #upperMicros}. */
-  double lowerMicros(TaskProfile profile, Prediction prediction, double coverage) {
-    double tail = (1 - coverage) / 2;
+  /** The lower bound of the prediction interval; see {@link #upperBoundMicros}. */
+  double lowerBoundMicros(TaskProfile profile, Prediction prediction, double coverage) {
+    double tailProbability = (1 - coverage) / 2;
     double bound =
         scores(profile, prediction)
-            .map(scores -> -scores.quantileBelow(tail) * prediction.logSpreadBelow())
+            .map(scores -> -scores.quantileBelow(tailProbability) * prediction.logSpreadBelow())
             .map(logDistance -> prediction.medianMicros() * Math.exp(logDistance))
-            .orElseGet(() -> prediction.distribution().quantile(tail));
+            .orElseGet(() -> prediction.distribution().quantile(tailProbability));
     return Math.max(bound, prediction.medianMicros() / HistogramScale.MAX_FACTOR);
   }
 
-  /** Takes in the scores of another. */
+  /** Merges the scores of the other instance into this one. */
   void merge(IntervalCalibration other) {
     other.scoresByKey.forEach(
         (key, scores) ->
             scoresByKey.computeIfAbsent(key, added -> new CalibrationScores()).merge(scores));
   }
 
-  /** All scores, the least recently used first. */
+  /** A live view of all scores, the least recently used first. */
   Map<CalibrationKey, CalibrationScores> scoresByKey() {
     return scoresByKey;
   }
--- a/src/main/java/madderrudder/estimates/LearningMethod.java
+++ b/src/main/java/madderrudder/estimates/LearningMethod.java
@@ -2,23 +2,23 @@
 
 /**
  * How an {@link Estimator} combines the levels. The controllers use {@link #HIERARCHICAL}; the
- * others are kept for comparison by the replay ({@code docs/estimates.md} has their results).
+ * replay compares the others with it ({@code docs/estimates.md} lists the results).
  */
 public enum LearningMethod {
-  /** All levels, weighted by their evidence, over recent runs. */
+  /** All levels, weighted by their numbers of recent runs. */
   HIERARCHICAL,
-  /** The most specific level with enough runs alone, over recent runs. */
+  /** Only the most specific level with enough recent runs. */
   NEAREST_LEVEL,
-  /** All levels, weighted by their evidence, over all runs that there ever were. */
+  /** All levels, weighted by their numbers of runs, without discarding old runs. */
   HIERARCHICAL_UNBOUNDED;
 
   /** The number of runs in one generation of the level's histograms. */
-  int windowRuns(Level level) {
-    return forgets() ? level.windowRuns : Integer.MAX_VALUE;
+  int generationRuns(Level level) {
+    return discardsOldRuns() ? level.generationRuns : Integer.MAX_VALUE;
   }
 
-  /** Whether old runs are forgotten, with time or when all has changed. */
-  boolean forgets() {
+  /** Whether old runs are discarded, by the sliding window and at change points. */
+  boolean discardsOldRuns() {
     return this != HIERARCHICAL_UNBOUNDED;
   }
 }
--- a/src/main/java/madderrudder/estimates/Level.java
+++ b/src/main/java/madderrudder/estimates/Level.java
@@ -1,49 +1,49 @@
 package madderrudder.estimates;
 
 /**
- * A level of the hierarchical model: which runs an estimate goes by. The constants stand in the
- * order from the most specific level to the least specific one.
+ * A level of the hierarchical model, which selects the runs that an estimate is based on. The
+ * constants are ordered from the most specific level to the least specific one.
  */
 public enum Level {
-  /** Tasks of the same job, which had the same owner's estimate. */
+  /** Tasks of the same job, which share the owner's estimate. */
   JOB(0, 16, "of the same job"),
-  /** Same class, team, image and size of task. */
+  /** Tasks of the same class, team, image and size. */
   WORK(1, 8, "of the same class, team, image and size"),
-  /** Same class and team. */
+  /** Tasks of the same class and team. */
   TEAM(2, 16, "of the same class and team"),
-  /** Same class. */
+  /** Tasks of the same class. */
   CLASS(3, 16, "of the same class"),
-  /** All runs: what is known of a class that is new. */
+  /** All tasks, for classes without runs. */
   ALL(4, 32, "of all classes"),
-  /** No run at all: the prior around the owner's estimate. */
+  /** No runs: the prior around the owner's estimate. */
   NONE(5, 0, "of none");
 
   /**
-   * The number of runs (of jobs, above {@link #JOB}) in one generation of a {@link
-   * WindowedHistogram}; between one and two generations are remembered. Twice or four times as many
-   * gain a hundredth where nothing changes, and lose a sixth of the estimates where owners'
-   * estimates drift (docs/estimates.md).
+   * The number of runs (at {@link #JOB}) or jobs (at the other levels) in one generation of a
+   * {@link WindowedHistogram}, which keeps one to two generations. Generations two or four times as
+   * large gain about 1% more accurate estimates without drift, but lose a sixth of the estimates if
+   * owners' estimates drift (docs/estimates.md).
    */
-  final int windowRuns;
+  final int generationRuns;
 
   private final byte code;
-  private final String words;
+  private final String description;
 
-  Level(int code, int windowRuns, String words) {
+  Level(int code, int generationRuns, String description) {
     this.code = (byte) code;
-    this.windowRuns = windowRuns;
-    this.words = words;
+    this.generationRuns = generationRuns;
+    this.description = description;
   }
 
-  /** The number that stands for the level in stored pages; it never changes. */
+  /** The code of the level in stored pages, which must not change. */
   byte code() {
     return code;
   }
 
   /**
-   * The level with the code.
+   * Returns the level with the code.
    *
-   * @throws IllegalArgumentException if no level has it
+   * @throws IllegalArgumentException if no level has the code
    */
   static Level ofCode(byte code) {
     for (Level level : values()) {
@@ -51,11 +51,11 @@
         return level;
       }
     }
-    throw new IllegalArgumentException("no level has the code " + code);
+    throw new IllegalArgumentException("unknown level code " + code);
   }
 
-  /** Completes a sentence about runs, such as "8 runs of the same class". */
+  /** A phrase that follows a number of runs, as in "8 runs of the same class". */
   public String words() {
-    return words;
+    return description;
   }
 }
--- a/src/main/java/madderrudder/estimates/MalformedPageException.java
+++ b/src/main/java/madderrudder/estimates/MalformedPageException.java
@@ -1,16 +1,16 @@
 package madderrudder.estimates;
 
-/** A stored page of an estimator's evidence can't be read. */
+/** Thrown if a stored page of an estimator's evidence is malformed. */
 public final class MalformedPageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with a page. */
+  /** The kinds of malformed pages. */
   public enum Reason {
-    /** It was written in another version of the format. */
+    /** The page has an unsupported format version. */
     UNSUPPORTED_VERSION,
-    /** Its checksum does not match its content. */
+    /** The checksum does not match the content. */
     CHECKSUM_MISMATCH,
-    /** It is cut short, or is no page at all. */
+    /** The page is truncated or has invalid content. */
     INVALID_CONTENT
   }
 
@@ -24,14 +24,14 @@
   static MalformedPageException unsupportedVersion(byte version, byte supported) {
     return new MalformedPageException(
         Reason.UNSUPPORTED_VERSION,
-        "it is of version " + version + ", only " + supported + " is supported",
+        "unsupported page version " + version + ", expected " + supported,
         null);
   }
 
   static MalformedPageException checksumMismatch(long stored, long computed) {
     return new MalformedPageException(
         Reason.CHECKSUM_MISMATCH,
-        String.format("its checksum is %08x, that of its content %08x", stored, computed),
+        String.format("checksum mismatch: stored %08x, computed %08x", stored, computed),
         null);
   }
 
@@ -41,10 +41,10 @@
 
   static MalformedPageException invalidContent(Exception cause) {
     return new MalformedPageException(
-        Reason.INVALID_CONTENT, "its content is invalid: " + cause, cause);
+        Reason.INVALID_CONTENT, "invalid page content: " + cause, cause);
   }
 
-  /** What is wrong with the page. */
+  /** The reason why the page is malformed. */
   public Reason reason() {
     return reason;
   }
--- a/src/main/java/madderrudder/estimates/ModelSelection.java
+++ b/src/main/java/madderrudder/estimates/ModelSelection.java
@@ -4,11 +4,11 @@
 import madderrudder.estimates.Estimate.Basis;
 
 /**
- * Compares, run by run, what the alternatives of the model would have predicted, so that later
- * predictions use the better one; and looks for change points.
+ * Evaluates the alternatives of the model on each run, so that later predictions use the one with
+ * the smaller loss, and detects change points.
  */
 final class ModelSelection {
-  /** No single run counts with a larger loss. */
+  /** The upper limit of the loss of a single run. */
   static final double MAX_LOSS = 3;
 
   private final EvidenceStore evidence;
@@ -22,22 +22,23 @@
   }
 
   /**
-   * Of a job's first task: records how well the ratio and the run time would have predicted it.
+   * Records for the first task of a job the losses of predictions based on the ratio and on the run
+   * time.
    *
-   * @param side where it ended, seen from its prediction interval
-   * @return at how many levels this is a change point
+   * @param side the position of the run time relative to its prediction interval
+   * @return the number of levels at which a change point was detected
    */
   int compareBases(TaskRun run, IntervalSide side, double durationMicros) {
     double ratioLoss = loss(run, Basis.RATIO, durationMicros);
     double durationLoss = loss(run, Basis.TIME, durationMicros);
-    long ratio = HistogramScale.ratio(durationMicros, run.ownerEstimateMicros());
-    long duration = HistogramScale.duration(durationMicros);
+    long ratio = HistogramScale.toStoredRatio(durationMicros, run.ownerEstimateMicros());
+    long duration = HistogramScale.toStoredDuration(durationMicros);
     int changePoints = 0;
     for (Level level : EvidenceStore.LEVELS) {
-      Evidence known = evidence.find(run.profile(), level);
-      if (known != null) {
-        known.recordLosses(ratioLoss, durationLoss);
-        if (method.forgets() && known.detectChangePoint(side, ratio, duration)) {
+      Evidence levelEvidence = evidence.find(run.profile(), level);
+      if (levelEvidence != null) {
+        levelEvidence.recordLosses(ratioLoss, durationLoss);
+        if (method.discardsOldRuns() && levelEvidence.detectChangePoint(side, ratio, duration)) {
           changePoints++;
         }
       }
@@ -46,23 +47,24 @@
   }
 
   /**
-   * Of a job's further tasks: records whether its other tasks predicted it better than other jobs.
+   * Records for a further task of a job whether a large or a small weight of the job's other tasks
+   * predicts its run time better.
    */
-  void compareSiblings(TaskRun run, double durationMicros) {
-    Evidence known = evidence.find(run.profile(), Level.CLASS);
-    if (known == null) {
+  void compareSiblingWeights(TaskRun run, double durationMicros) {
+    Evidence classEvidence = evidence.find(run.profile(), Level.CLASS);
+    if (classEvidence == null) {
       return;
     }
     Basis basis = predictor.basis(run.profile(), run.ownerEstimateMicros());
-    double alikeLoss = siblingLoss(run, basis, true, durationMicros);
-    double unlikeLoss = siblingLoss(run, basis, false, durationMicros);
-    known.recordSiblingExcessLoss(alikeLoss - unlikeLoss);
+    double similarLoss = siblingLoss(run, basis, true, durationMicros);
+    double dissimilarLoss = siblingLoss(run, basis, false, durationMicros);
+    classEvidence.recordSiblingExcessLoss(similarLoss - dissimilarLoss);
   }
 
   private double siblingLoss(
-      TaskRun run, Basis basis, boolean siblingsAlike, double durationMicros) {
+      TaskRun run, Basis basis, boolean siblingsSimilar, double durationMicros) {
     return loss(
-        predictor.predict(run.profile(), run.ownerEstimateMicros(), basis, siblingsAlike),
+        predictor.predict(run.profile(), run.ownerEstimateMicros(), basis, siblingsSimilar),
         durationMicros);
   }
 
@@ -72,7 +74,7 @@
 
   private static double loss(Optional<Prediction> prediction, double durationMicros) {
     return prediction
-        .map(known -> Math.abs(Math.log(known.medianMicros() / durationMicros)))
+        .map(predicted -> Math.abs(Math.log(predicted.medianMicros() / durationMicros)))
         .map(error -> Math.min(MAX_LOSS, error))
         .orElse(MAX_LOSS);
   }
--- a/src/main/java/madderrudder/estimates/PageCodec.java
+++ b/src/main/java/madderrudder/estimates/PageCodec.java
@@ -12,22 +12,23 @@
 import java.util.zip.Inflater;
 
 /**
- * The text of a stored page: in Base64 a version byte, the CRC32C of the rest as a long, and the
- * rest, which is compressed with DEFLATE: the number of entries, and the entries. The layout must
- * not change without a new version.
+ * Encodes and decodes the text of a stored page. The text is the Base64 encoding of a version byte,
+ * the CRC32C of the body as a long, and the body. The body is compressed with DEFLATE and contains
+ * the number of entries followed by the entries. A change of the layout requires a new version.
  */
 final class PageCodec {
-  /** The version of what is in a page; any other one is refused. */
+  /** The format version of a page; pages of other versions are rejected. */
   private static final byte VERSION = 1;
 
   private static final int HEADER_BYTES = 1 + Long.BYTES;
   private static final int CHUNK_BYTES = 4_096;
 
-  /** No page unpacks to much more: a torn one may seem to have no end. */
-  private static final int MAX_UNPACKED_BYTES = 1 << 20;
+  /** The limit of the decompressed size, which keeps a malformed page from exhausting memory. */
+  private static final int MAX_INFLATED_BYTES = 1 << 20;
 
   private PageCodec() {}
 
+  /** Encodes the entries in the given order. */
   static String encode(List<PageEntry> entries) {
     int maxBytes = Integer.BYTES + entries.stream().mapToInt(PageEntry::maxBytes).sum();
     ByteBuffer out = ByteBuffer.allocate(maxBytes);
@@ -65,7 +66,7 @@
     return checksum.getValue();
   }
 
-  /** All entries of the page, in their order. */
+  /** Decodes all entries of the page, in the order in which they were encoded. */
   static List<PageEntry> decode(String text) throws MalformedPageException {
     try {
       return readEntries(ByteBuffer.wrap(inflate(body(Base64.getDecoder().decode(text)))));
@@ -85,12 +86,12 @@
     if (version != VERSION) {
       throw MalformedPageException.unsupportedVersion(version, VERSION);
     }
-    long stored = in.getLong();
+    long storedChecksum = in.getLong();
     byte[] body = new byte[in.remaining()];
     in.get(body);
-    long computed = checksum(body);
-    if (computed != stored) {
-      throw MalformedPageException.checksumMismatch(stored, computed);
+    long computedChecksum = checksum(body);
+    if (computedChecksum != storedChecksum) {
+      throw MalformedPageException.checksumMismatch(storedChecksum, computedChecksum);
     }
     return body;
   }
@@ -103,9 +104,9 @@
       byte[] chunk = new byte[CHUNK_BYTES];
       while (!inflater.finished()) {
         int count = inflater.inflate(chunk);
-        if (count == 0 || out.size() > MAX_UNPACKED_BYTES) {
+        if (count == 0 || out.size() > MAX_INFLATED_BYTES) {
           throw MalformedPageException.invalidContent(
-              "its content ends early or has no end, after " + out.size() + " bytes");
+              "page content is truncated or too long after " + out.size() + " decompressed bytes");
         }
         out.write(chunk, 0, count);
       }
--- a/src/main/java/madderrudder/estimates/PageEntry.java
+++ b/src/main/java/madderrudder/estimates/PageEntry.java
@@ -3,40 +3,42 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** One entry of a stored page. The byte layout must not change. */
+/** An entry of a stored page. The byte layout must not change without a new page version. */
 sealed interface PageEntry {
-  /** The most bytes that {@link #write} needs. */
+  /** The maximum number of bytes that {@link #write} writes. */
   int maxBytes();
 
+  /** Writes the entry to the buffer. */
   void write(ByteBuffer out);
 
-  /** Puts what the entry says into the estimator, as its most recently used entry. */
+  /** Puts the entry into the estimator as the most recently used one. */
   void restoreTo(Estimator estimator);
 
   /**
-   * Reads the next entry; throws a RuntimeException if the bytes end early or are no histograms.
+   * Reads the next entry; throws a RuntimeException if the bytes end early, or if the level or a
+   * histogram is invalid.
    *
-   * @throws MalformedPageException if it is of an unknown type
+   * @throws MalformedPageException if the entry type is unknown
    */
   static PageEntry read(ByteBuffer in) throws MalformedPageException {
     byte type = in.get();
     Level level = Level.ofCode(in.get());
     return switch (type) {
-      case OfProfile.TYPE -> OfProfile.read(in, level);
-      case OfCalibration.TYPE -> OfCalibration.read(in, level);
-      default -> throw MalformedPageException.invalidContent("entry of unknown type " + type);
+      case ProfileEntry.TYPE -> ProfileEntry.read(in, level);
+      case CalibrationEntry.TYPE -> CalibrationEntry.read(in, level);
+      default -> throw MalformedPageException.invalidContent("unknown entry type " + type);
     };
   }
 
   /** The evidence of a profile. */
-  record OfProfile(ProfileKey profile, Evidence evidence) implements PageEntry {
+  record ProfileEntry(ProfileKey profile, Evidence evidence) implements PageEntry {
     private static final byte TYPE = 1;
 
     @Override
     public int maxBytes() {
       int characters =
           profile.jobClass().length() + profile.team().length() + profile.image().length();
-      return evidence.maxBytes() + Layout.maxHeadBytes(characters);
+      return evidence.maxBytes() + Layout.maxHeaderBytes(characters);
     }
 
     @Override
@@ -49,11 +51,11 @@
       evidence.write(out);
     }
 
-    private static OfProfile read(ByteBuffer in, Level level) {
+    private static ProfileEntry read(ByteBuffer in, Level level) {
       ProfileKey profile =
           new ProfileKey(
               level, Layout.readText(in), Layout.readText(in), Layout.readText(in), in.getInt());
-      return new OfProfile(profile, Evidence.read(in, level.windowRuns));
+      return new ProfileEntry(profile, Evidence.read(in, level.generationRuns));
     }
 
     @Override
@@ -63,25 +65,25 @@
   }
 
   /** The scores by which prediction intervals are calibrated. */
-  record OfCalibration(CalibrationKey key, CalibrationScores scores) implements PageEntry {
+  record CalibrationEntry(CalibrationKey key, CalibrationScores scores) implements PageEntry {
     private static final byte TYPE = 2;
 
     @Override
     public int maxBytes() {
-      return scores.maxBytes() + Layout.maxHeadBytes(key.jobClass().length());
+      return scores.maxBytes() + Layout.maxHeaderBytes(key.jobClass().length());
     }
 
     @Override
     public void write(ByteBuffer out) {
       out.put(TYPE).put(key.level().code());
       Layout.writeText(out, key.jobClass());
-      out.putInt(key.evidenceBits());
+      out.putInt(key.runCountBits());
       scores.write(out);
     }
 
-    private static OfCalibration read(ByteBuffer in, Level level) {
+    private static CalibrationEntry read(ByteBuffer in, Level level) {
       CalibrationKey key = new CalibrationKey(Layout.readText(in), level, in.getInt());
-      return new OfCalibration(key, CalibrationScores.read(in));
+      return new CalibrationEntry(key, CalibrationScores.read(in));
     }
 
     @Override
@@ -90,21 +92,26 @@
     }
   }
 
-  /** What both types of entries have in common. */
+  /** The parts of the layout that both entry types share. */
   final class Layout {
-    /** Of an entry: its type and level, the lengths of its texts, and a number. */
+    /**
+     * The bytes of the entry type, the level, the lengths of up to three strings, and an integer.
+     */
     private static final int FIXED_BYTES = 2 + 4 * Integer.BYTES;
 
     private static final int MAX_BYTES_PER_CHAR = 3;
 
     private Layout() {}
 
-    /** The most bytes of an entry before its histograms, if its texts have so many characters. */
-    private static int maxHeadBytes(int characters) {
+    /**
+     * The maximum number of bytes before the evidence or scores of an entry whose strings have the
+     * given number of characters in total.
+     */
+    private static int maxHeaderBytes(int characters) {
       return FIXED_BYTES + MAX_BYTES_PER_CHAR * characters;
     }
 
-    /** Writes the length in bytes and the text in UTF-8. */
+    /** Writes the length of the text in bytes, followed by its UTF-8 encoding. */
     private static void writeText(ByteBuffer out, String text) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
       out.putInt(bytes.length).put(bytes);
--- a/src/main/java/madderrudder/estimates/Prediction.java
+++ b/src/main/java/madderrudder/estimates/Prediction.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * What is predicted of a task before its prediction interval is calibrated.
+ * The prediction for a task before the calibration of its prediction interval.
  *
- * @param distribution the predictive distribution of its run time
+ * @param distribution the predictive distribution of the run time
  * @param medianMicros the median of the distribution
  * @param logSpreadBelow ln(median / lower quantile), at the reference coverage; above 0
  * @param logSpreadAbove ln(upper quantile / median), at the reference coverage; above 0
- * @param level the level with the largest weight
- * @param runs how many runs of that level it goes by
+ * @param level the level of the component with the largest weight
+ * @param runs the number of runs at that level
  */
 record Prediction(
     PredictiveDistribution distribution,
@@ -21,16 +21,25 @@
     Level level,
     int runs) {
   /**
-   * The coverage of the interval that observations are compared with, whatever coverage is asked
-   * for. The distance of its bounds from the median is the unit of standardized errors.
+   * The nominal coverage of the interval that observations are compared with, independent of the
+   * coverage in queries. The log distances of its uncalibrated bounds from the median are the units
+   * of standardized errors.
    */
   static final double REFERENCE_COVERAGE = 0.8;
 
+  /**
+   * The lower limit of both spreads, which limits standardized errors if nearly all run times are
+   * equal.
+   */
   private static final double MIN_LOG_SPREAD = 0.02;
-  static final double LOWER_QUANTILE = (1 - REFERENCE_COVERAGE) / 2;
-  static final double UPPER_QUANTILE = (1 + REFERENCE_COVERAGE) / 2;
 
-  /** The prediction of the components together; empty if there are none. */
+  /** The probability of the lower quantile at the reference coverage. */
+  static final double LOWER_PROBABILITY = (1 - REFERENCE_COVERAGE) / 2;
+
+  /** The probability of the upper quantile at the reference coverage. */
+  static final double UPPER_PROBABILITY = (1 + REFERENCE_COVERAGE) / 2;
+
+  /** The prediction from the mixture of the components; empty if there are none. */
   static Optional<Prediction> of(List<MixtureComponent> components) {
     if (components.isEmpty()) {
       return Optional.empty();
@@ -38,8 +47,8 @@
     PredictiveDistribution distribution = new PredictiveDistribution();
     components.forEach(component -> component.addTo(distribution));
     double median = distribution.quantile(0.5);
-    double below = Math.log(median / distribution.quantile(LOWER_QUANTILE));
-    double above = Math.log(distribution.quantile(UPPER_QUANTILE) / median);
+    double below = Math.log(median / distribution.quantile(LOWER_PROBABILITY));
+    double above = Math.log(distribution.quantile(UPPER_PROBABILITY) / median);
     MixtureComponent heaviest = heaviest(components);
     return Optional.of(
         new Prediction(
@@ -61,12 +70,12 @@
     return heaviest;
   }
 
-  /** ln(time / median): above 0 if the time is longer than the median. */
+  /** ln(run time / median), which is positive if the run time exceeds the median. */
   double logError(double durationMicros) {
     return Math.log(durationMicros / medianMicros);
   }
 
-  /** The logarithmic error divided by the spread on its side. */
+  /** The log error divided by the log spread on the same side of the median. */
   double standardizedError(double durationMicros) {
     double error = logError(durationMicros);
     return error / (error < 0 ? logSpreadBelow : logSpreadAbove);
--- a/src/main/java/madderrudder/estimates/PredictiveDistribution.java
+++ b/src/main/java/madderrudder/estimates/PredictiveDistribution.java
@@ -3,23 +3,26 @@
 import java.util.Arrays;
 
 /**
- * A mixture of histograms, each with its weight, as one distribution of run times in microseconds.
- * Its density is constant within each bucket. Components are added first; quantiles may be asked
- * for once there is at least one.
+ * A weighted mixture of histograms, as a distribution of run times in microseconds whose density is
+ * constant within each bucket of a component. At least one component must be added before the first
+ * query for a quantile or probability.
  */
 final class PredictiveDistribution {
   /**
-   * The density of the prior, from a fourth of the owner's estimate to four times it in steps of
-   * the square root of two: mostly the estimate is wrong by less than half.
+   * The relative weights of the prior's buckets, whose centers range from a quarter of the owner's
+   * estimate to four times it in steps of a factor of the square root of 2. Most owners' estimates
+   * are wrong by less than half.
    */
-  private static final double[] PRIOR = {1, 2, 4, 6, 8, 6, 4, 2, 1};
+  private static final double[] PRIOR_BUCKET_WEIGHTS = {1, 2, 4, 6, 8, 6, 4, 2, 1};
 
-  private static final double PRIOR_TOTAL = 34;
-  private static final double HALF_PRIOR_STEP = Math.pow(2, 0.25);
+  private static final double PRIOR_TOTAL_WEIGHT = 34;
+
+  /** The factor from a bucket's center to its upper bound. */
+  private static final double HALF_PRIOR_STEP_FACTOR = Math.pow(2, 0.25);
 
   /**
-   * Bits of a sort key that say which bound of which bucket it is; each level has a few hundred
-   * buckets at most.
+   * The number of low bits of a sort key that hold the index of a bound. They suffice for 4,096
+   * buckets; each level has at most a few hundred.
    */
   private static final int INDEX_BITS = 13;
 
@@ -33,33 +36,34 @@
   private int size;
   private double totalWeight;
 
-  /**
-   * The bounds of all buckets in rising order, and the weight below each; null until they are asked
-   * for.
-   */
+  /** The bounds of all buckets in ascending order; null until they are computed on demand. */
   private double[] bounds;
 
+  /** The cumulative weight below each element of {@code bounds}. */
   private double[] weightBelowBound;
 
-  /** Adds a histogram, its values multiplied by the scale, with the weight altogether. */
+  /** Adds a histogram with the given total weight, its values multiplied by the scale. */
   void add(WindowedHistogram histogram, double scale, double weight) {
     WindowedHistogram.Buckets buckets = histogram.buckets();
-    double weightOfValue = weight / histogram.count();
+    double weightPerValue = weight / histogram.count();
     for (int i = 0; i < buckets.size(); i++) {
       addBucket(
           buckets.lowerBounds()[i] * scale,
           buckets.upperBounds()[i] * scale,
-          weightOfValue * buckets.counts()[i]);
+          weightPerValue * buckets.counts()[i]);
     }
     totalWeight += weight;
   }
 
-  /** Adds the prior around the owner's estimate, for what is known where nothing has run. */
+  /** Adds the prior around the owner's estimate with the given total weight. */
   void addPrior(double ownerEstimateMicros, double weight) {
-    for (int i = 0; i < PRIOR.length; i++) {
-      double middle = ownerEstimateMicros * Math.pow(2, (i - PRIOR.length / 2) / 2.0);
+    for (int i = 0; i < PRIOR_BUCKET_WEIGHTS.length; i++) {
+      double middle =
+          ownerEstimateMicros * Math.pow(2, (i - PRIOR_BUCKET_WEIGHTS.length / 2) / 2.0);
       addBucket(
-          middle / HALF_PRIOR_STEP, middle * HALF_PRIOR_STEP, weight * PRIOR[i] / PRIOR_TOTAL);
+          middle / HALF_PRIOR_STEP_FACTOR,
+          middle * HALF_PRIOR_STEP_FACTOR,
+          weight * PRIOR_BUCKET_WEIGHTS[i] / PRIOR_TOTAL_WEIGHT);
     }
     totalWeight += weight;
   }
@@ -76,12 +80,12 @@
     bounds = null;
   }
 
-  /** Sums up the weight below each bound, over all bounds in rising order. */
-  private void accumulate() {
+  /** Computes the cumulative weight below each bound, unless it is up to date. */
+  private void computeCumulativeWeights() {
     if (bounds != null) {
       return;
     }
-    long[] keys = sortedKeys();
+    long[] keys = sortedBoundKeys();
     bounds = new double[keys.length];
     weightBelowBound = new double[keys.length];
     double density = 0;
@@ -100,36 +104,37 @@
   }
 
   /**
-   * The bounds as keys that sort quickly: positive doubles have the order of their bits, and the
-   * lowest bits, which don't matter for the order, say which bound it is.
+   * The bounds as sorted integer keys, which is faster than sorting objects. Positive doubles are
+   * ordered like their bit patterns. The lowest bits, whose effect on the order is negligible, hold
+   * the index of the bound: twice the index of the bucket, plus 1 for its upper bound.
    */
-  private long[] sortedKeys() {
+  private long[] sortedBoundKeys() {
     long[] keys = new long[2 * size];
     for (int i = 0; i < size; i++) {
-      keys[2 * i] = key(lowerBounds[i], 2L * i);
-      keys[2 * i + 1] = key(upperBounds[i], 2L * i + 1);
+      keys[2 * i] = boundKey(lowerBounds[i], 2L * i);
+      keys[2 * i + 1] = boundKey(upperBounds[i], 2L * i + 1);
     }
     Arrays.sort(keys);
     return keys;
   }
 
-  private static long key(double bound, long index) {
+  private static long boundKey(double bound, long index) {
     return (Double.doubleToLongBits(bound) >>> INDEX_BITS << INDEX_BITS) | index;
   }
 
-  /** The share of the distribution below the time, from 0 to 1. */
+  /** The probability of a run time below the given time, from 0 to 1. */
   double cumulativeProbability(double micros) {
     double below = 0;
     for (int i = 0; i < size; i++) {
-      double part = (micros - lowerBounds[i]) / (upperBounds[i] - lowerBounds[i]);
-      below += weights[i] * clampToUnit(part);
+      double fraction = (micros - lowerBounds[i]) / (upperBounds[i] - lowerBounds[i]);
+      below += weights[i] * clampToUnit(fraction);
     }
     return below / totalWeight;
   }
 
-  /** The time in microseconds that the share of the distribution, from 0 to 1, lies below. */
+  /** The quantile of the run time, in microseconds, at the probability from 0 to 1. */
   double quantile(double probability) {
-    accumulate();
+    computeCumulativeWeights();
     int last = bounds.length - 1;
     double target = Math.min(probability * totalWeight, weightBelowBound[last]);
     int upper = 1;
@@ -141,20 +146,21 @@
     if (weightBetween <= 0) {
       return bounds[upper];
     }
-    double part = clampToUnit((target - weightBelowBound[lower]) / weightBetween);
-    return bounds[lower] + (bounds[upper] - bounds[lower]) * part;
+    double fraction = clampToUnit((target - weightBelowBound[lower]) / weightBetween);
+    return bounds[lower] + (bounds[upper] - bounds[lower]) * fraction;
   }
 
   /**
-   * The quantile of the distribution of those that take longer than the time; the time itself if
-   * none does. A time of 0 or less conditions on nothing.
+   * The quantile of the run time, conditional on run times longer than the elapsed time; the
+   * elapsed time itself if none is longer. Unconditional if the elapsed time is 0 or negative.
    */
   double conditionalQuantile(double elapsedMicros, double probability) {
     if (elapsedMicros <= 0) {
       return quantile(probability);
     }
-    double elapsed = cumulativeProbability(elapsedMicros);
-    return Math.max(elapsedMicros, quantile(elapsed + probability * (1 - elapsed)));
+    double probabilityElapsed = cumulativeProbability(elapsedMicros);
+    return Math.max(
+        elapsedMicros, quantile(probabilityElapsed + probability * (1 - probabilityElapsed)));
   }
 
   private static double clampToUnit(double value) {
--- a/src/main/java/madderrudder/estimates/SiblingTasks.java
+++ b/src/main/java/madderrudder/estimates/SiblingTasks.java
@@ -1,16 +1,17 @@
 package madderrudder.estimates;
 
-/** The tasks of one job that have run. */
+/** The observed tasks of one job. */
 final class SiblingTasks {
-  private final WindowedHistogram durations = new WindowedHistogram(Level.JOB.windowRuns);
-  private int learned;
+  private final WindowedHistogram durations = new WindowedHistogram(Level.JOB.generationRuns);
+  private int taskCount;
   private long lastAttempt = -1;
 
   /**
-   * Notes that a task of the attempt has run; false if the previous one was of the same attempt.
-   * The tasks of a gang's attempt run as long as each other: together they are one run.
+   * Records the attempt of an observed task; returns false if the previous task belonged to the
+   * same attempt. The tasks of a gang's attempt have equal run times and therefore count as one
+   * run.
    */
-  boolean beginAttempt(long attempt) {
+  boolean recordAttempt(long attempt) {
     if (lastAttempt == attempt) {
       return false;
     }
@@ -18,20 +19,23 @@
     return true;
   }
 
-  void learn(double durationMicros) {
-    durations.add(HistogramScale.duration(durationMicros));
-    learned++;
+  /** Adds the run time of a task. */
+  void add(double durationMicros) {
+    durations.add(HistogramScale.toStoredDuration(durationMicros));
+    taskCount++;
   }
 
+  /** Whether no run time has been added. */
   boolean isEmpty() {
-    return learned == 0;
+    return taskCount == 0;
   }
 
-  /** Whether the number of tasks learned from is 1, 2, 4, 8 and so on. */
-  boolean countIsPowerOfTwo() {
-    return Integer.bitCount(learned) == 1;
+  /** Whether the number of added run times is a power of two. */
+  boolean isTaskCountPowerOfTwo() {
+    return Integer.bitCount(taskCount) == 1;
   }
 
+  /** The distribution of the latest run times, scaled by {@link HistogramScale}. */
   WindowedHistogram durations() {
     return durations;
   }
--- a/src/main/java/madderrudder/estimates/TaskProfile.java
+++ b/src/main/java/madderrudder/estimates/TaskProfile.java
@@ -3,20 +3,20 @@
 import madderrudder.protocol.Resources;
 
 /**
- * The properties of a task by which runs are compared.
+ * The properties of a task that determine which runs are similar.
  *
  * @param job the name of the job
  * @param jobClass the class of the job
  * @param team the team that owns the job
  * @param image the image that the task runs in
- * @param resources what the task requests of its machine
+ * @param resources the resources that the task requests
  */
 public record TaskProfile(
     String job, String jobClass, String team, String image, Resources resources) {
 
   private static final int BITS_PER_RESOURCE = 6;
 
-  /** The key under which evidence of this task is kept at a level above {@link Level#JOB}. */
+  /** The key of the evidence for this task at a level of {@link EvidenceStore#LEVELS}. */
   ProfileKey keyAt(Level level) {
     return switch (level) {
       case WORK -> new ProfileKey(level, jobClass, team, image, sizeBucket());
@@ -27,7 +27,10 @@
     };
   }
 
-  /** Tasks are of one size if each resource is the same but for a factor of less than two. */
+  /**
+   * The bit lengths of the requested resources, packed into one number. In tasks of the same
+   * bucket, the amounts of each resource differ by a factor of less than 2.
+   */
   private int sizeBucket() {
     return (bitLength(resources.milliCpus()) << (2 * BITS_PER_RESOURCE))
         | (bitLength(resources.milliGpus()) << BITS_PER_RESOURCE)
--- a/src/main/java/madderrudder/estimates/TaskRun.java
+++ b/src/main/java/madderrudder/estimates/TaskRun.java
@@ -1,18 +1,19 @@
 package madderrudder.estimates;
 
 /**
- * One task that has run.
+ * The observed run of one task.
  *
- * @param profile what the task is
- * @param task its number within the job
- * @param attempt the number of the attempt; tasks of a gang that ran together share it
- * @param machineType the type of its machine, or empty if that is not known
- * @param machine the name of its machine, or empty if that is not known
- * @param ownerEstimateMicros the owner's estimate in microseconds, or 0 if there was none
- * @param durationMicros how long it ran in microseconds, without the fetch of its image
- * @param complete false for a run that was stopped, or that resumed what an earlier attempt had
- *     saved: of the whole run time it is only known that it is at least {@code durationMicros} (a
- *     censored observation)
+ * @param profile the properties of the task
+ * @param task the index of the task within its job
+ * @param attempt the number of the attempt, which is shared by the tasks of a gang that ran
+ *     together
+ * @param machineType the type of the machine, or empty if unknown
+ * @param machine the name of the machine, or empty if unknown
+ * @param ownerEstimateMicros the owner's estimate in microseconds, or 0 if there is none
+ * @param durationMicros the run time in microseconds, excluding the fetch of the image
+ * @param complete false for a run that was stopped, or that resumed from a checkpoint of an earlier
+ *     attempt. Its complete run time is only known to be at least {@code durationMicros} (a
+ *     censored observation).
  */
 public record TaskRun(
     TaskProfile profile,
@@ -25,12 +26,12 @@
     boolean complete) {
   private static final long MIN_MICROS = 1_000;
 
-  /** A month. What claims to have run for longer comes from a clock that jumped. */
+  /** 31 days. Longer times result from clock jumps. */
   private static final long MAX_MICROS = 31L * 86_400 * 1_000_000;
 
   /**
-   * Whether its times can be true: it ran between a millisecond and 31 days, and the owner's
-   * estimate is no longer than that. Clocks that jump and edited files give other times.
+   * Whether the run time lies between 1 ms and 31 days, and the owner's estimate between 0 and 31
+   * days. Clock jumps and edited history files cause implausible times.
    */
   public boolean isPlausible() {
     return durationMicros >= MIN_MICROS
--- a/src/main/java/madderrudder/estimates/WindowedHistogram.java
+++ b/src/main/java/madderrudder/estimates/WindowedHistogram.java
@@ -6,35 +6,38 @@
 
 /**
  * The distribution of the latest values, in two generations of histograms. When the current
- * generation is full it becomes the previous one, and what was the previous one is forgotten, so
- * that changes within a day are followed. All histograms have the same bucket bounds, 16 buckets to
- * a doubling, so that merging them gives the same result in any order.
+ * generation is full, it replaces the previous one, so that the distribution follows changes within
+ * a day. All histograms have the same bucket bounds, with 16 buckets per doubling, so that the
+ * result of merging does not depend on the order.
  */
 final class WindowedHistogram {
   private static final int SIGNIFICANT_DIGITS = 1;
   private static final int INITIAL_BUCKETS = 16;
 
-  /** Gives the bucket bounds; it contains no values. */
+  /** An empty histogram that provides the bucket bounds. */
   private static final IntCountsHistogram BUCKET_BOUNDS = emptyHistogram();
 
-  private final int window;
+  private final int generationSize;
   private IntCountsHistogram current = emptyHistogram();
 
-  /** Null until the first generation is full: most profiles are seen a few times only. */
+  /**
+   * Null until the first generation is full, which saves memory because most profiles have few
+   * runs.
+   */
   private IntCountsHistogram previous;
 
   /**
-   * The buckets of both generations, built when they are asked for after a change: they are asked
-   * for more often than they change. Null after a change.
+   * The cached buckets of both generations; null after a change. They are read more often than they
+   * change.
    */
   private Buckets buckets;
 
   /**
-   * The buckets that contain values, in rising order.
+   * The non-empty buckets, in ascending order.
    *
-   * @param lowerBounds the least value of each bucket
-   * @param upperBounds the least value above each bucket
-   * @param counts how many values are in each bucket
+   * @param lowerBounds the smallest value of each bucket
+   * @param upperBounds the smallest value above each bucket
+   * @param counts the number of values in each bucket
    */
   record Buckets(double[] lowerBounds, double[] upperBounds, double[] counts) {
     int size() {
@@ -42,9 +45,9 @@
     }
   }
 
-  /** {@code window} is the number of values in one generation. */
-  WindowedHistogram(int window) {
-    this.window = window;
+  /** {@code generationSize} is the number of values in one generation. */
+  WindowedHistogram(int generationSize) {
+    this.generationSize = generationSize;
   }
 
   private static IntCountsHistogram emptyHistogram() {
@@ -53,8 +56,9 @@
     return histogram;
   }
 
+  /** Adds a value; if the current generation is full, starts a new one. */
   void add(long value) {
-    if (current.getTotalCount() >= window) {
+    if (current.getTotalCount() >= generationSize) {
       previous = current;
       current = emptyHistogram();
     }
@@ -62,8 +66,8 @@
     buckets = null;
   }
 
-  /** Forgets all values but these. */
-  void restart(long[] values) {
+  /** Replaces all values with the given ones. */
+  void resetTo(long[] values) {
     previous = null;
     current = emptyHistogram();
     for (long value : values) {
@@ -74,11 +78,11 @@
 
   /** The number of values in both generations. */
   int count() {
-    long ofPrevious = previous == null ? 0 : previous.getTotalCount();
-    return (int) (current.getTotalCount() + ofPrevious);
+    long previousCount = previous == null ? 0 : previous.getTotalCount();
+    return (int) (current.getTotalCount() + previousCount);
   }
 
-  /** The buckets of both generations together. */
+  /** The non-empty buckets of both generations together. */
   Buckets buckets() {
     if (buckets == null) {
       buckets = collectBuckets();
@@ -87,18 +91,18 @@
   }
 
   private Buckets collectBuckets() {
-    long greatest = current.getMaxValue();
-    long least = current.getMinNonZeroValue();
+    long maxValue = current.getMaxValue();
+    long minValue = current.getMinNonZeroValue();
     if (previous != null) {
-      greatest = Math.max(greatest, previous.getMaxValue());
-      least = Math.min(least, previous.getMinNonZeroValue());
+      maxValue = Math.max(maxValue, previous.getMaxValue());
+      minValue = Math.min(minValue, previous.getMinNonZeroValue());
     }
     double[] lowerBounds = new double[INITIAL_BUCKETS];
     double[] upperBounds = new double[INITIAL_BUCKETS];
     double[] counts = new double[INITIAL_BUCKETS];
     int size = 0;
-    for (long value = least;
-        value <= greatest;
+    for (long value = minValue;
+        value <= maxValue;
         value = BUCKET_BOUNDS.nextNonEquivalentValue(value)) {
       long count = count(current, value) + count(previous, value);
       if (count > 0) {
@@ -119,9 +123,10 @@
   }
 
   /**
-   * The count in the value's bucket. Asked for a value beyond its last bucket, a histogram answers
-   * with the count of the last one. (What it calls its highest trackable value lies below values
-   * that its first array takes in: going by that, the newest run was overlooked.)
+   * The number of values in the bucket of the value. The comparison with the maximum value is
+   * required because, for a value beyond its last bucket, HdrHistogram returns the count of the
+   * last bucket. Its highest trackable value must not be used for this comparison: the initial
+   * counts array also accepts larger values, which would be missed.
    */
   private static long count(IntCountsHistogram generation, long value) {
     return generation == null || value > generation.getMaxValue()
@@ -129,7 +134,10 @@
         : generation.getCountAtValue(value);
   }
 
-  /** Adds the values of another, generation by generation, so that the order does not matter. */
+  /**
+   * Adds the values of the other histogram to the same generations, so that the result does not
+   * depend on the order of merges.
+   */
   void merge(WindowedHistogram other) {
     current.add(other.current);
     if (previous == null) {
@@ -141,34 +149,34 @@
   }
 
   /**
-   * Writes both generations as one. When it is read again that one is the current generation, which
-   * is replaced with the next value if it is full.
+   * Writes both generations as a single one. {@link #read} restores it as the current generation,
+   * which the next value replaces if it is full.
    */
   void write(ByteBuffer out) {
     if (previous == null) {
       current.encodeIntoByteBuffer(out);
     } else {
-      IntCountsHistogram both = previous.copy();
-      both.setAutoResize(true);
-      both.add(current);
-      both.encodeIntoByteBuffer(out);
+      IntCountsHistogram merged = previous.copy();
+      merged.setAutoResize(true);
+      merged.add(current);
+      merged.encodeIntoByteBuffer(out);
     }
   }
 
-  /** The most bytes that {@link #write} needs. */
+  /** The maximum number of bytes that {@link #write} writes. */
   int maxBytes() {
-    int ofPrevious = previous == null ? 0 : previous.getNeededByteBufferCapacity();
-    return Math.max(current.getNeededByteBufferCapacity(), ofPrevious);
+    int previousBytes = previous == null ? 0 : previous.getNeededByteBufferCapacity();
+    return Math.max(current.getNeededByteBufferCapacity(), previousBytes);
   }
 
   /**
-   * Reads what {@link #write} wrote; throws a RuntimeException of the library's if the bytes are
-   * not a histogram's.
+   * Reads the format of {@link #write}; throws a RuntimeException if the bytes are not a valid
+   * histogram.
    */
-  static WindowedHistogram read(ByteBuffer in, int window) {
-    WindowedHistogram read = new WindowedHistogram(window);
-    read.current = readGeneration(in);
-    return read;
+  static WindowedHistogram read(ByteBuffer in, int generationSize) {
+    WindowedHistogram histogram = new WindowedHistogram(generationSize);
+    histogram.current = readGeneration(in);
+    return histogram;
   }
 
   private static IntCountsHistogram readGeneration(ByteBuffer in) {
@@ -176,7 +184,7 @@
     int digits = histogram.getNumberOfSignificantValueDigits();
     if (digits != SIGNIFICANT_DIGITS) {
       throw new IllegalArgumentException(
-          "a histogram of " + digits + " significant digits, not " + SIGNIFICANT_DIGITS);
+          "histogram has " + digits + " significant digits, expected " + SIGNIFICANT_DIGITS);
     }
     histogram.setAutoResize(true);
     return histogram;
--- a/src/test/java/madderrudder/estimates/EstimatePagesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatePagesTest.java
@@ -1,7 +1,7 @@
 package madderrudder.estimates;
 
-import static madderrudder.estimates.EstimatePagesPropertiesTest.PAGES;
 import static madderrudder.estimates.EstimatePagesPropertiesTest.PAGE_BYTES;
+import static madderrudder.estimates.EstimatePagesPropertiesTest.PAGE_COUNT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -12,11 +12,14 @@
 import madderrudder.estimates.MalformedPageException.Reason;
 import org.junit.jupiter.api.Test;
 
-/** Reading pages that are stored, and the reasons why some can't be read. */
+/**
+ * Guards the format of stored pages: a leader must be able to read pages of earlier versions of the
+ * program, and must report why a page is malformed.
+ */
 class EstimatePagesTest {
   /**
-   * The only page of an estimator that had observed jobs of 81 to 92 s, whose owner's estimate was
-   * 60 s, as it was written before the types of this package were renamed.
+   * The only page of an estimator that observed jobs of 81 to 92 s with an owner's estimate of 60
+   * s. An earlier version of the program wrote it, so it fails to load if the format changes.
    */
   private static final String STORED_PAGE =
       "AQAAAAAruHl6eAFjYGDgYWJkgABmmZbJwkAmN5QPE4fS7P/tP0BkDjMysTMxMPGycDNBtaApZYDx"
@@ -26,47 +29,48 @@
           + "CgC4aH05";
 
   @Test
-  void pageInItsStoredFormIsRead() throws MalformedPageException {
+  void readsPageWrittenByEarlierVersion() throws MalformedPageException {
     Estimator estimator = new Estimator(100, 100);
     new EstimatePages(estimator, 1, PAGE_BYTES).read(STORED_PAGE);
     assertEquals(4, estimator.size());
     assertEquals(
         new Estimate(89_971_398, 85_274_709, 93_014_345, 0.8, 8, Level.WORK, Basis.RATIO),
-        Runs.ask(estimator, "class", 60));
+        TaskRunFixture.estimate(estimator, "class", 60));
     assertEquals(
         List.of(new ClassSummary("class", 8, 1.425, 1.5, 1.55, 0.8)), estimator.classes(5));
   }
 
-  private static MalformedPageException refused(String text) {
-    EstimatePages pages = new EstimatePages(new Estimator(100, 100), PAGES, PAGE_BYTES);
+  private static MalformedPageException readFailure(String text) {
+    EstimatePages pages = new EstimatePages(new Estimator(100, 100), PAGE_COUNT, PAGE_BYTES);
     return assertThrows(MalformedPageException.class, () -> pages.read(text));
   }
 
-  private static byte[] somePage() {
-    Estimator estimator = EstimatorPropertiesTest.learned(List.of(1.0, 2.0, 40.0, 3.5), 60);
+  private static byte[] encodedPage() {
+    Estimator estimator =
+        EstimatorPropertiesTest.trainedEstimator(List.of(1.0, 2.0, 40.0, 3.5), 60);
     return Base64.getDecoder().decode(EstimatePagesPropertiesTest.pages(estimator).get(0));
   }
 
   @Test
-  void pageOfAnotherVersionIsNamedAsSuch() {
-    byte[] page = somePage();
+  void reportsUnsupportedVersion() {
+    byte[] page = encodedPage();
     page[0]++;
-    MalformedPageException refused = refused(Base64.getEncoder().encodeToString(page));
-    assertEquals(Reason.UNSUPPORTED_VERSION, refused.reason());
-    assertEquals("it is of version 2, only 1 is supported", refused.getMessage());
+    MalformedPageException failure = readFailure(Base64.getEncoder().encodeToString(page));
+    assertEquals(Reason.UNSUPPORTED_VERSION, failure.reason());
+    assertEquals("unsupported page version 2, expected 1", failure.getMessage());
   }
 
   @Test
-  void pageThatWasCutIsNamedByItsChecksum() {
-    byte[] page = somePage();
+  void reportsChecksumMismatchOfTruncatedPage() {
+    byte[] page = encodedPage();
     byte[] cut = Arrays.copyOf(page, page.length - 1);
     assertEquals(
-        Reason.CHECKSUM_MISMATCH, refused(Base64.getEncoder().encodeToString(cut)).reason());
+        Reason.CHECKSUM_MISMATCH, readFailure(Base64.getEncoder().encodeToString(cut)).reason());
   }
 
   @Test
-  void textThatIsNoPageIsNamedAsInvalid() {
-    assertEquals(Reason.INVALID_CONTENT, refused("").reason());
-    assertEquals(Reason.INVALID_CONTENT, refused("no page!").reason());
+  void reportsInvalidContentOfOtherText() {
+    assertEquals(Reason.INVALID_CONTENT, readFailure("").reason());
+    assertEquals(Reason.INVALID_CONTENT, readFailure("no page!").reason());
   }
 }
--- a/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorPropertiesTest.java
@@ -14,83 +14,99 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.DoubleRange;
 
-/** Properties of estimates for any history. */
+/**
+ * Guards against estimates outside the range of the observed run times, against a large influence
+ * of single outliers, and against merges whose result depends on their order.
+ */
 class EstimatorPropertiesTest {
-  /** A step of the grid is a sixteenth of its lower end at most. */
-  private static final double STEP = 17.0 / 16;
+  /** The maximum ratio of the upper to the lower bound of a histogram bucket. */
+  private static final double MAX_BUCKET_RATIO = 17.0 / 16;
 
-  private static final double MOST = 64;
+  /** The maximum factor between the median and a bound of the prediction interval. */
+  private static final double MAX_FACTOR = 64;
 
   @Provide
   Arbitrary<List<Double>> times() {
     return Arbitraries.doubles().between(0.5, 5_000).ofScale(3).list().ofMinSize(1).ofMaxSize(60);
   }
 
-  static Estimator learned(List<Double> timesS, double guessS) {
+  static Estimator trainedEstimator(List<Double> timesS, double ownerEstimateS) {
     Estimator estimator = new Estimator(100, 100);
-    timesS.forEach(time -> estimator.observe(Runs.of("class", guessS, time)));
+    timesS.forEach(time -> estimator.observe(TaskRunFixture.run("class", ownerEstimateS, time)));
     return estimator;
   }
 
   /**
-   * Without a guess nothing but what was observed enters; the bounds may lie a factor of 64 from
-   * the median at most.
+   * Without an owner's estimate, estimates depend on the observed runs only. The bounds lie within
+   * a factor of 64 of the median.
    */
   @Property(tries = 200)
   void estimateLiesWithinTheObservedTimes(
       @ForAll("times") List<Double> timesS,
-      @ForAll @DoubleRange(min = 0.1, max = 0.95) double share) {
-    Estimator estimator = learned(timesS, 0);
+      @ForAll @DoubleRange(min = 0.1, max = 0.95) double coverage) {
+    Estimator estimator = trainedEstimator(timesS, 0);
     Estimate estimate =
-        estimator.estimate(new EstimateQuery(Runs.profile("new", "class"), 0, "", 0, share));
-    double least = 1e6 * Collections.min(timesS) / STEP;
-    double most = 1e6 * Collections.max(timesS) * STEP;
+        estimator.estimate(
+            new EstimateQuery(TaskRunFixture.profile("new", "class"), 0, "", 0, coverage));
+    double minMicros = 1e6 * Collections.min(timesS) / MAX_BUCKET_RATIO;
+    double maxMicros = 1e6 * Collections.max(timesS) * MAX_BUCKET_RATIO;
     assertTrue(
-        estimate.medianMicros() >= least && estimate.medianMicros() <= most,
+        estimate.medianMicros() >= minMicros && estimate.medianMicros() <= maxMicros,
         estimate + " of " + timesS);
     assertTrue(
         estimate.lowMicros() <= estimate.medianMicros()
             && estimate.medianMicros() <= estimate.highMicros());
-    assertTrue(estimate.lowMicros() >= least / MOST && estimate.highMicros() <= MOST * most);
+    assertTrue(
+        estimate.lowMicros() >= minMicros / MAX_FACTOR
+            && estimate.highMicros() <= MAX_FACTOR * maxMicros);
   }
 
   /**
-   * Whatever has run, one outlier more moves the estimate no further than to the next that was seen
-   * on either side.
+   * A single outlier moves the median at most to the largest other observation, up to one histogram
+   * bucket.
    */
   @Property(tries = 200)
-  void oneOutlierMovesTheMedianALittle(@ForAll("times") List<Double> timesS) {
-    List<Double> many = new ArrayList<>(timesS);
-    while (many.size() < 12) {
-      many.addAll(timesS);
+  void singleOutlierBarelyMovesTheMedian(@ForAll("times") List<Double> timesS) {
+    List<Double> manyTimesS = new ArrayList<>(timesS);
+    while (manyTimesS.size() < 12) {
+      manyTimesS.addAll(timesS);
     }
-    Estimator estimator = learned(many, 0);
-    double before = Runs.ask(estimator, "class", 0).medianMicros() / 1e6;
-    estimator.observe(Runs.of("class", 0, 1e6));
-    double after = Runs.ask(estimator, "class", 0).medianMicros() / 1e6;
+    Estimator estimator = trainedEstimator(manyTimesS, 0);
+    double before = TaskRunFixture.estimate(estimator, "class", 0).medianMicros() / 1e6;
+    estimator.observe(TaskRunFixture.run("class", 0, 1e6));
+    double after = TaskRunFixture.estimate(estimator, "class", 0).medianMicros() / 1e6;
     assertTrue(
-        after <= STEP * Collections.max(many) || after <= before * STEP,
-        "from " + before + " to " + after + " by an outlier among " + many);
+        after <= MAX_BUCKET_RATIO * Collections.max(manyTimesS)
+            || after <= before * MAX_BUCKET_RATIO,
+        "from " + before + " to " + after + " by an outlier among " + manyTimesS);
   }
 
-  /** Counts on one grid add up the same in whatever order. */
+  /**
+   * All histograms have the same bucket bounds, so the sums of their counts do not depend on the
+   * order of merges.
+   */
   @Property(tries = 100)
-  void mergingGivesTheSameInAnyOrder(
-      @ForAll("times") List<Double> one,
-      @ForAll("times") List<Double> two,
-      @ForAll("times") List<Double> three,
+  void mergeResultIsIndependentOfOrder(
+      @ForAll("times") List<Double> firstS,
+      @ForAll("times") List<Double> secondS,
+      @ForAll("times") List<Double> thirdS,
       @ForAll Random random) {
-    List<List<Double>> parts = new ArrayList<>(List.of(one, two, three));
-    Estimator straight = new Estimator(100, 100);
-    parts.forEach(part -> straight.merge(learned(part, 60)));
+    List<List<Double>> parts = new ArrayList<>(List.of(firstS, secondS, thirdS));
+    Estimator inOrder = new Estimator(100, 100);
+    parts.forEach(part -> inOrder.merge(trainedEstimator(part, 60)));
     Collections.shuffle(parts, random);
     Estimator shuffled = new Estimator(100, 100);
-    parts.forEach(part -> shuffled.merge(learned(part, 60)));
-    Estimate a = Runs.ask(straight, "class", 60);
-    Estimate b = Runs.ask(shuffled, "class", 60);
-    // The losses by which ratio or time is chosen are means, and may differ in their last digits.
-    assertEquals(a.runs(), b.runs());
-    assertEquals((double) a.medianMicros(), (double) b.medianMicros(), a.medianMicros() / 1e5);
-    assertEquals((double) a.highMicros(), (double) b.highMicros(), a.highMicros() / 1e5);
+    parts.forEach(part -> shuffled.merge(trainedEstimator(part, 60)));
+    Estimate expected = TaskRunFixture.estimate(inOrder, "class", 60);
+    Estimate actual = TaskRunFixture.estimate(shuffled, "class", 60);
+    // The losses that select the basis are floating-point means, which may differ by rounding
+    // errors.
+    assertEquals(expected.runs(), actual.runs());
+    assertEquals(
+        (double) expected.medianMicros(),
+        (double) actual.medianMicros(),
+        expected.medianMicros() / 1e5);
+    assertEquals(
+        (double) expected.highMicros(), (double) actual.highMicros(), expected.highMicros() / 1e5);
   }
 }
--- a/src/test/java/madderrudder/estimates/EstimatorTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorTest.java
@@ -1,8 +1,8 @@
 package madderrudder.estimates;
 
-import static madderrudder.estimates.Runs.SECOND;
-import static madderrudder.estimates.Runs.ask;
-import static madderrudder.estimates.Runs.logNormal;
+import static madderrudder.estimates.TaskRunFixture.MICROS_PER_SECOND;
+import static madderrudder.estimates.TaskRunFixture.estimate;
+import static madderrudder.estimates.TaskRunFixture.logNormal;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Estimates from difficult histories; isolated, since one test measures memory. */
+/**
+ * Guards against wrong estimates for histories with sparse, noisy, censored or changing data, and
+ * against unbounded memory. Isolated because one test measures the used memory.
+ */
 @Isolated
 class EstimatorTest {
   private final Estimator estimator = new Estimator(1_000, 1_000);
@@ -26,13 +29,18 @@
 
   private void assertNear(double seconds, long micros, double factor) {
     assertTrue(
-        micros >= seconds * SECOND / factor && micros <= seconds * SECOND * factor,
+        micros >= seconds * MICROS_PER_SECOND / factor
+            && micros <= seconds * MICROS_PER_SECOND * factor,
         micros / 1e6 + " s is not within a factor of " + factor + " of " + seconds + " s");
   }
 
   private static EstimateQuery query(String job, String machineType, long elapsedMicros) {
     return new EstimateQuery(
-        Runs.profile(job, "class"), 60 * SECOND, machineType, elapsedMicros, 0.8);
+        TaskRunFixture.profile(job, "class"),
+        60 * MICROS_PER_SECOND,
+        machineType,
+        elapsedMicros,
+        0.8);
   }
 
   private static TaskRun onMachine(TaskRun run, String machineType, String machine) {
@@ -48,67 +56,70 @@
   }
 
   @Test
-  void newClassStartsFromTheOwnerEstimateWithoutConfidence() {
-    Estimate estimate = ask(estimator, "new", 100);
+  void newClassUsesOwnerEstimateWithoutConfidence() {
+    Estimate estimate = estimate(estimator, "new", 100);
     assertNear(100, estimate.medianMicros(), 1.05);
     assertEquals(Level.NONE, estimate.level());
     assertFalse(estimate.isConfident());
     assertTrue(
-        estimate.highMicros() > 2 * estimate.lowMicros(), "an interval as if it were confident");
+        estimate.highMicros() > 2 * estimate.lowMicros(),
+        "the interval is too narrow for an estimate without runs");
   }
 
-  /** Owners of other classes estimate twice as long as it takes: so may those of this one. */
+  /**
+   * Owners' estimates of another class are twice the run times, so those of a new class are halved.
+   */
   @Test
   void newClassIsCorrectedByTheRatiosOfOtherClasses() {
     for (int i = 0; i < 100; i++) {
-      estimator.observe(Runs.of("other", 60, 30 * logNormal(random, 0.1)));
+      estimator.observe(TaskRunFixture.run("other", 60, 30 * logNormal(random, 0.1)));
     }
-    Estimate estimate = ask(estimator, "new", 100);
+    Estimate estimate = estimate(estimator, "new", 100);
     assertNear(50, estimate.medianMicros(), 1.15);
     assertEquals(Level.ALL, estimate.level());
     assertFalse(estimate.isConfident());
   }
 
   @Test
-  void isUnknownWithoutOwnerEstimateAndHistory() {
-    assertTrue(ask(estimator, "new", 0).isUnknown());
+  void estimateIsUnknownWithoutOwnerEstimateAndRuns() {
+    assertTrue(estimate(estimator, "new", 0).isUnknown());
   }
 
   @Test
-  void timesOfOtherClassesSayNothingWithoutAnOwnerEstimate() {
-    estimator.observe(Runs.of("other", 0, 30));
-    assertTrue(ask(estimator, "new", 0).isUnknown(), "times of other classes say nothing");
+  void runTimesOfOtherClassesAreIgnoredWithoutOwnerEstimate() {
+    estimator.observe(TaskRunFixture.run("other", 0, 30));
+    assertTrue(estimate(estimator, "new", 0).isUnknown(), "run times of other classes were used");
   }
 
   @Test
-  void timesOfTheClassAreEnoughWithoutAnOwnerEstimate() {
-    estimator.observe(Runs.of("other", 0, 30));
-    estimator.observe(Runs.of("new", 0, 20));
-    assertNear(20, ask(estimator, "new", 0).medianMicros(), 1.05);
+  void runTimesOfTheClassSufficeWithoutOwnerEstimate() {
+    estimator.observe(TaskRunFixture.run("other", 0, 30));
+    estimator.observe(TaskRunFixture.run("new", 0, 20));
+    assertNear(20, estimate(estimator, "new", 0).medianMicros(), 1.05);
   }
 
-  /** One run that takes a hundred times as long. */
+  /** A single run that takes a hundred times as long as the others barely moves the estimate. */
   @ParameterizedTest
   @ValueSource(ints = {5, 500})
-  void oneOutlierHardlyMovesTheEstimate(int others) {
-    for (int i = 0; i < others; i++) {
-      estimator.observe(Runs.of("class", 60, 60 * logNormal(random, 0.05)));
+  void singleOutlierBarelyMovesTheEstimate(int otherRuns) {
+    for (int i = 0; i < otherRuns; i++) {
+      estimator.observe(TaskRunFixture.run("class", 60, 60 * logNormal(random, 0.05)));
     }
-    Estimate before = ask(estimator, "class", 60);
-    estimator.observe(Runs.of("class", 60, 6_000));
-    Estimate after = ask(estimator, "class", 60);
+    Estimate before = estimate(estimator, "class", 60);
+    estimator.observe(TaskRunFixture.run("class", 60, 6_000));
+    Estimate after = estimate(estimator, "class", 60);
     assertNear(before.medianMicros() / 1e6, after.medianMicros(), 1.15);
-    if (others > 100) {
+    if (otherRuns > 100) {
       assertNear(before.highMicros() / 1e6, after.highMicros(), 1.3);
     }
   }
 
   @Test
-  void runsOnAFaultyMachineAreSetAside() {
+  void runsOnFaultyMachineAreExcluded() {
     for (int i = 0; i < 300; i++) {
       boolean faulty = i % 3 == 0;
       estimator.observe(
-          Runs.of(
+          TaskRunFixture.run(
               "job-" + i,
               0,
               "class",
@@ -117,37 +128,49 @@
               (faulty ? 240 : 60) * logNormal(random, 0.1),
               true));
     }
-    assertNear(60, ask(estimator, "class", 60).medianMicros(), 1.1);
+    assertNear(60, estimate(estimator, "class", 60).medianMicros(), 1.1);
     List<String> counts = new ArrayList<>();
     estimator.counts().each((name, count) -> counts.add(name + " " + count));
     assertTrue(
         counts.stream().anyMatch(text -> text.matches("set_aside [6-9]\\d")), counts.toString());
   }
 
-  /** Runs are stopped at any time, so that of the longer ones fewer complete. */
+  /**
+   * Long runs are censored more often than short ones, so the complete runs alone underestimate the
+   * median.
+   */
   @Test
-  void stoppedRunsCountAsLowerBounds() {
-    Estimator ofCompleteRuns = new Estimator(1_000, 1_000);
-    double sumWithStopped = 0;
+  void censoredRunsCountAsLowerBounds() {
+    Estimator completeRunsEstimator = new Estimator(1_000, 1_000);
+    double sumWithCensored = 0;
     double sumOfComplete = 0;
     for (int i = 0; i < 900; i++) {
-      double whole = 60 * logNormal(random, 0.5);
-      double stop = 20 + 100 * random.nextDouble();
+      double completeS = 60 * logNormal(random, 0.5);
+      double censoredAtS = 20 + 100 * random.nextDouble();
       TaskRun run =
-          Runs.of("job-" + i, 0, "class", "m-" + i % 50, 60, Math.min(whole, stop), whole <= stop);
+          TaskRunFixture.run(
+              "job-" + i,
+              0,
+              "class",
+              "m-" + i % 50,
+              60,
+              Math.min(completeS, censoredAtS),
+              completeS <= censoredAtS);
       estimator.observe(run);
       if (run.complete()) {
-        ofCompleteRuns.observe(run);
+        completeRunsEstimator.observe(run);
       }
-      sumWithStopped += i >= 100 ? ask(estimator, "class", 60).medianMicros() / 1e6 : 0;
-      sumOfComplete += i >= 100 ? ask(ofCompleteRuns, "class", 60).medianMicros() / 1e6 : 0;
+      sumWithCensored += i >= 100 ? estimate(estimator, "class", 60).medianMicros() / 1e6 : 0;
+      sumOfComplete +=
+          i >= 100 ? estimate(completeRunsEstimator, "class", 60).medianMicros() / 1e6 : 0;
     }
-    assertTrue(sumOfComplete / 800 < 53, "nothing to correct: " + sumOfComplete / 800);
+    assertTrue(
+        sumOfComplete / 800 < 53, "complete runs alone show no bias: " + sumOfComplete / 800);
     assertEquals(
         60,
-        sumWithStopped / 800,
+        sumWithCensored / 800,
         3,
-        "the mean of the medians, " + sumOfComplete / 800 + " without what was stopped");
+        "mean of the medians; " + sumOfComplete / 800 + " without censored runs");
   }
 
   @Test
@@ -155,7 +178,8 @@
     for (int job = 0; job < 10; job++) {
       for (int task = 0; task < 50; task++) {
         TaskRun one =
-            Runs.of("gang-" + job, task, "class", "m-" + task, 60, job == 0 ? 600 : 60, true);
+            TaskRunFixture.run(
+                "gang-" + job, task, "class", "m-" + task, 60, job == 0 ? 600 : 60, true);
         estimator.observe(
             new TaskRun(
                 one.profile(),
@@ -168,44 +192,49 @@
                 true));
       }
     }
-    assertNear(60, ask(estimator, "class", 60).medianMicros(), 1.1);
+    assertNear(60, estimate(estimator, "class", 60).medianMicros(), 1.1);
   }
 
-  /** The tasks of one job are more alike than its class is. */
+  /** Tasks of the same job are more similar than tasks of the same class. */
   @Test
-  void tasksOfTheSameJobWeighMost() {
+  void tasksOfSameJobHaveLargestWeight() {
     for (int i = 0; i < 50; i++) {
-      estimator.observe(Runs.of("class", 60, 60 * logNormal(random, 0.6)));
+      estimator.observe(TaskRunFixture.run("class", 60, 60 * logNormal(random, 0.6)));
     }
     for (int task = 0; task < 8; task++) {
       estimator.observe(
-          Runs.of("array", task, "class", "m-" + task, 60, 200 * logNormal(random, 0.02), true));
+          TaskRunFixture.run(
+              "array", task, "class", "m-" + task, 60, 200 * logNormal(random, 0.02), true));
     }
     Estimate estimate = estimator.estimate(query("array", "", 0));
     assertNear(200, estimate.medianMicros(), 1.1);
     assertEquals(Level.JOB, estimate.level());
   }
 
-  /** Owners' estimates were half of the truth and are twice it from one job to the next. */
+  /** Owners' estimates change from half to twice the run times between two jobs. */
   @Test
-  void followsOwnerEstimatesThatChangeAtOnce() {
+  void adaptsToAbruptChangeOfOwnerEstimates() {
     for (int i = 0; i < 200; i++) {
       double size = logNormal(random, 1);
-      estimator.observe(Runs.of("class", 30 * size, 60 * size * logNormal(random, 0.1)));
+      estimator.observe(TaskRunFixture.run("class", 30 * size, 60 * size * logNormal(random, 0.1)));
     }
-    int runs = 0;
-    while (Math.abs(ask(estimator, "class", 120).medianMicros() / 60e6 - 1) > 0.25) {
+    int runsUntilAdapted = 0;
+    while (Math.abs(estimate(estimator, "class", 120).medianMicros() / 60e6 - 1) > 0.25) {
       double size = logNormal(random, 1);
-      estimator.observe(Runs.of("class", 120 * size, 60 * size * logNormal(random, 0.1)));
-      runs++;
+      estimator.observe(
+          TaskRunFixture.run("class", 120 * size, 60 * size * logNormal(random, 0.1)));
+      runsUntilAdapted++;
     }
-    assertTrue(runs <= 2 * Evidence.CHANGE_POINT_STREAK, "it took " + runs + " runs to follow");
+    assertTrue(
+        runsUntilAdapted <= 2 * Evidence.CHANGE_POINT_STREAK,
+        "it took " + runsUntilAdapted + " runs to adapt");
   }
 
   @Test
-  void machineTypesHaveSpeedFactors() {
+  void estimatesDependOnSpeedOfMachineType() {
     for (int i = 0; i < 1_200; i++) {
-      TaskRun run = Runs.of("class", 60, (i % 2 == 0 ? 60 : 120) * logNormal(random, 0.05));
+      TaskRun run =
+          TaskRunFixture.run("class", 60, (i % 2 == 0 ? 60 : 120) * logNormal(random, 0.05));
       estimator.observe(onMachine(run, i % 2 == 0 ? "fast" : "slow", "m-" + i % 40));
     }
     assertNear(85, estimator.estimate(query("new", "", 0)).medianMicros(), 1.15);
@@ -214,13 +243,15 @@
   }
 
   /**
-   * Tasks with heavy tails on machines of one speed: types once seemed a fourth faster than
-   * themselves.
+   * Guards against spurious speed factors: heavy-tailed run times on machine types of equal speed
+   * once made a type seem 25% faster.
    */
   @Test
-  void machineTypesOfOneSpeedHaveNoFactor() {
+  void machineTypesOfEqualSpeedHaveNoSpeedFactor() {
     for (int i = 0; i < 3_000; i++) {
-      TaskRun run = Runs.of("class-" + i % 3, 60, 60 * Math.pow(1 - random.nextDouble(), -1 / 1.5));
+      TaskRun run =
+          TaskRunFixture.run(
+              "class-" + i % 3, 60, 60 * Math.pow(1 - random.nextDouble(), -1 / 1.5));
       estimator.observe(onMachine(run, "type-" + i % 2, "m-" + i % 40));
       if (i >= 1_000 && i % 50 == 0) {
         String why =
@@ -232,40 +263,42 @@
     }
   }
 
-  /** Runs that ended sooner say nothing about a task that is still running. */
+  /** Runs shorter than the elapsed time carry no information about a running task. */
   @Test
-  void runningTaskIsEstimatedByRunsThatTakeLonger() {
+  void estimateOfRunningTaskIsConditionalOnLongerRuns() {
     for (int i = 0; i < 200; i++) {
-      estimator.observe(Runs.of("class", 60, (i % 2 == 0 ? 20 : 100) * logNormal(random, 0.05)));
+      estimator.observe(
+          TaskRunFixture.run("class", 60, (i % 2 == 0 ? 20 : 100) * logNormal(random, 0.05)));
     }
-    Estimate running = estimator.estimate(query("new", "", 40 * SECOND));
+    Estimate running = estimator.estimate(query("new", "", 40 * MICROS_PER_SECOND));
     assertNear(100, running.medianMicros(), 1.25);
-    assertTrue(running.lowMicros() >= 40 * SECOND);
+    assertTrue(running.lowMicros() >= 40 * MICROS_PER_SECOND);
   }
 
   @Test
-  void taskThatRunsForLongerThanAllOthersIsExpectedToRunOn() {
+  void estimateIsAtLeastElapsedTimeBeyondAllRuns() {
     for (int i = 0; i < 200; i++) {
-      estimator.observe(Runs.of("class", 60, (i % 2 == 0 ? 20 : 100) * logNormal(random, 0.05)));
+      estimator.observe(
+          TaskRunFixture.run("class", 60, (i % 2 == 0 ? 20 : 100) * logNormal(random, 0.05)));
     }
-    Estimate beyondAll = estimator.estimate(query("new", "", 5_000 * SECOND));
-    assertTrue(beyondAll.medianMicros() >= 5_000 * SECOND);
+    Estimate estimate = estimator.estimate(query("new", "", 5_000 * MICROS_PER_SECOND));
+    assertTrue(estimate.medianMicros() >= 5_000 * MICROS_PER_SECOND);
   }
 
   @ParameterizedTest
   @CsvSource({"60, 0", "60, -5", "-1, 60", "60, 9e9", "9e9, 60"})
-  void implausibleRunsAreRefused(double ownerEstimateS, double durationS) {
-    assertFalse(estimator.observe(Runs.of("class", ownerEstimateS, durationS)));
+  void implausibleRunsAreRejected(double ownerEstimateS, double durationS) {
+    assertFalse(estimator.observe(TaskRunFixture.run("class", ownerEstimateS, durationS)));
     assertEquals(0, estimator.size());
-    assertNear(60, ask(estimator, "class", 60).medianMicros(), 1.05);
+    assertNear(60, estimate(estimator, "class", 60).medianMicros(), 1.05);
   }
 
-  /** Each run is of a class of its own. */
+  /** Each run belongs to a different class. */
   @Test
   void memoryIsBoundedByTheNumberOfProfiles() {
     System.gc();
     long before = usedBytes();
-    observeClassesOfOneRun(100_000);
+    observeSingleRunClasses(100_000);
     System.gc();
     long grown = usedBytes() - before;
     assertTrue(grown < 24_000_000, "100,000 classes take " + grown + " bytes");
@@ -275,30 +308,30 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  private void observeClassesOfOneRun(int classes) {
+  private void observeSingleRunClasses(int classes) {
     for (int i = 0; i < classes; i++) {
-      estimator.observe(Runs.of("class-" + i, 60, 60 * logNormal(random, 1)));
+      estimator.observe(TaskRunFixture.run("class-" + i, 60, 60 * logNormal(random, 1)));
       assertTrue(estimator.size() <= 1_000);
     }
   }
 
-  /** What all classes have in common has been used each time. */
+  /** Each run uses the profile of all classes, so this profile is never evicted. */
   @Test
-  void leastRecentlyUsedProfilesAreForgotten() {
-    observeClassesOfOneRun(100_000);
-    assertEquals(Level.ALL, ask(estimator, "class-0", 60).level());
+  void leastRecentlyUsedProfilesAreEvicted() {
+    observeSingleRunClasses(100_000);
+    assertEquals(Level.ALL, estimate(estimator, "class-0", 60).level());
     assertEquals(
-        Level.WORK, ask(estimator, "class-99999", 60).runs() > 0 ? Level.WORK : Level.NONE);
+        Level.WORK, estimate(estimator, "class-99999", 60).runs() > 0 ? Level.WORK : Level.NONE);
   }
 
-  /** Over 2,000 estimates of classes with little and with much noise. */
+  /** Measures the coverage over 2,000 estimates of classes with low and high variance. */
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 0.8, 0.95})
-  void intervalsHaveTheCoverageThatTheyPromise(double coverage) {
+  void intervalsHaveNominalCoverage(double coverage) {
     int contained = 0;
     for (int i = 0; i < 2_500; i++) {
       double noise = i % 3 == 0 ? 0.6 : 0.1;
-      TaskRun run = Runs.of("class-" + i % 3, 60, 60 * logNormal(random, noise));
+      TaskRun run = TaskRunFixture.run("class-" + i % 3, 60, 60 * logNormal(random, noise));
       Estimate estimate =
           estimator.estimate(
               new EstimateQuery(run.profile(), run.ownerEstimateMicros(), "", 0, coverage));
@@ -314,29 +347,35 @@
   }
 
   @Test
-  void explanationNamesTheLevelsThatApply() {
+  void explanationListsLevelsWithRuns() {
     observeEqualRuns();
-    TaskProfile ofOtherTeam = new TaskProfile("new", "class", "basso", "img", Resources.NONE);
-    String text = estimator.explain(new EstimateQuery(ofOtherTeam, 60 * SECOND, "", 0, 0.8));
+    TaskProfile profileOfOtherTeam =
+        new TaskProfile("new", "class", "basso", "img", Resources.NONE);
+    String text =
+        estimator.explain(
+            new EstimateQuery(profileOfOtherTeam, 60 * MICROS_PER_SECOND, "", 0, 0.8));
     assertTrue(
         text.contains("; class: ") && text.contains("; all: ") && !text.contains("; team: "), text);
     assertTrue(estimator.explain(query("new", "", 0)).contains("; work: "));
   }
 
   @Test
-  void explanationSaysWhatTheIntervalGoesBy() {
+  void explanationStatesIntervalCalibration() {
     observeEqualRuns();
-    TaskProfile ofOtherTeam = new TaskProfile("new", "class", "basso", "img", Resources.NONE);
+    TaskProfile profileOfOtherTeam =
+        new TaskProfile("new", "class", "basso", "img", Resources.NONE);
     String uncalibrated =
-        estimator.explain(new EstimateQuery(ofOtherTeam, 60 * SECOND, "", 0, 0.8));
-    assertTrue(uncalibrated.contains("bounds as it is spread"), uncalibrated);
+        estimator.explain(
+            new EstimateQuery(profileOfOtherTeam, 60 * MICROS_PER_SECOND, "", 0, 0.8));
+    assertTrue(uncalibrated.contains("; interval not calibrated"), uncalibrated);
     String calibrated = estimator.explain(query("new", "", 0));
-    assertTrue(calibrated.contains("such estimates held"), calibrated);
+    assertTrue(
+        calibrated.matches(".*; interval calibrated on \\d+ similar predictions.*"), calibrated);
   }
 
   private void observeEqualRuns() {
     for (int i = 0; i < 40; i++) {
-      estimator.observe(Runs.of("class", 60, 60));
+      estimator.observe(TaskRunFixture.run("class", 60, 60));
     }
   }
 }
--- a/src/test/java/madderrudder/estimates/LevelTest.java
+++ b/src/test/java/madderrudder/estimates/LevelTest.java
@@ -8,17 +8,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codes of the levels in stored pages. */
+/**
+ * Guards against changed or duplicate level codes, which would corrupt the meaning of stored pages.
+ */
 class LevelTest {
   @ParameterizedTest
   @CsvSource({"JOB, 0", "WORK, 1", "TEAM, 2", "CLASS, 3", "ALL, 4", "NONE, 5"})
-  void codesNeverChange(Level level, byte code) {
+  void codesAreStable(Level level, byte code) {
     assertEquals(code, level.code());
     assertEquals(level, Level.ofCode(code));
   }
 
   @Test
-  void eachLevelHasACodeOfItsOwn() {
+  void eachLevelHasAUniqueCode() {
     for (Level level : Level.values()) {
       assertEquals(level, Level.ofCode(level.code()));
     }
@@ -26,7 +28,7 @@
 
   @ParameterizedTest
   @ValueSource(bytes = {-1, 6, 127})
-  void unknownCodesAreRefused(byte code) {
+  void unknownCodesAreRejected(byte code) {
     assertThrows(IllegalArgumentException.class, () -> Level.ofCode(code));
   }
 }
