--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -23,22 +23,22 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * Reads a history of runs: a JSON object a line, or a table with a line of headings if the name of
- * the file ends in .csv. Runs are passed on one by one, so that a file may be larger than memory. A
- * run that has been read before is left out.
+ * Reads a history of task runs from a file: CSV with a header line if the name of the file ends in
+ * .csv, otherwise one JSON object per line. The consumer receives the runs one by one, so a file
+ * may be larger than memory. Duplicate runs are skipped.
  */
 public final class HistoryReader {
   /**
-   * A run that is repeated is repeated within so many lines: exports overlap, and files are put
-   * together of them.
+   * The number of most recent runs among which duplicates are found. Files are concatenated from
+   * exports that overlap, so a duplicate follows within this many runs.
    */
   private static final int MAX_REMEMBERED_RUNS = 100_000;
 
-  private static final String TABLE_SUFFIX = ".csv";
+  private static final String CSV_SUFFIX = ".csv";
 
   /**
-   * A field that only generated histories have: what an oracle would predict that knows how the run
-   * was drawn, in seconds.
+   * A field that only generated histories have: the run time in seconds that an oracle predicts
+   * that uses the parameters from which the run was drawn.
    */
   static final String ORACLE_FIELD = "best_s";
 
@@ -54,38 +54,45 @@
           "took_s",
           ORACLE_FIELD);
 
-  /** A number as JSON allows it. */
-  private static final Pattern NUMBER =
+  /** The syntax of a number in JSON. */
+  private static final Pattern JSON_NUMBER =
       Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
 
   private final Path file;
   private final boolean strict;
   private final MalformedLineListener listener;
-  private final Set<String> rememberedRuns =
+  private final Set<String> recentRunKeys =
       Collections.newSetFromMap(BoundedMap.evictingOldest(MAX_REMEMBERED_RUNS));
-  private long lines;
-  private long malformed;
-  private long repeated;
+  private long linesRead;
+  private long malformedLines;
+  private long duplicateRuns;
 
-  /** Takes the runs of a history one by one. */
+  /** Receives the runs of a history one by one. */
   public interface RunConsumer {
     /**
-     * Takes the next run.
+     * Receives the next run.
      *
-     * @param oracleMicros what an oracle would predict, in microseconds, or 0 if the history does
-     *     not say
-     * @throws IOException ends the reading
+     * @param ended the run and the time of its end
+     * @param oracleMicros the run time that the generator's oracle predicts, in microseconds, or 0
+     *     if the history does not have it
+     * @throws IOException if the run can't be processed; this ends the reading
      */
     void accept(EndedRun ended, long oracleMicros) throws IOException;
   }
 
-  /** Takes the malformed lines of a history. */
+  /** Receives the malformed lines of a history. */
   public interface MalformedLineListener {
-    /** Called for each malformed line; lines are counted from 1. */
-    void malformed(Path file, long line, String problem);
+    /**
+     * Called for each malformed line.
+     *
+     * @param file the file that is read
+     * @param line the number of the line, counted from 1
+     * @param problem what is wrong with the line
+     */
+    void onMalformedLine(Path file, long line, String problem);
   }
 
-  /** A malformed line where none is allowed. */
+  /** Thrown at a malformed line when the reader is strict. */
   public static final class MalformedLineException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -95,10 +102,11 @@
   }
 
   /**
-   * A reader of the file, which is not opened yet.
+   * Creates a reader; the file is opened by {@link #read}.
    *
-   * @param strict whether a malformed line ends the reading; otherwise it is left out
-   * @param listener takes the malformed lines that are left out
+   * @param file the history file
+   * @param strict whether a malformed line ends the reading; otherwise it is skipped
+   * @param listener receives the malformed lines that are skipped
    */
   public HistoryReader(Path file, boolean strict, MalformedLineListener listener) {
     this.file = file;
@@ -109,38 +117,39 @@
   /**
    * Reads the whole file.
    *
+   * @param consumer receives the runs in the order of the file, without duplicates
    * @throws MalformedLineException at a malformed line, if strict
    * @throws IOException if the file can't be read, or if the consumer fails
    */
   public void read(RunConsumer consumer) throws IOException {
     try (BufferedReader in = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
-      if (file.toString().endsWith(TABLE_SUFFIX)) {
-        readTable(in, consumer);
+      if (file.toString().endsWith(CSV_SUFFIX)) {
+        readCsv(in, consumer);
       } else {
-        readLines(in, consumer);
+        readJsonLines(in, consumer);
       }
     }
   }
 
-  private void readLines(BufferedReader in, RunConsumer consumer) throws IOException {
+  private void readJsonLines(BufferedReader in, RunConsumer consumer) throws IOException {
     for (String line = in.readLine(); line != null; line = in.readLine()) {
-      lines++;
+      linesRead++;
       if (!line.isBlank()) {
         readRun(line.getBytes(StandardCharsets.UTF_8), consumer);
       }
     }
   }
 
-  private void readTable(BufferedReader in, RunConsumer consumer) throws IOException {
+  private void readCsv(BufferedReader in, RunConsumer consumer) throws IOException {
     CSVFormat format = CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).get();
     try (CSVParser parser = CSVParser.builder().setReader(in).setFormat(format).get()) {
       List<String> headings = parser.getHeaderNames();
       Iterator<CSVRecord> records = parser.iterator();
       while (records.hasNext()) {
         CSVRecord record = records.next();
-        lines = parser.getCurrentLineNumber();
+        linesRead = parser.getCurrentLineNumber();
         if (record.isConsistent()) {
-          readRun(json(headings, record), consumer);
+          readRun(toJson(headings, record), consumer);
         } else {
           reportMalformed(record.size() + " columns where the headings are " + headings.size());
         }
@@ -148,8 +157,8 @@
     }
   }
 
-  /** The record as the JSON object that a line of the other format would have. */
-  private static byte[] json(List<String> headings, CSVRecord record) {
+  /** Converts a CSV record to the JSON object that a line of the JSON format has for the run. */
+  private static byte[] toJson(List<String> headings, CSVRecord record) {
     return Json.object(
         out -> {
           for (String heading : headings) {
@@ -158,11 +167,14 @@
         });
   }
 
-  /** An empty number is left out; what is no number is written as text, and refused as such. */
+  /**
+   * Writes a CSV cell as a JSON field. An empty number is omitted; an invalid number is written as
+   * a string, which {@link RunHistoryCodec} then rejects with the name of the field.
+   */
   private static void writeCell(JsonGenerator out, String heading, String text) throws IOException {
     if (!NUMERIC_FIELDS.contains(heading)) {
       out.writeStringField(heading, text);
-    } else if (NUMBER.matcher(text).matches()) {
+    } else if (JSON_NUMBER.matcher(text).matches()) {
       out.writeFieldName(heading);
       out.writeRawValue(text);
     } else if (!text.isEmpty()) {
@@ -182,34 +194,34 @@
       return;
     }
     TaskRun run = ended.run();
-    if (!rememberedRuns.add(run.profile().job() + "/" + run.task() + "/" + run.attempt())) {
-      repeated++;
+    if (!recentRunKeys.add(run.profile().job() + "/" + run.task() + "/" + run.attempt())) {
+      duplicateRuns++;
       return;
     }
     consumer.accept(ended, oracleMicros);
   }
 
-  /** Of the line that was read last. */
+  /** Reports the line that was read last as malformed. */
   private void reportMalformed(String problem) throws IOException {
     if (strict) {
-      throw new MalformedLineException(file, lines, problem);
+      throw new MalformedLineException(file, linesRead, problem);
     }
-    malformed++;
-    listener.malformed(file, lines, problem);
+    malformedLines++;
+    listener.onMalformedLine(file, linesRead, problem);
   }
 
-  /** How many lines have been read. */
-  public long lines() {
-    return lines;
+  /** Returns the number of lines read, including empty lines and the header. */
+  public long linesRead() {
+    return linesRead;
   }
 
-  /** How many lines were left out since they were malformed. */
-  public long malformed() {
-    return malformed;
+  /** Returns the number of lines skipped because they were malformed. */
+  public long malformedLines() {
+    return malformedLines;
   }
 
-  /** How many lines were left out since their runs had been read before. */
-  public long repeated() {
-    return repeated;
+  /** Returns the number of runs skipped because they had been read before. */
+  public long duplicateRuns() {
+    return duplicateRuns;
   }
 }
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -12,36 +12,38 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** Writes a history of runs. */
+/** Writes a history of task runs as JSON lines or as CSV. */
 public final class HistoryWriter {
-  /** The format of a history. */
+  /** The file format of a history. */
   public enum Format {
-    /** A JSON object a line. */
+    /** One JSON object per line. */
     JSONL,
-    /** A table with a line of headings. */
+    /** Comma-separated values with a header line. */
     CSV
   }
 
   private final Appendable out;
 
   /** Null for {@link Format#JSONL}. */
-  private final CSVPrinter table;
+  private final CSVPrinter csv;
 
-  private long lines;
+  private long writtenRuns;
 
   /**
-   * A writer; for a table the headings are written at once.
+   * Creates a writer, and writes the header line of {@link Format#CSV}.
    *
-   * @param withOracle whether runs come with what an oracle would predict, as those of the
-   *     generator do; needed for the headings of a table
+   * @param out the destination of the history
+   * @param format the file format
+   * @param withOracle whether the runs have an oracle's prediction, as those of {@link
+   *     HistoryGenerator} do; for {@link Format#CSV} it adds the column
    * @throws IOException if {@code out} fails
    */
   public HistoryWriter(Appendable out, Format format, boolean withOracle) throws IOException {
     this.out = out;
-    table = format == Format.CSV ? openTable(out, withOracle) : null;
+    csv = format == Format.CSV ? openCsv(out, withOracle) : null;
   }
 
-  private static CSVPrinter openTable(Appendable out, boolean withOracle) throws IOException {
+  private static CSVPrinter openCsv(Appendable out, boolean withOracle) throws IOException {
     List<String> headings = new ArrayList<>(RunHistoryCodec.FIELDS);
     if (withOracle) {
       headings.add(HistoryReader.ORACLE_FIELD);
@@ -50,22 +52,24 @@
   }
 
   /**
-   * Writes a run as a line.
+   * Writes a run as one record.
    *
-   * @param oracleMicros what an oracle would predict, or 0 if that is not known
+   * @param ended the run and the time of its end
+   * @param oracleMicros the run time that the generator's oracle predicts, in microseconds, or 0 if
+   *     there is none
    * @throws IOException if {@code out} fails
    */
   public void write(EndedRun ended, long oracleMicros) throws IOException {
-    lines++;
-    byte[] json = json(ended, oracleMicros);
-    if (table == null) {
+    writtenRuns++;
+    byte[] json = toJson(ended, oracleMicros);
+    if (csv == null) {
       out.append(new String(json, StandardCharsets.UTF_8)).append('\n');
     } else {
-      writeRow(json, oracleMicros > 0);
+      writeCsvRow(json, oracleMicros > 0);
     }
   }
 
-  private static byte[] json(EndedRun ended, long oracleMicros) {
+  private static byte[] toJson(EndedRun ended, long oracleMicros) {
     return Json.object(
         json -> {
           RunHistoryCodec.write(json, ended);
@@ -75,23 +79,23 @@
         });
   }
 
-  private void writeRow(byte[] json, boolean withOracle) throws IOException {
+  private void writeCsvRow(byte[] json, boolean withOracle) throws IOException {
     try {
       JsonFields fields = Json.readObject(json);
       for (String name : RunHistoryCodec.FIELDS) {
-        table.print(fields.plain(name));
+        csv.print(fields.plain(name));
       }
       if (withOracle) {
-        table.print(fields.plain(HistoryReader.ORACLE_FIELD));
+        csv.print(fields.plain(HistoryReader.ORACLE_FIELD));
       }
-      table.println();
+      csv.println();
     } catch (MalformedMessageException e) {
-      throw new IllegalStateException("what was just written can't be read", e);
+      throw new IllegalStateException("JSON record that was just written can't be parsed", e);
     }
   }
 
-  /** How many runs have been written. */
-  public long lines() {
-    return lines;
+  /** Returns the number of runs written. */
+  public long writtenRuns() {
+    return writtenRuns;
   }
 }
--- a/src/main/java/madderrudder/replay/ProgressPrinter.java
+++ b/src/main/java/madderrudder/replay/ProgressPrinter.java
@@ -3,11 +3,11 @@
 import java.io.PrintStream;
 import java.util.function.LongSupplier;
 
-/** Prints once a second how far a long command has come. */
+/** Prints the number of steps that a long-running command has done, at most once a second. */
 public final class ProgressPrinter {
-  private static final long INTERVAL_NANOS = 1_000_000_000;
+  private static final long PRINT_INTERVAL_NANOS = 1_000_000_000;
 
-  /** The clock is read once in so many steps. */
+  /** The number of steps between two reads of the clock, which take longer than a step. */
   private static final int STEPS_PER_CLOCK_READ = 1_000;
 
   private final PrintStream err;
@@ -16,7 +16,12 @@
   private long lastPrintNanos;
   private long steps;
 
-  /** A printer for steps of the unit, such as "runs read". */
+  /**
+   * Creates a printer.
+   *
+   * @param err the stream that the counts are printed to
+   * @param unit what a step is, in the plural, such as "runs read"
+   */
   public ProgressPrinter(PrintStream err, String unit) {
     this(err, unit, System::nanoTime);
   }
@@ -28,14 +33,14 @@
     lastPrintNanos = nanoClock.getAsLong();
   }
 
-  /** Counts one more step, and prints the count if it is time. */
+  /** Counts one more step, and prints the count if the last print is at least a second ago. */
   public void step() {
     steps++;
     if (steps % STEPS_PER_CLOCK_READ != 0) {
       return;
     }
     long nowNanos = nanoClock.getAsLong();
-    if (nowNanos - lastPrintNanos >= INTERVAL_NANOS) {
+    if (nowNanos - lastPrintNanos >= PRINT_INTERVAL_NANOS) {
       lastPrintNanos = nowNanos;
       err.println(steps + " " + unit);
     }
--- a/src/main/java/madderrudder/replay/Replay.java
+++ b/src/main/java/madderrudder/replay/Replay.java
@@ -11,34 +11,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Replays a history in its order: each predictor predicts a run, and then observes it. Runs that
- * were stopped are observed but not predicted, since nobody knows how long they would have taken.
+ * Replays a history in its order: each predictor predicts the time of a run, and then observes the
+ * run. Stopped runs are observed but not predicted, since their full run times are not known.
  */
 public final class Replay {
-  /** The coverage that prediction intervals promise in the tables. */
-  public static final double COVERAGE = 0.8;
+  /** The nominal coverage of the prediction intervals for which all predictors are scored. */
+  public static final double NOMINAL_COVERAGE = 0.8;
 
-  /** The coverages whose prediction intervals are checked for the last predictor. */
-  static final List<Double> COVERAGES = List.of(0.5, 0.6, 0.7, 0.8, 0.9, 0.95);
+  /** The nominal coverages for which the prediction intervals of the last predictor are checked. */
+  static final List<Double> CHECKED_COVERAGES = List.of(0.5, 0.6, 0.7, 0.8, 0.9, 0.95);
 
-  /** The number of runs in one step of the scores over time. */
-  static final int CHUNK = 1_000;
+  /** The number of predicted runs in one chunk of the scores over the history. */
+  static final int RUNS_PER_CHUNK = 1_000;
 
-  /** The name under which the scores of the generator's oracle are kept. */
-  static final String ORACLE = "best";
+  /** The name of the generator's oracle in the scores and in reports. */
+  static final String ORACLE_NAME = "best";
+
+  /** The largest duration in the histograms; longer ones are recorded as this one. */
+  private static final long MAX_RECORDED_NANOS = 10_000_000_000L;
 
-  private static final long MAX_NANOS = 10_000_000_000L;
   private static final int SIGNIFICANT_DIGITS = 3;
 
   private final List<RunTimePredictor> predictors;
 
-  /** The last of the predictors, which is timed. */
-  private final RunTimePredictor main;
+  /** The last of the predictors: its calls are timed and its prediction intervals are checked. */
+  private final RunTimePredictor primary;
 
   private final Map<String, PredictionScore> scores = new LinkedHashMap<>();
-  private final Map<String, long[]> containedByClass = new TreeMap<>();
-  private final Histogram predictionNanos = new Histogram(MAX_NANOS, SIGNIFICANT_DIGITS);
-  private final Histogram observationNanos = new Histogram(MAX_NANOS, SIGNIFICANT_DIGITS);
+  private final Map<String, long[]> containedRunsByClass = new TreeMap<>();
+  private final Histogram predictionNanos = new Histogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS);
+  private final Histogram observationNanos = new Histogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS);
   private long predictedRuns;
   private long stoppedRuns;
   private long implausibleRuns;
@@ -46,16 +48,24 @@
   private long lastEndMicros = Long.MIN_VALUE;
 
   /**
-   * A replay that has seen nothing. The last of the predictors is the one that is timed, and whose
-   * prediction intervals are checked for each coverage.
+   * Creates a replay that has not processed any run.
+   *
+   * @param predictors the predictors in the order of the reports; the calls of the last one are
+   *     timed, and its prediction intervals are checked for each of {@link #CHECKED_COVERAGES}
    */
   Replay(List<RunTimePredictor> predictors) {
     this.predictors = new ArrayList<>(predictors);
-    main = predictors.get(predictors.size() - 1);
+    primary = predictors.get(predictors.size() - 1);
     predictors.forEach(predictor -> scores.put(predictor.name(), new PredictionScore()));
   }
 
-  /** Takes the next run; {@code oracleMicros} is what an oracle would predict, or 0. */
+  /**
+   * Processes the next run.
+   *
+   * @param ended the run and the time of its end
+   * @param oracleMicros the run time that the generator's oracle predicts, in microseconds, or 0 if
+   *     there is none
+   */
   void accept(EndedRun ended, long oracleMicros) {
     TaskRun run = ended.run();
     if (ended.atWallMicros() < lastEndMicros) {
@@ -67,7 +77,7 @@
       return;
     }
     if (run.complete()) {
-      predict(run, oracleMicros);
+      scorePredictions(run, oracleMicros);
     } else {
       stoppedRuns++;
     }
@@ -75,68 +85,75 @@
   }
 
   private void observe(RunTimePredictor predictor, TaskRun run) {
-    long beginNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     predictor.observe(run);
-    if (predictor == main) {
-      record(observationNanos, beginNanos);
+    if (predictor == primary) {
+      recordElapsed(observationNanos, startNanos);
     }
   }
 
-  private void predict(TaskRun run, long oracleMicros) {
-    int chunk = (int) (predictedRuns++ / CHUNK);
+  private void scorePredictions(TaskRun run, long oracleMicros) {
+    int chunk = (int) (predictedRuns++ / RUNS_PER_CHUNK);
     for (RunTimePredictor predictor : predictors) {
-      long beginNanos = System.nanoTime();
-      Estimate estimate = predictor.predict(run, COVERAGE);
-      if (predictor == main) {
-        record(predictionNanos, beginNanos);
-        checkIntervals(run);
+      long startNanos = System.nanoTime();
+      Estimate estimate = predictor.predict(run, NOMINAL_COVERAGE);
+      if (predictor == primary) {
+        recordElapsed(predictionNanos, startNanos);
+        countContained(run);
       }
       scores.get(predictor.name()).add(run, chunk, estimate);
     }
     if (oracleMicros > 0) {
       scores
-          .computeIfAbsent(ORACLE, name -> new PredictionScore())
+          .computeIfAbsent(ORACLE_NAME, name -> new PredictionScore())
           .add(run, chunk, Estimate.ofPoint(oracleMicros));
     }
   }
 
-  private void checkIntervals(TaskRun run) {
+  private void countContained(TaskRun run) {
     long[] contained =
-        containedByClass.computeIfAbsent(
-            run.profile().jobClass(), name -> new long[COVERAGES.size()]);
+        containedRunsByClass.computeIfAbsent(
+            run.profile().jobClass(), name -> new long[CHECKED_COVERAGES.size()]);
     for (int i = 0; i < contained.length; i++) {
-      if (main.predict(run, COVERAGES.get(i)).contains(run.durationMicros())) {
+      if (primary.predict(run, CHECKED_COVERAGES.get(i)).contains(run.durationMicros())) {
         contained[i]++;
       }
     }
   }
 
-  private static void record(Histogram nanos, long beginNanos) {
-    nanos.recordValue(Math.min(nanos.getHighestTrackableValue(), System.nanoTime() - beginNanos));
+  private static void recordElapsed(Histogram nanos, long startNanos) {
+    nanos.recordValue(Math.min(nanos.getHighestTrackableValue(), System.nanoTime() - startNanos));
   }
 
   /**
-   * The scores by the names of the predictors, in their order; the oracle's last, if there is one.
+   * Returns the scores by the name of the predictor, in the order of the predictors. The score of
+   * the oracle comes last, if the history has its predictions.
    */
   Map<String, PredictionScore> scores() {
     return scores;
   }
 
-  /** Whether the predictor of the name has prediction intervals. */
+  /** Returns whether the named predictor gives prediction intervals; false for the oracle. */
   boolean hasIntervals(String name) {
     return predictors.stream()
         .anyMatch(predictor -> predictor.name().equals(name) && predictor.hasIntervals());
   }
 
-  /** Of each class, how many runs lay within the intervals, one count for each coverage. */
-  Map<String, long[]> containedByClass() {
-    return containedByClass;
+  /**
+   * Returns by job class how many runs lay within the last predictor's intervals, with one count
+   * for each of {@link #CHECKED_COVERAGES}.
+   */
+  Map<String, long[]> containedRunsByClass() {
+    return containedRunsByClass;
   }
 
-  /** The share of all runs that lay within the intervals, one for each coverage. */
+  /**
+   * Returns the share of all predicted runs that lay within the last predictor's intervals, one for
+   * each of {@link #CHECKED_COVERAGES}.
+   */
   double[] observedCoverages() {
-    double[] observed = new double[COVERAGES.size()];
-    for (long[] contained : containedByClass.values()) {
+    double[] observed = new double[CHECKED_COVERAGES.size()];
+    for (long[] contained : containedRunsByClass.values()) {
       for (int i = 0; i < observed.length; i++) {
         observed[i] += (double) contained[i] / predictedRuns;
       }
@@ -144,32 +161,32 @@
     return observed;
   }
 
-  /** How many runs were predicted. */
+  /** Returns the number of runs that were predicted and observed. */
   long predictedRuns() {
     return predictedRuns;
   }
 
-  /** How many runs were observed without a prediction. */
+  /** Returns the number of stopped runs, which were observed without a prediction. */
   long stoppedRuns() {
     return stoppedRuns;
   }
 
-  /** How many runs were left out. */
+  /** Returns the number of runs that were ignored because their times are implausible. */
   long implausibleRuns() {
     return implausibleRuns;
   }
 
-  /** How many runs ended before the run that came before them. */
+  /** Returns the number of runs that ended earlier than the preceding run of the history. */
   long runsOutOfOrder() {
     return runsOutOfOrder;
   }
 
-  /** How long the last predictor's predictions took. */
+  /** Returns the durations of the last predictor's predictions, in nanoseconds. */
   Histogram predictionNanos() {
     return predictionNanos;
   }
 
-  /** How long the last predictor's observations took. */
+  /** Returns the durations of the last predictor's observations, in nanoseconds. */
   Histogram observationNanos() {
     return observationNanos;
   }
--- a/src/main/java/madderrudder/replay/ReplayRunner.java
+++ b/src/main/java/madderrudder/replay/ReplayRunner.java
@@ -9,21 +9,26 @@
 import madderrudder.estimates.LearningMethod;
 import madderrudder.metrics.RunHistory.EndedRun;
 
-/** Feeds histories from files to replays and estimators. */
+/** Runs replays of history files, and trains estimators with them. */
 public final class ReplayRunner {
-  /** For the profiles and jobs of an estimator: more than any site has, yet bounded. */
-  private static final int MAX_ENTRIES = 20_000;
+  /**
+   * Limits the profiles, and the jobs, that an estimator remembers. It exceeds the number at any
+   * site, and bounds the memory.
+   */
+  private static final int MAX_ESTIMATOR_ENTRIES = 20_000;
 
   private ReplayRunner() {}
 
   private record BufferedRun(EndedRun ended, long oracleMicros) {}
 
   /**
-   * Replays a file.
+   * Replays a file and returns the finished replay.
    *
-   * @param byTime replays in the order of the times at which runs ended, not of the lines; this
-   *     takes memory for the whole file
-   * @param allMethods compares the learning methods that are not in use too
+   * @param reader the reader of the file
+   * @param byTime whether to replay the runs in the order of their ends and not of the lines, which
+   *     buffers the whole file in memory
+   * @param allMethods whether to score the learning methods that the controllers do not use as well
+   * @param progress counts the runs read
    * @throws IOException if the file can't be read
    */
   public static Replay replay(
@@ -52,21 +57,25 @@
     predictors.add(new RunTimePredictor.OwnerEstimate());
     predictors.add(new RunTimePredictor.ClassRatio());
     if (allMethods) {
-      predictors.add(learned(LearningMethod.NEAREST_LEVEL));
-      predictors.add(learned(LearningMethod.HIERARCHICAL_UNBOUNDED));
+      predictors.add(learnedPredictor(LearningMethod.NEAREST_LEVEL));
+      predictors.add(learnedPredictor(LearningMethod.HIERARCHICAL_UNBOUNDED));
     }
-    predictors.add(learned(LearningMethod.HIERARCHICAL));
+    predictors.add(learnedPredictor(LearningMethod.HIERARCHICAL));
     return predictors;
   }
 
-  private static RunTimePredictor learned(LearningMethod method) {
-    return new RunTimePredictor.Learned(method, MAX_ENTRIES);
+  private static RunTimePredictor learnedPredictor(LearningMethod method) {
+    return new RunTimePredictor.Learned(method, MAX_ESTIMATOR_ENTRIES);
   }
 
   /**
-   * An estimator that has learned from all files, each of them read by itself and then merged.
+   * Returns an estimator that has observed the runs of all files. Each file trains an estimator of
+   * its own, and these are merged in the order of the files.
    *
-   * @param strict fails at a malformed line, in place of leaving it out
+   * @param files the history files
+   * @param strict whether a malformed line is an error; otherwise it is skipped
+   * @param listener receives the malformed lines that are skipped
+   * @param progress counts the runs read
    * @throws IOException if a file can't be read
    */
   public static Estimator learn(
@@ -75,16 +84,16 @@
       HistoryReader.MalformedLineListener listener,
       ProgressPrinter progress)
       throws IOException {
-    Estimator merged = new Estimator(MAX_ENTRIES, MAX_ENTRIES);
+    Estimator merged = new Estimator(MAX_ESTIMATOR_ENTRIES, MAX_ESTIMATOR_ENTRIES);
     for (Path file : files) {
-      Estimator ofFile = new Estimator(MAX_ENTRIES, MAX_ENTRIES);
+      Estimator fileEstimator = new Estimator(MAX_ESTIMATOR_ENTRIES, MAX_ESTIMATOR_ENTRIES);
       new HistoryReader(file, strict, listener)
           .read(
               (ended, oracleMicros) -> {
                 progress.step();
-                ofFile.observe(ended.run());
+                fileEstimator.observe(ended.run());
               });
-      merged.merge(ofFile);
+      merged.merge(fileEstimator);
     }
     return merged;
   }
--- a/src/main/java/madderrudder/replay/RunTimePredictor.java
+++ b/src/main/java/madderrudder/replay/RunTimePredictor.java
@@ -7,28 +7,32 @@
 import madderrudder.estimates.LearningMethod;
 import madderrudder.estimates.TaskRun;
 
-/** A method to predict run times; a replay asks it before each run and shows it the run then. */
+/**
+ * A method to predict run times. For each run, a replay calls {@link #predict} first and {@link
+ * #observe} afterwards.
+ */
 interface RunTimePredictor {
-  /** The heading of its column in reports. */
+  /** Returns the name of the predictor, which is the heading of its column in reports. */
   String name();
 
-  /** Whether its estimates have prediction intervals. */
+  /** Returns whether the estimates have prediction intervals. */
   default boolean hasIntervals() {
     return false;
   }
 
   /**
-   * The estimate for a run, by what has been observed before it.
+   * Returns the estimate for a run, based on the runs observed before it.
    *
-   * @param coverage the share of runs that the prediction interval has to contain; ignored by
-   *     methods without intervals
+   * @param run the run, whose actual run time is not used
+   * @param coverage the share of runs that the prediction interval has to contain, between 0 and 1;
+   *     ignored by methods without intervals
    */
   Estimate predict(TaskRun run, double coverage);
 
-  /** Learns from a run. */
+  /** Updates the model with a run that has ended. */
   void observe(TaskRun run);
 
-  /** The owner's estimate as it is. */
+  /** Predicts the owner's estimate without a correction. */
   final class OwnerEstimate implements RunTimePredictor {
     @Override
     public String name() {
@@ -42,11 +46,14 @@
 
     @Override
     public void observe(TaskRun run) {
-      // Nothing is learned.
+      // The owner's estimate does not depend on earlier runs.
     }
   }
 
-  /** One ratio a class: what the controllers do where learned run times are switched off. */
+  /**
+   * Corrects the owner's estimate by one ratio per job class, as the controllers do when learned
+   * run times are switched off.
+   */
   final class ClassRatio implements RunTimePredictor {
     private final ClassRatios ratios = new ClassRatios();
 
@@ -67,12 +74,17 @@
     }
   }
 
-  /** An {@link Estimator}. */
+  /** Predicts with an {@link Estimator} that learns from the observed runs. */
   final class Learned implements RunTimePredictor {
     private final LearningMethod method;
     private final Estimator estimator;
 
-    /** {@code maxEntries} bounds the profiles and the jobs that it remembers. */
+    /**
+     * Creates a predictor.
+     *
+     * @param method how the estimator combines the levels
+     * @param maxEntries the limit on the profiles, and on the jobs, that the estimator remembers
+     */
     Learned(LearningMethod method, int maxEntries) {
       this.method = method;
       estimator = new Estimator(maxEntries, maxEntries, method);
--- a/src/main/java/madderrudder/replay/TextReport.java
+++ b/src/main/java/madderrudder/replay/TextReport.java
@@ -13,18 +13,22 @@
 import madderrudder.replay.PredictionScore.ErrorTally;
 import org.HdrHistogram.Histogram;
 
-/** The result of a replay as tables of text. */
+/** Writes the result of a replay as plain-text tables. */
 public final class TextReport {
   private static final double NANOS_PER_MICRO = 1_000;
 
-  /** The row for all runs together. */
-  private static final String ALL = "all";
+  /** The name of the row for all runs together. */
+  private static final String ALL_RUNS_ROW = "all";
 
   private static final String EMPTY_CELL = " ".repeat(9) + "-";
 
   private final Replay replay;
 
-  /** A report of what the replay has seen by the time that the report is written. */
+  /**
+   * Creates a report.
+   *
+   * @param replay the replay, whose state at the time of {@link #write} is reported
+   */
   public TextReport(Replay replay) {
     this.replay = replay;
   }
@@ -32,46 +36,53 @@
   /**
    * Writes all tables.
    *
+   * @param out the destination of the tables
    * @throws IOException if {@code out} fails
    */
   public void write(Appendable out) throws IOException {
     out.append(
         format(
-            "%d runs asked for; %d that were stopped, %d absurd, %d out of order%n%n",
+            "%d runs predicted; %d stopped, %d with implausible times, %d out of order%n%n",
             replay.predictedRuns(),
             replay.stoppedRuns(),
             replay.implausibleRuns(),
             replay.runsOutOfOrder()));
-    out.append("share of estimates within a quarter of the true time\n");
+    out.append("share of estimates within 25 % of the actual run time\n");
     writeTable(out, "class", score -> score.byClass, ErrorTally::nearShare, false);
     out.append("\nmedian error, as a factor\n");
-    writeTable(out, "class", score -> score.byClass, ErrorTally::medianFactor, false);
-    out.append(format("%nshare of runs within bounds that promise %.2f%n", Replay.COVERAGE));
+    writeTable(out, "class", score -> score.byClass, ErrorTally::medianErrorFactor, false);
+    out.append(
+        format(
+            "%nobserved coverage of prediction intervals with a nominal coverage of %.2f%n",
+            Replay.NOMINAL_COVERAGE));
     writeTable(out, "class", score -> score.byClass, ErrorTally::observedCoverage, true);
-    out.append("\nwithin a quarter, by the runs that an estimate goes by\n");
+    out.append(
+        "\nshare of estimates within 25 % of the actual run time, by the number of runs that they are based on\n");
     writeTable(out, "runs", score -> score.byEvidence, ErrorTally::nearShare, false);
-    out.append("\nshare of runs within bounds, by what they promise\n");
+    out.append("\nobserved coverage of prediction intervals, by nominal coverage\n");
     writeCoverages(out);
     out.append(
         format(
-            "%nan estimate took %s, an observation %s%n",
-            percentiles(replay.predictionNanos()), percentiles(replay.observationNanos())));
+            "%nmedian time per estimate %s, per observation %s%n",
+            formatPercentiles(replay.predictionNanos()),
+            formatPercentiles(replay.observationNanos())));
   }
 
   private void writeCoverages(Appendable out) throws IOException {
     out.append(format("%-14s %8s", "class", "runs"));
-    for (double coverage : Replay.COVERAGES) {
+    for (double coverage : Replay.CHECKED_COVERAGES) {
       out.append(format(" %9.2f", coverage));
     }
     out.append('\n');
     Map<String, ErrorTally> tallies = replay.scores().values().iterator().next().byClass;
-    for (Map.Entry<String, long[]> entry : replay.containedByClass().entrySet()) {
+    for (Map.Entry<String, long[]> entry : replay.containedRunsByClass().entrySet()) {
       long runs = tallies.get(entry.getKey()).runs();
       DoubleStream coverages =
           Arrays.stream(entry.getValue()).mapToDouble(contained -> (double) contained / runs);
       writeCoverageRow(out, entry.getKey(), runs, coverages);
     }
-    writeCoverageRow(out, ALL, replay.predictedRuns(), Arrays.stream(replay.observedCoverages()));
+    writeCoverageRow(
+        out, ALL_RUNS_ROW, replay.predictedRuns(), Arrays.stream(replay.observedCoverages()));
   }
 
   private static void writeCoverageRow(
@@ -83,7 +94,8 @@
     out.append('\n');
   }
 
-  private static String percentiles(Histogram nanos) {
+  /** Returns the median and the 99th percentile in microseconds. */
+  private static String formatPercentiles(Histogram nanos) {
     return format(
         "%.1f us (p99 %.1f us)",
         nanos.getValueAtPercentile(50) / NANOS_PER_MICRO,
@@ -93,14 +105,18 @@
   /**
    * Writes a table with a column for each predictor and a row for each group of runs.
    *
-   * @param groups the groups of a predictor's score, by name
-   * @param intervalsOnly the figure says something of predictors with prediction intervals only
+   * @param out the destination of the table
+   * @param heading the heading of the first column
+   * @param groups returns the groups of a predictor's score, by name
+   * @param metric returns the value of a formatCell
+   * @param intervalsOnly whether to leave the cells of predictors without prediction intervals
+   *     empty
    */
   private void writeTable(
       Appendable out,
       String heading,
       Function<PredictionScore, Map<String, ErrorTally>> groups,
-      ToDoubleFunction<ErrorTally> figure,
+      ToDoubleFunction<ErrorTally> metric,
       boolean intervalsOnly)
       throws IOException {
     Map<String, PredictionScore> scores = replay.scores();
@@ -114,10 +130,10 @@
       StringBuilder cells = new StringBuilder();
       for (Map.Entry<String, PredictionScore> entry : scores.entrySet()) {
         PredictionScore score = entry.getValue();
-        ErrorTally tally = row.equals(ALL) ? score.all : groups.apply(score).get(row);
+        ErrorTally tally = row.equals(ALL_RUNS_ROW) ? score.overall : groups.apply(score).get(row);
         runs = Math.max(runs, tally == null ? 0 : tally.runs());
         boolean applies = !intervalsOnly || replay.hasIntervals(entry.getKey());
-        cells.append(applies ? cell(tally, figure) : EMPTY_CELL);
+        cells.append(applies ? formatCell(tally, metric) : EMPTY_CELL);
       }
       out.append(format("%-14s %8d%s%n", row, runs, cells));
     }
@@ -127,15 +143,15 @@
     Set<String> sorted = new TreeSet<>();
     replay.scores().values().forEach(score -> sorted.addAll(groups.apply(score).keySet()));
     Set<String> rows = new LinkedHashSet<>(sorted);
-    rows.add(ALL);
+    rows.add(ALL_RUNS_ROW);
     return rows;
   }
 
-  private static String cell(ErrorTally tally, ToDoubleFunction<ErrorTally> figure) {
+  private static String formatCell(ErrorTally tally, ToDoubleFunction<ErrorTally> metric) {
     if (tally == null || tally.runs() == 0) {
       return EMPTY_CELL;
     }
-    return format(" %9.3f", figure.applyAsDouble(tally));
+    return format(" %9.3f", metric.applyAsDouble(tally));
   }
 
   private static String format(String pattern, Object... values) {
--- a/src/main/java/madderrudder/replay/package-info.java
+++ b/src/main/java/madderrudder/replay/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Histories of runs: collecting them from controllers, reading, writing and generating them, and
- * replaying them to compare predictors. These classes are in the jar of the tools only; the
- * controllers do not use them.
+ * Histories of task runs: collecting them from the controllers, reading, writing and generating
+ * them, and replaying them to compare run time predictors. These classes are only in the jar of the
+ * tools; the controllers do not use them.
  */
 package madderrudder.replay;
--- a/src/main/java/madderrudder/tools/EstimateCommand.java
+++ b/src/main/java/madderrudder/tools/EstimateCommand.java
@@ -26,14 +26,16 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Commands that estimate run times from histories, and replay histories to judge estimates. */
+/**
+ * The commands that estimate a run time from histories, and replay a history to score estimates.
+ */
 @Command(
     name = "estimate",
     mixinStandardHelpOptions = true,
-    description = "Say how long a described task will take, and how sure that is.")
+    description = "Estimate the run time of a task from histories, with a prediction interval.")
 final class EstimateCommand implements Runnable {
   private static final double MICROS_PER_SECOND = 1e6;
-  private static final double THOUSANDTHS = 1e3;
+  private static final double THOUSANDTHS_PER_UNIT = 1e3;
   private static final String PROGRESS_UNIT = "runs read";
 
   @Spec private CommandSpec spec;
@@ -41,66 +43,66 @@
   @Option(
       names = "--history",
       paramLabel = "FILE",
-      description = "What has run; may be given several times.")
-  private List<Path> files = List.of();
+      description = "History file, as written by history export; may be repeated.")
+  private List<Path> historyFiles = List.of();
 
   @Option(
       names = "--class",
       paramLabel = "NAME",
-      description = "Of the job, as in the history; needed.")
+      description = "Class of the job, as in the history; required.")
   private String jobClass;
 
   @Option(
       names = "--team",
       defaultValue = "",
       paramLabel = "NAME",
-      description = "Whose job it is.")
+      description = "Team that owns the job.")
   private String team;
 
   @Option(
       names = "--image",
       defaultValue = "",
       paramLabel = "NAME",
-      description = "What its tasks run in.")
+      description = "Image of the job's tasks.")
   private String image;
 
   @Option(
       names = "--cpus",
       defaultValue = "1",
-      description = "Of a task (default: ${DEFAULT-VALUE}).")
+      description = "CPUs of a task (default: ${DEFAULT-VALUE}).")
   private double cpus;
 
   @Option(
       names = "--gpus",
       defaultValue = "0",
-      description = "Of a task (default: ${DEFAULT-VALUE}).")
+      description = "GPUs of a task (default: ${DEFAULT-VALUE}).")
   private double gpus;
 
   @Option(
       names = "--memory-gb",
       defaultValue = "0",
-      description = "Of a task (default: ${DEFAULT-VALUE}).")
+      description = "Memory of a task in GB (default: ${DEFAULT-VALUE}).")
   private double memoryGb;
 
   @Option(
       names = "--type",
       defaultValue = "",
       paramLabel = "NAME",
-      description = "The type of the machine.")
+      description = "Type of the machine that runs the task.")
   private String machineType;
 
   @Option(
       names = "--guess",
       defaultValue = "0",
       paramLabel = "SECONDS",
-      description = "The owner's guess.")
+      description = "The owner's estimate of the run time; 0 if there is none.")
   private double ownerEstimateSeconds;
 
   @Option(
       names = "--ran",
       defaultValue = "0",
       paramLabel = "SECONDS",
-      description = "For how long it runs already.")
+      description = "Time for which the task has been running.")
   private double elapsedSeconds;
 
   @Option(
@@ -108,21 +110,21 @@
       defaultValue = "0.8",
       paramLabel = "<share>",
       description =
-          "The part of such tasks that the bounds shall hold (default: ${DEFAULT-VALUE}).")
+          "Share of such tasks that the interval is expected to contain (default: ${DEFAULT-VALUE}).")
   private double coverage;
 
-  @Option(names = "--strict", description = "End at a malformed line, instead of leaving it out.")
+  @Option(names = "--strict", description = "Stop at a malformed line instead of skipping it.")
   private boolean strict;
 
   @Override
   public void run() {
-    checkOptions();
-    Estimator estimator = learn();
+    validateOptions();
+    Estimator estimator = learnFromHistory();
     EstimateQuery query = query();
     Estimate estimate = estimator.estimate(query);
     PrintWriter out = spec.commandLine().getOut();
     if (estimate.isUnknown()) {
-      out.println("unknown: nothing like it has run, and there is no guess");
+      out.println("unknown: the history has no similar run, and --guess is not given");
       return;
     }
     out.println(
@@ -139,30 +141,33 @@
     out.println(estimator.explain(query));
   }
 
-  private void checkOptions() {
-    check(!files.isEmpty(), "--history is missing");
-    check(jobClass != null, "--class is missing");
-    check(coverage > 0 && coverage < 1, "--share must lie between 0 and 1");
+  private void validateOptions() {
+    require(!historyFiles.isEmpty(), "missing option --history");
+    require(jobClass != null, "missing option --class");
+    require(coverage > 0 && coverage < 1, "--share must be between 0 and 1, both excluded");
     boolean timesValid = ownerEstimateSeconds >= 0 && elapsedSeconds >= 0;
-    boolean amountsValid = cpus >= 0 && gpus >= 0 && memoryGb >= 0;
-    check(timesValid && amountsValid, "amounts and times must be at least 0");
+    boolean resourcesValid = cpus >= 0 && gpus >= 0 && memoryGb >= 0;
+    require(
+        timesValid && resourcesValid,
+        "--cpus, --gpus, --memory-gb, --guess and --ran must be at least 0");
   }
 
-  private Estimator learn() {
+  private Estimator learnFromHistory() {
     ProgressPrinter progress = new ProgressPrinter(System.err, PROGRESS_UNIT);
     try {
-      return ReplayRunner.learn(files, strict, printTo(spec.commandLine().getErr()), progress);
+      return ReplayRunner.learn(
+          historyFiles, strict, malformedLinePrinter(spec.commandLine().getErr()), progress);
     } catch (IOException e) {
-      throw new ParameterException(spec.commandLine(), message(e));
+      throw new ParameterException(spec.commandLine(), errorMessage(e));
     }
   }
 
   private EstimateQuery query() {
     Resources resources =
         new Resources(
-            Math.round(THOUSANDTHS * cpus),
-            Math.round(THOUSANDTHS * gpus),
-            Math.round(THOUSANDTHS * memoryGb));
+            Math.round(THOUSANDTHS_PER_UNIT * cpus),
+            Math.round(THOUSANDTHS_PER_UNIT * gpus),
+            Math.round(THOUSANDTHS_PER_UNIT * memoryGb));
     return new EstimateQuery(
         new TaskProfile("", jobClass, team, image, resources),
         Math.round(MICROS_PER_SECOND * ownerEstimateSeconds),
@@ -171,60 +176,69 @@
         coverage);
   }
 
-  private void check(boolean valid, String problem) {
+  private void require(boolean valid, String problem) {
     if (!valid) {
       throw new ParameterException(spec.commandLine(), problem);
     }
   }
 
-  private static String message(IOException e) {
+  private static String errorMessage(IOException e) {
     return e instanceof NoSuchFileException ? "no such file: " + e.getMessage() : e.getMessage();
   }
 
-  private static HistoryReader.MalformedLineListener printTo(PrintWriter err) {
+  private static HistoryReader.MalformedLineListener malformedLinePrinter(PrintWriter err) {
     return (file, line, problem) ->
-        err.println("madderrudder: " + file + ", line " + line + " is left out: " + problem);
+        err.println("madderrudder: " + file + ", line " + line + " skipped: " + problem);
   }
 
   @Command(
       name = "replay",
       mixinStandardHelpOptions = true,
-      description = "Play a history: ask before each run, and say how well estimates did.")
+      description =
+          "Replay a history: predict each run from the runs before it, and report the accuracy.")
   int replay(
-      @Option(names = "--history", required = true, paramLabel = "FILE") Path file,
-      @Option(names = "--html", paramLabel = "FILE", description = "Write a page with plots too.")
+      @Option(
+              names = "--history",
+              required = true,
+              paramLabel = "FILE",
+              description = "History file to replay.")
+          Path file,
+      @Option(
+              names = "--html",
+              paramLabel = "FILE",
+              description = "Write the report as an HTML page with plots, too.")
           Path html,
-      @Option(names = "--by-time", description = "In the order of its times, not of its lines.")
+      @Option(
+              names = "--by-time",
+              description = "Replay the runs in the order of their ends, not of the lines.")
           boolean byTime,
       @Option(
               names = "--all-ways",
-              description = "Also the ways to learn that were weighed and not taken.")
+              description = "Score the learning methods that the controllers do not use as well.")
           boolean allMethods,
-      @Option(
-              names = "--strict",
-              description = "End at a malformed line, instead of leaving it out.")
+      @Option(names = "--strict", description = "Stop at a malformed line instead of skipping it.")
           boolean strictReplay)
       throws IOException {
     PrintWriter out = spec.commandLine().getOut();
     PrintWriter err = spec.commandLine().getErr();
-    HistoryReader reader = new HistoryReader(file, strictReplay, printTo(err));
+    HistoryReader reader = new HistoryReader(file, strictReplay, malformedLinePrinter(err));
     Replay replay;
     try {
       replay =
           ReplayRunner.replay(
               reader, byTime, allMethods, new ProgressPrinter(System.err, PROGRESS_UNIT));
     } catch (NoSuchFileException e) {
-      throw new IOException(message(e), e);
+      throw new IOException(errorMessage(e), e);
     }
     String source =
         file
             + ": "
-            + reader.lines()
+            + reader.linesRead()
             + " lines, "
-            + reader.malformed()
+            + reader.malformedLines()
             + " malformed, "
-            + reader.repeated()
-            + " repeated";
+            + reader.duplicateRuns()
+            + " duplicates";
     out.println(source);
     new TextReport(replay).write(out);
     out.flush();
--- a/src/main/java/madderrudder/tools/HistoryCommand.java
+++ b/src/main/java/madderrudder/tools/HistoryCommand.java
@@ -16,23 +16,24 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Commands that write histories of runs: collected from controllers, or generated. */
+/** The commands that write histories of task runs: collected from the controllers, or generated. */
 @Command(
     name = "history",
-    description = "Collect or draw histories of runs.",
+    description = "Collect or generate histories of task runs.",
     mixinStandardHelpOptions = true)
 final class HistoryCommand implements Runnable {
   @Spec private CommandSpec spec;
 
   @Override
   public void run() {
-    throw new ParameterException(spec.commandLine(), "expected export or generate");
+    throw new ParameterException(
+        spec.commandLine(), "missing command, expected export or generate");
   }
 
   @Command(
       name = "export",
       mixinStandardHelpOptions = true,
-      description = "Write what has run under the present leader, the latest 4,000 runs at most.")
+      description = "Write the latest task runs (up to 4,000) recorded by the current leader.")
   int export(
       @Option(
               names = "--from",
@@ -40,20 +41,20 @@
               split = ",",
               paramLabel = "URL",
               description =
-                  "The controllers, for instance http://127.0.0.1:7400; the one that leads answers.")
+                  "Addresses of the controllers, such as http://127.0.0.1:7400; the leader answers.")
           List<URI> controllers,
       @Mixin OutputOptions output,
       @Option(
               names = "--after",
               defaultValue = "0",
               paramLabel = "N",
-              description = "Leave out the leader's first N runs.")
+              description = "Skip the runs up to number N of the current leader.")
           long after,
       @Option(
               names = "--follow",
               paramLabel = "SECONDS",
               defaultValue = "0",
-              description = "Ask again this often, until stopped.")
+              description = "Repeat the export at this interval until interrupted; 0 exports once.")
           int followSeconds)
       throws IOException, InterruptedException {
     HistoryClient client = new HistoryClient(controllers, after);
@@ -66,18 +67,19 @@
         Thread.sleep(1000L * followSeconds);
       } while (followSeconds > 0);
       err.println(
-          writer.lines()
-              + " runs, "
-              + client.missed()
-              + " were forgotten before; next time --after "
-              + client.next());
+          writer.writtenRuns()
+              + " runs written, "
+              + client.missedRuns()
+              + " dropped by leaders before they were collected; continue with --after "
+              + client.lastRunNumber());
     }
     return 0;
   }
 
   /**
-   * Collects until there is nothing new. While following, no leader may answer for a while; that is
-   * printed, and the leader still has the latest runs afterwards.
+   * Collects until there are no new runs. In follow mode, a failure is printed and the next
+   * interval retries: a controller becomes the leader after a while, and the leader keeps the
+   * latest runs.
    */
   private static void collectAll(
       HistoryClient client, HistoryWriter writer, boolean following, PrintStream err)
@@ -98,26 +100,26 @@
   @Command(
       name = "generate",
       mixinStandardHelpOptions = true,
-      description = "Draw a history of stand-in jobs, the same for the same seed.")
+      description = "Generate a synthetic history; the same seed gives the same history.")
   int generate(
       @Option(
               names = "--seed",
               defaultValue = "1",
               paramLabel = "N",
-              description = "(default: ${DEFAULT-VALUE})")
+              description = "Seed of the random draws (default: ${DEFAULT-VALUE}).")
           long seed,
       @Option(
               names = "--runs",
               defaultValue = "50000",
               paramLabel = "N",
-              description = "How many (default: ${DEFAULT-VALUE}).")
+              description = "Number of runs (default: ${DEFAULT-VALUE}).")
           long runs,
       @Mixin OutputOptions output)
       throws IOException {
     if (runs < 1) {
       throw new ParameterException(spec.commandLine(), "--runs must be at least 1");
     }
-    ProgressPrinter progress = new ProgressPrinter(System.err, "runs drawn");
+    ProgressPrinter progress = new ProgressPrinter(System.err, "runs generated");
     try (Writer out = output.open()) {
       HistoryWriter writer = new HistoryWriter(out, output.format(), true);
       new HistoryGenerator(seed, runs)
--- a/src/main/java/madderrudder/tools/OutputOptions.java
+++ b/src/main/java/madderrudder/tools/OutputOptions.java
@@ -15,23 +15,24 @@
   @Option(
       names = "--out",
       paramLabel = "FILE",
-      description = "Where to (default: standard output).")
+      description = "Output file (default: standard output).")
   private Path file;
 
   @Option(
       names = "--format",
       defaultValue = "jsonl",
       paramLabel = "FORMAT",
-      description = "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
+      description = "File format: ${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE}).")
   private HistoryWriter.Format format;
 
-  /** Opens the file, or standard output if no file was given. */
+  /** Opens the output file, or standard output if no file is given. */
   Writer open() throws IOException {
     return file == null
         ? new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8))
         : Files.newBufferedWriter(file, StandardCharsets.UTF_8);
   }
 
+  /** Returns the file format of the history. */
   HistoryWriter.Format format() {
     return format;
   }
--- a/src/main/java/madderrudder/tools/Tools.java
+++ b/src/main/java/madderrudder/tools/Tools.java
@@ -8,22 +8,22 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The entry point of the tools, which run on operators' machines and not in a controller. */
+/** The entry point of the tools, which run on an operator's machine and not in a controller. */
 @Command(
     name = "madderrudder",
     description = "Tools of the madderrudder scheduler.",
     mixinStandardHelpOptions = true,
     footer = {
       "",
-      "serve and check, which run a controller and judge its settings, are commands of its own jar:",
-      "bin/madderrudder finds them there."
+      "The commands serve, check and rehearse are in the jar of the controller;",
+      "bin/madderrudder runs each command from its jar."
     },
     versionProvider = Tools.Version.class,
     subcommands = {HistoryCommand.class, EstimateCommand.class})
 public final class Tools implements Runnable {
   @Spec private CommandSpec spec;
 
-  /** The version in the manifest of the jar. */
+  /** Returns the version from the manifest of the jar. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -32,15 +32,16 @@
     }
   }
 
-  /** Fails with the list of commands, since a command is missing. */
+  /** Reports a usage error, because no command is given. */
   @Override
   public void run() {
-    throw new ParameterException(spec.commandLine(), "a command is missing");
+    throw new ParameterException(spec.commandLine(), "missing command");
   }
 
   /**
-   * The command line of all commands. Files that can't be read or written, and controllers that
-   * don't answer, are printed as one line without a stack trace; the exit code is 1 then.
+   * Returns the command line with all commands. An I/O error, such as an unreadable file or no
+   * answer from the controllers, is printed as one line without a stack trace, and the exit status
+   * is 1.
    */
   static CommandLine commandLine() {
     return new CommandLine(new Tools())
@@ -55,7 +56,7 @@
             });
   }
 
-  /** Runs the command in the arguments and exits with its code. */
+  /** Runs the command in the arguments, and exits with its status. */
   public static void main(String[] args) {
     System.exit(commandLine().execute(args));
   }
--- a/src/main/java/madderrudder/tools/package-info.java
+++ b/src/main/java/madderrudder/tools/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line of the tools: collecting, generating and replaying histories of runs, and asking
- * for estimates. It is in a jar of its own, beside that of the controller.
+ * The command line of the tools: collecting, generating and replaying histories of task runs, and
+ * estimating run times. The tools have a jar of their own, separate from that of the controller.
  */
 package madderrudder.tools;
--- a/src/test/java/madderrudder/replay/Histories.java
+++ b/src/test/java/madderrudder/replay/Histories.java
@@ -10,35 +10,38 @@
 import java.util.List;
 import madderrudder.metrics.RunHistory.EndedRun;
 
-/** History files for tests. */
+/** Writes and reads history files for tests. */
 final class Histories {
-  /** Discards its output. */
+  /** A progress printer whose output is discarded. */
   static final ProgressPrinter SILENT =
       new ProgressPrinter(new PrintStream(new ByteArrayOutputStream()), "");
 
   private Histories() {}
 
-  static Path generated(Path folder, long seed, long runs, HistoryWriter.Format format)
+  /** Writes a generated history into the folder and returns the file. */
+  static Path writeGenerated(Path folder, long seed, long runs, HistoryWriter.Format format)
       throws IOException {
-    Path file = folder.resolve("history-" + seed + suffix(format));
+    Path file = folder.resolve("history-" + seed + fileSuffix(format));
     StringWriter out = new StringWriter();
     HistoryWriter writer = new HistoryWriter(out, format, true);
     new HistoryGenerator(seed, runs).generate(writer::write);
     return Files.writeString(file, out.toString());
   }
 
-  static String suffix(HistoryWriter.Format format) {
+  /** Returns the suffix of the names of files in the format. */
+  static String fileSuffix(HistoryWriter.Format format) {
     return format == HistoryWriter.Format.CSV ? ".csv" : ".jsonl";
   }
 
-  /** A strict reader. */
-  static HistoryReader reader(Path file) {
-    return new HistoryReader(file, true, (where, line, problem) -> {});
+  /** Returns a reader that fails at a malformed line. */
+  static HistoryReader strictReader(Path file) {
+    return new HistoryReader(file, true, (path, line, problem) -> {});
   }
 
-  static List<EndedRun> read(Path file) throws IOException {
-    List<EndedRun> all = new ArrayList<>();
-    reader(file).read((ended, oracleMicros) -> all.add(ended));
-    return all;
+  /** Reads all runs of a file, and fails at a malformed line. */
+  static List<EndedRun> readAll(Path file) throws IOException {
+    List<EndedRun> runs = new ArrayList<>();
+    strictReader(file).read((ended, oracleMicros) -> runs.add(ended));
+    return runs;
   }
 }
--- a/src/test/java/madderrudder/replay/HistoryClientTest.java
+++ b/src/test/java/madderrudder/replay/HistoryClientTest.java
@@ -22,19 +22,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Collecting the history from a follower and a leader. */
+/**
+ * Guards against lost or repeated runs when a client collects the history: the leader answers in
+ * several responses, a follower refuses, and a new leader numbers its runs from 1.
+ */
 class HistoryClientTest {
   private final List<EndedRun> runs = new ArrayList<>();
   private HttpServer follower;
   private HttpServer leader;
 
-  /** The history of whoever leads. */
+  /** The history of the current leader; replaced to simulate a failover. */
   private volatile RunHistory leaderHistory = history(41, 700);
 
   @BeforeEach
   void startControllers() throws IOException {
-    follower = start(HistoryClientTest::refuse);
-    leader = start(this::answer);
+    follower = startServer(HistoryClientTest::refuse);
+    leader = startServer(this::serveHistory);
   }
 
   @AfterEach
@@ -47,7 +50,7 @@
     void handle(HttpExchange exchange) throws IOException;
   }
 
-  private static HttpServer start(Handler handler) throws IOException {
+  private static HttpServer startServer(Handler handler) throws IOException {
     HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     server.createContext(
@@ -60,12 +63,12 @@
     return server;
   }
 
-  /** As a controller that does not lead. */
+  /** Answers as a follower does. */
   private static void refuse(HttpExchange exchange) throws IOException {
     exchange.sendResponseHeaders(503, -1);
   }
 
-  private void answer(HttpExchange exchange) throws IOException {
+  private void serveHistory(HttpExchange exchange) throws IOException {
     String path = exchange.getRequestURI().getPath();
     long after = Long.parseLong(path.substring("/history/".length()));
     byte[] body = Json.object(out -> leaderHistory.write(out, after));
@@ -83,10 +86,10 @@
   }
 
   private HistoryClient client(long after) {
-    return new HistoryClient(List.of(uri(follower), uri(leader)), after);
+    return new HistoryClient(List.of(address(follower), address(leader)), after);
   }
 
-  private static URI uri(HttpServer server) {
+  private static URI address(HttpServer server) {
     return URI.create("http://127.0.0.1:" + server.getAddress().getPort());
   }
 
@@ -94,7 +97,7 @@
     return client.collect((ended, oracleMicros) -> runs.add(ended));
   }
 
-  /** Several answers are needed for so many runs. */
+  /** Collects until there are no new runs; 600 runs take several responses. */
   private void collectAll(HistoryClient client) throws Exception {
     int collected;
     do {
@@ -103,11 +106,11 @@
   }
 
   @Test
-  void collectsFromTheLeaderWhatIsNotKnownYet() throws Exception {
+  void collectsOnlyRunsAfterTheGivenNumberFromTheLeader() throws Exception {
     HistoryClient client = client(100);
     collectAll(client);
     assertEquals(600, runs.size());
-    assertEquals(700, client.next());
+    assertEquals(700, client.lastRunNumber());
   }
 
   @Test
@@ -116,24 +119,24 @@
     collectAll(client);
     leaderHistory = history(42, 5);
     assertEquals(5, collect(client));
-    assertEquals(5, client.next());
+    assertEquals(5, client.lastRunNumber());
   }
 
   @Test
-  void countsTheRunsThatTheLeaderHasForgotten() throws Exception {
+  void countsRunsThatTheLeaderDroppedBeforeTheyWereCollected() throws Exception {
     HistoryClient client = client(100);
     collectAll(client);
     leaderHistory = history(42, 5);
     collect(client);
     leaderHistory = history(42, 9_000);
     collect(client);
-    assertEquals(4_995, client.missed());
+    assertEquals(4_995, client.missedRuns());
   }
 
   @Test
-  void failsWithWhatEachControllerSaidIfNoneLeads() {
-    HistoryClient nobody = new HistoryClient(List.of(URI.create("http://127.0.0.1:1")), 0);
-    IOException failure = assertThrows(IOException.class, () -> collect(nobody));
+  void failsWithTheErrorOfEachControllerWhenNoneLeads() {
+    HistoryClient unreachable = new HistoryClient(List.of(URI.create("http://127.0.0.1:1")), 0);
+    IOException failure = assertThrows(IOException.class, () -> collect(unreachable));
     assertTrue(
         failure.getMessage().startsWith("no controller answers as the leader: http://127.0.0.1:1"),
         failure.getMessage());
--- a/src/test/java/madderrudder/replay/HistoryFilesTest.java
+++ b/src/test/java/madderrudder/replay/HistoryFilesTest.java
@@ -1,6 +1,6 @@
 package madderrudder.replay;
 
-import static madderrudder.replay.Histories.read;
+import static madderrudder.replay.Histories.readAll;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -23,30 +23,33 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Generating, writing and reading histories. */
+/**
+ * Guards against runs that change, vanish or are counted twice between writing and reading a
+ * history file: names with separators, malformed lines, and duplicates from overlapping exports.
+ */
 class HistoryFilesTest {
   @TempDir Path folder;
 
-  private List<EndedRun> generated(long seed, HistoryWriter.Format format) throws IOException {
-    return read(Histories.generated(folder, seed, 500, format));
+  private List<EndedRun> readGenerated(long seed, HistoryWriter.Format format) throws IOException {
+    return readAll(Histories.writeGenerated(folder, seed, 500, format));
   }
 
   @Test
   void sameSeedGeneratesTheSameHistoryInBothFormats() throws IOException {
-    List<EndedRun> ofLines = generated(3, HistoryWriter.Format.JSONL);
-    assertEquals(500, ofLines.size());
-    assertEquals(ofLines, generated(3, HistoryWriter.Format.CSV));
+    List<EndedRun> jsonRuns = readGenerated(3, HistoryWriter.Format.JSONL);
+    assertEquals(500, jsonRuns.size());
+    assertEquals(jsonRuns, readGenerated(3, HistoryWriter.Format.CSV));
   }
 
   @Test
-  void otherSeedsGenerateOtherHistories() throws IOException {
+  void differentSeedsGenerateDifferentHistories() throws IOException {
     assertNotEquals(
-        generated(3, HistoryWriter.Format.JSONL), generated(4, HistoryWriter.Format.JSONL));
+        readGenerated(3, HistoryWriter.Format.JSONL), readGenerated(4, HistoryWriter.Format.JSONL));
   }
 
   @ParameterizedTest
   @EnumSource(HistoryWriter.Format.class)
-  void namesWithCommasQuotesAndLineEndsAreReadAsWritten(HistoryWriter.Format format)
+  void readsNamesWithCommasQuotesAndLineBreaksAsWritten(HistoryWriter.Format format)
       throws IOException {
     TaskProfile profile =
         new TaskProfile("a,b", "say \"x\"", "team\nof two", "7", new Resources(1_500, 250, 1));
@@ -55,8 +58,9 @@
             1_790_000_000_123_456L, new TaskRun(profile, 2, 9, "", "m;1", 0, 1_250_000, false));
     StringWriter out = new StringWriter();
     new HistoryWriter(out, format, false).write(ended, 0);
-    Path file = Files.writeString(folder.resolve("odd" + Histories.suffix(format)), out.toString());
-    assertEquals(List.of(ended), read(file));
+    Path file =
+        Files.writeString(folder.resolve("odd" + Histories.fileSuffix(format)), out.toString());
+    assertEquals(List.of(ended), readAll(file));
   }
 
   private static final String VALID_LINE =
@@ -88,37 +92,39 @@
 
   @ParameterizedTest
   @MethodSource("malformedLines")
-  void malformedLinesAreReportedAndLeftOut(String line) throws IOException {
+  void reportsAndSkipsMalformedLines(String line) throws IOException {
     List<String> reported = new ArrayList<>();
     List<EndedRun> runs = new ArrayList<>();
     HistoryReader reader =
         new HistoryReader(
-            historyWith(line), false, (file, number, why) -> reported.add(number + ": " + why));
+            historyWith(line),
+            false,
+            (file, number, problem) -> reported.add(number + ": " + problem));
     reader.read((ended, oracleMicros) -> runs.add(ended));
     assertEquals(2, runs.size());
     assertEquals(1, reported.size());
     assertTrue(reported.get(0).startsWith("3: "), reported.get(0));
-    assertEquals(1, reader.malformed());
-    assertEquals(1, reader.repeated());
+    assertEquals(1, reader.malformedLines());
+    assertEquals(1, reader.duplicateRuns());
   }
 
   @ParameterizedTest
   @MethodSource("malformedLines")
-  void malformedLineEndsAStrictReading(String line) throws IOException {
-    HistoryReader strict = Histories.reader(historyWith(line));
+  void strictReaderFailsAtAMalformedLine(String line) throws IOException {
+    HistoryReader strict = Histories.strictReader(historyWith(line));
     IOException failure =
         assertThrows(MalformedLineException.class, () -> strict.read((ended, oracleMicros) -> {}));
     assertTrue(failure.getMessage().contains("bad.jsonl, line 3: "), failure.getMessage());
   }
 
   @Test
-  void malformedRowsOfATableAreReported() throws IOException {
+  void reportsMalformedRowsOfCsv() throws IOException {
     Path file =
         Files.writeString(
             folder.resolve("bad.csv"),
             "job,task,class,took_s,end\nj1,0,c,60,done\nj2,0,c,60\nj3,0,c,many,done\n");
     List<String> reported = new ArrayList<>();
-    new HistoryReader(file, false, (where, number, why) -> reported.add(number + ": " + why))
+    new HistoryReader(file, false, (path, number, problem) -> reported.add(number + ": " + problem))
         .read((ended, oracleMicros) -> {});
     assertEquals(
         List.of("3: 4 columns where the headings are 5", "4: field took_s is missing or invalid"),
--- a/src/test/java/madderrudder/replay/HtmlReportTest.java
+++ b/src/test/java/madderrudder/replay/HtmlReportTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The page about a replay with all methods. */
+/**
+ * Guards against a page that a browser can't display: text that is not escaped, plots that are
+ * missing or not well-formed, and predictors without a name.
+ */
 class HtmlReportTest {
   @TempDir static Path folder;
 
@@ -23,20 +26,21 @@
 
   @BeforeAll
   static void writePage() throws IOException {
-    Path file = Histories.generated(folder, 5, 2_500, HistoryWriter.Format.JSONL);
-    Replay replay = ReplayRunner.replay(Histories.reader(file), false, true, Histories.SILENT);
+    Path file = Histories.writeGenerated(folder, 5, 2_500, HistoryWriter.Format.JSONL);
+    Replay replay =
+        ReplayRunner.replay(Histories.strictReader(file), false, true, Histories.SILENT);
     StringWriter out = new StringWriter();
     new HtmlReport(replay).write("a <history> & more", out);
     page = out.toString();
   }
 
   @Test
-  void sourceIsEscaped() {
+  void escapesTheSource() {
     assertTrue(page.contains("a &lt;history&gt; &amp; more"));
   }
 
   @Test
-  void hasThreePlotsOfWellFormedSvg() throws Exception {
+  void containsThreePlotsOfWellFormedSvg() throws Exception {
     int plots = 0;
     for (int from = page.indexOf("<svg"); from >= 0; from = page.indexOf("<svg", from + 1)) {
       String plot = page.substring(from, page.indexOf("</svg>", from) + 6);
--- a/src/test/java/madderrudder/replay/ProgressPrinterTest.java
+++ b/src/test/java/madderrudder/replay/ProgressPrinterTest.java
@@ -9,9 +9,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/** Guards against progress output that floods the terminal: 4,000 steps take one second here. */
 class ProgressPrinterTest {
   @Test
-  void printsOnceASecond() {
+  void printsTheCountOncePerSecond() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     AtomicLong nanos = new AtomicLong();
     ProgressPrinter progress =
--- a/src/test/java/madderrudder/replay/ReplayTest.java
+++ b/src/test/java/madderrudder/replay/ReplayTest.java
@@ -1,7 +1,7 @@
 package madderrudder.replay;
 
 import static madderrudder.replay.Histories.SILENT;
-import static madderrudder.replay.Histories.reader;
+import static madderrudder.replay.Histories.strictReader;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,57 +15,59 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Replays of histories; the scores are the figures of docs/estimates.md at a tenth of their size.
+ * Guards against a loss of accuracy of the learned estimates, and against runs that a replay
+ * miscounts. The generated history is a tenth of the size of the one behind the results in
+ * docs/estimates.md.
  */
 class ReplayTest {
   @TempDir static Path folder;
 
-  private static Replay generated;
+  private static Replay generatedReplay;
 
   @BeforeAll
   static void replayGeneratedHistory() throws IOException {
-    Path file = Histories.generated(folder, 7, 6_000, HistoryWriter.Format.JSONL);
-    generated = ReplayRunner.replay(reader(file), false, false, SILENT);
+    Path file = Histories.writeGenerated(folder, 7, 6_000, HistoryWriter.Format.JSONL);
+    generatedReplay = ReplayRunner.replay(strictReader(file), false, false, SILENT);
   }
 
   @Test
-  void classesOfLittleNoiseAreEstimatedWithinAQuarter() {
-    Map<String, ErrorTally> learned = generated.scores().get("learned").byClass;
-    int classesOfLittleNoise = 0;
+  void learnedEstimatesOfLowNoiseClassesAreNear() {
+    Map<String, ErrorTally> learned = generatedReplay.scores().get("learned").byClass;
+    int lowNoiseClasses = 0;
     for (Map.Entry<String, ErrorTally> entry :
-        generated.scores().get(Replay.ORACLE).byClass.entrySet()) {
+        generatedReplay.scores().get(Replay.ORACLE_NAME).byClass.entrySet()) {
       String name = entry.getKey();
-      double ofOracle = entry.getValue().nearShare();
-      if (ofOracle > 0.9 && !name.equals("drifting")) {
-        classesOfLittleNoise++;
-        double share = learned.get(name).nearShare();
-        assertTrue(share > 0.8, name + " " + share + " of " + ofOracle);
+      double oracleShare = entry.getValue().nearShare();
+      if (oracleShare > 0.9 && !name.equals("drifting")) {
+        lowNoiseClasses++;
+        double learnedShare = learned.get(name).nearShare();
+        assertTrue(
+            learnedShare > 0.8, name + ": learned " + learnedShare + ", oracle " + oracleShare);
       }
     }
-    assertTrue(
-        classesOfLittleNoise >= 4, "only " + classesOfLittleNoise + " classes have little noise");
+    assertTrue(lowNoiseClasses >= 4, "only " + lowNoiseClasses + " low-noise classes");
   }
 
   @Test
-  void learnedEstimatesAreNearMoreOftenThanTheOthers() {
-    Map<String, PredictionScore> scores = generated.scores();
-    double learned = scores.get("learned").all.nearShare();
-    assertTrue(learned > 2 * scores.get("guess").all.nearShare());
-    assertTrue(learned > 1.5 * scores.get("ratio").all.nearShare());
+  void learnedEstimatesAreNearMoreOftenThanOtherMethods() {
+    Map<String, PredictionScore> scores = generatedReplay.scores();
+    double learned = scores.get("learned").overall.nearShare();
+    assertTrue(learned > 2 * scores.get("guess").overall.nearShare());
+    assertTrue(learned > 1.5 * scores.get("ratio").overall.nearShare());
   }
 
   @Test
-  void intervalsHaveTheCoverageThatTheyPromise() {
-    for (int i = 0; i < Replay.COVERAGES.size(); i++) {
+  void observedCoverageMatchesNominalCoverage() {
+    for (int i = 0; i < Replay.CHECKED_COVERAGES.size(); i++) {
       assertEquals(
-          Replay.COVERAGES.get(i),
-          generated.observedCoverages()[i],
+          Replay.CHECKED_COVERAGES.get(i),
+          generatedReplay.observedCoverages()[i],
           0.06,
-          "of intervals that promise it");
+          "observed coverage");
     }
   }
 
-  private static Path oddHistory() throws IOException {
+  private static Path irregularHistory() throws IOException {
     return Files.writeString(
         folder.resolve("odd.jsonl"),
         """
@@ -77,8 +79,8 @@
   }
 
   @Test
-  void runsThatAreNotPredictedAreCounted() throws IOException {
-    Replay replay = ReplayRunner.replay(reader(oddHistory()), false, false, SILENT);
+  void countsRunsThatAreNotPredicted() throws IOException {
+    Replay replay = ReplayRunner.replay(strictReader(irregularHistory()), false, false, SILENT);
     assertEquals(1, replay.predictedRuns());
     assertEquals(2, replay.implausibleRuns());
     assertEquals(1, replay.stoppedRuns());
@@ -86,8 +88,10 @@
   }
 
   @Test
-  void runsAreInOrderWhenReplayedByTime() throws IOException {
+  void replayByTimeOrdersTheRuns() throws IOException {
     assertEquals(
-        0, ReplayRunner.replay(reader(oddHistory()), true, false, SILENT).runsOutOfOrder());
+        0,
+        ReplayRunner.replay(strictReader(irregularHistory()), true, false, SILENT)
+            .runsOutOfOrder());
   }
 }
--- a/src/test/java/madderrudder/tools/ToolsTest.java
+++ b/src/test/java/madderrudder/tools/ToolsTest.java
@@ -13,9 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The commands of the tools, run inside the test. */
+/**
+ * Guards against commands that give no estimate for a known class, or print a stack trace when they
+ * are used wrongly. The commands run inside the test process.
+ */
 class ToolsTest {
-  private static final String LINE =
+  private static final String HISTORY_LINE =
       """
       {"job":"j%d","task":0,"attempt":1,"class":"c","guess_s":60,"took_s":90,"end":"done"}
       """;
@@ -32,17 +35,17 @@
         .execute(arguments);
   }
 
-  private Path history() throws IOException {
+  private Path writeHistory() throws IOException {
     StringBuilder lines = new StringBuilder();
     for (int i = 0; i < 40; i++) {
-      lines.append(LINE.formatted(i));
+      lines.append(HISTORY_LINE.formatted(i));
     }
     return Files.writeString(folder.resolve("plain.jsonl"), lines.toString());
   }
 
   @Test
-  void estimateAnswersForADescribedTask() throws IOException {
-    String history = history().toString();
+  void estimatesTheRunTimeOfADescribedTask() throws IOException {
+    String history = writeHistory().toString();
     int status =
         run("estimate", "--history", history, "--class", "c", "--cpus", "0", "--guess", "60");
     assertEquals(0, status, err.toString());
@@ -65,7 +68,7 @@
         "tomorrow",
         ""
       })
-  void wrongUsageIsExplainedWithoutAStackTrace(String line) {
+  void reportsUsageErrorsWithoutAStackTrace(String line) {
     int status = run(line.isEmpty() ? new String[0] : line.split(" ", -1));
     assertEquals(2, status);
     assertTrue(!err.toString().isBlank() && !err.toString().contains("\tat "), err.toString());
