--- a/src/test/java/madderrudder/cli/MixedBuilds.java
+++ b/src/test/java/madderrudder/cli/MixedBuilds.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.MatchResult;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import madderrudder.config.SettingsTest;
@@ -43,6 +44,10 @@
   /** The leader stores one changed page of learned run times in this time. */
   private static final long PAGE_INTERVAL_S = 10;
 
+  private static final Pattern FIELD_PATH =
+      Pattern.compile(
+          "(deployment|external|members)[.\\[][\\w.\\[\\]]*|[a-z]+(-[a-z]+)+|(?m)^member");
+
   private static final String COMPLETED = "req-000001";
   private static final String ENDLESS = "req-000002";
   private static final String CANCELLED = "req-000003";
@@ -262,7 +267,10 @@
     }
   }
 
-  /** The exit status of {@code check}, and of each line the path of the field that it names. */
+  /**
+   * The exit status of {@code check}, the number of lines that it prints, and the paths of fields
+   * in them.
+   */
   private String check(Path jar, Path settings, String operator) throws Exception {
     Path output = folder.resolve("output");
     Process process =
@@ -279,8 +287,9 @@
             .redirectOutput(output.toFile())
             .start();
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+    List<String> lines = Files.readAllLines(output);
     List<String> fields =
-        Files.readAllLines(output).stream().map(line -> line.replaceAll(": .*", "")).toList();
-    return process.exitValue() + " " + fields;
+        FIELD_PATH.matcher(String.join("\n", lines)).results().map(MatchResult::group).toList();
+    return process.exitValue() + ", " + lines.size() + " lines, " + fields;
   }
 }
