--- a/bench/Regress.java
+++ b/bench/Regress.java
@@ -747,7 +747,7 @@
                 rules.equals("{}") ? "" : rules,
                 day.text("fault", null),
                 Math.round(day.amount("restarts", 0)),
-                servedShares(day.plain("served"))));
+                servedShares(day.asPlainText("served"))));
       }
       return new JournalEntry(
           entry.text("id"),
--- a/src/main/java/madderrudder/config/DeploymentReader.java
+++ b/src/main/java/madderrudder/config/DeploymentReader.java
@@ -97,11 +97,11 @@
             problems.positiveSecondsAsMicros(path, workers, "gang_wait_s"),
             problems.positiveSecondsAsMicros(path, workers, "gang_peer_s"),
             problems.positiveSecondsAsMicros(path, workers, "cancel_s"));
-    if (problems.isEmpty() && SafetyBounds.of(times).answerMicros() < MIN_HEARTBEAT_ANSWER_MICROS) {
+    if (problems.isEmpty() && SafetyBounds.of(times).maxAnswerWithoutStoreMicros() < MIN_HEARTBEAT_ANSWER_MICROS) {
       problems.add(
           path + "cancel_s",
           "%s s must exceed lease_s, %s s, by at least 6 s; otherwise heartbeats can't be answered safely"
-              .formatted(times.cancelMicros() / 1e6, times.leaseMicros() / 1e6));
+              .formatted(times.cancelDeadlineMicros() / 1e6, times.leaseMicros() / 1e6));
     }
     return times;
   }
--- a/src/main/java/madderrudder/config/OperatorSettings.java
+++ b/src/main/java/madderrudder/config/OperatorSettings.java
@@ -80,16 +80,16 @@
   private OperatorPolicy toPolicy() throws MalformedSExpressionException {
     OperatorPolicy defaults = OperatorPolicy.defaults();
     return new OperatorPolicy(
-        secondsAsMicros("threshold-s", 0, 86_400, defaults.thresholdMicros()),
-        secondsAsMicros("poll-s", 0.1, 3_600, defaults.pollMicros()),
+        secondsAsMicros("threshold-s", 0, 86_400, defaults.rentalThresholdMicros()),
+        secondsAsMicros("poll-s", 0.1, 3_600, defaults.scaleOutIntervalMicros()),
         (int) number("budget", 0, 1_000_000, defaults.budget()),
         secondsAsMicros("budget-window-s", 1, 604_800, defaults.budgetWindowMicros()),
         secondsAsMicros("idle-s", 1, 86_400, defaults.idleMicros()),
         spotMode("spot", defaults.spotMode()),
         secondsAsMicros("hold-s", 1, 60, defaults.leaseMicros()),
         number("headroom", 0, 0.9, defaults.headroom()),
-        number("patience", 0, 1, defaults.patience()),
-        isOn("deputies", defaults.delegation()),
+        number("patience", 0, 1, defaults.spotWaitShare()),
+        isOn("deputies", defaults.delegationEnabled()),
         isOn("learned-run-times", defaults.learnedRunTimes()));
   }
 
--- a/src/main/java/madderrudder/config/SettingsProblems.java
+++ b/src/main/java/madderrudder/config/SettingsProblems.java
@@ -55,7 +55,7 @@
   /** Reads an IPv4 address with a port; empty if the field is missing or not a string. */
   String address(String path, JsonFields fields, String name) {
     String address = readOrDefault(path + name, "", () -> fields.text(name));
-    if (!address.isEmpty() && !Addresses.valid(address)) {
+    if (!address.isEmpty() && !Addresses.isValid(address)) {
       add(
           path + name,
           "\"" + address + "\" is not an IPv4 address with a port, such as 10.0.0.1:8080");
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -63,25 +63,25 @@
    */
   boolean send(Machine machine) {
     long nowMicros = term.scheduler.nowMicros();
-    if (!mayReceiveDirectCommands(machine, nowMicros) || term.closed()) {
+    if (!mayReceiveDirectCommands(machine, nowMicros) || term.isClosed()) {
       return false;
     }
     CommandPlan plan = planner.planDirect(machine, nowMicros, term.election.holdsLease());
     SentCommandRecorder.recordDirectStops(plan, nowMicros);
-    if (plan.commands().isEmpty() || !Addresses.valid(machine.address)) {
+    if (plan.commands().isEmpty() || !Addresses.isValid(machine.address)) {
       return false;
     }
     long token = commandRecorder.issueToken(machine, machine.seenToken);
     SentCommandRecorder.recordDirectStarts(machine, plan, token, nowMicros);
     machine.directInFlight = true;
     long epoch = machine.epoch;
-    term.calls.call(
+    term.httpCaller.call(
         machine.address,
         HttpRequest.post("/orders", WorkerCodec.directCommands(token, epoch, plan.commands())),
         REQUEST_TIMEOUT_MICROS,
         response -> {
           machine.directInFlight = false;
-          if (!term.closed()) {
+          if (!term.isClosed()) {
             handleResponse(machine, epoch, plan.starts(), response);
           }
         });
@@ -92,7 +92,7 @@
     return !machine.directInFlight
         && !machine.address.isEmpty()
         && nowMicros >= machine.directBlockedUntilMicros
-        && machine.usable(nowMicros, term.deployment.workers().reportMicros());
+        && machine.usable(nowMicros, term.deployment.workers().heartbeatIntervalMicros());
   }
 
   private void handleResponse(
@@ -143,7 +143,7 @@
    * the worker has, but not that a task it does not name is absent.
    */
   private void mergeReport(Machine machine, long epoch, List<Assignment> starts, Heartbeat report) {
-    if (machine.epoch != epoch || !report.newerThan(machine.epoch, machine.sequence)) {
+    if (machine.epoch != epoch || !report.isNewerThan(machine.epoch, machine.sequence)) {
       return;
     }
     machine.sequence = report.sequence();
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -36,7 +36,7 @@
   CoverageTracker(LeaderTerm term, int controllerCount) {
     this.term = term;
     reportTimeoutMicros =
-        ClusterCoverage.patienceMicros(term.deployment.workers(), controllerCount);
+        ClusterCoverage.reportTimeoutMicros(term.deployment.workers(), controllerCount);
     termStartMicros = term.scheduler.nowMicros();
   }
 
@@ -56,7 +56,7 @@
         term.cluster.jobs.size(),
         term.cluster.machines.size());
     coverage = assess();
-    guaranteedJobs = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage).guaranteed();
+    guaranteedJobs = Demand.of(term.cluster, term.scheduler.wallClockMicros(), coverage).guaranteed();
     acceptEarlyHeartbeats.run();
     coverage = assess();
     LOG.info(
@@ -105,7 +105,7 @@
         term.cluster,
         term.scheduler.nowMicros() - stateLoadedMicros,
         reportTimeoutMicros,
-        term.scheduler.wallMicros());
+        term.scheduler.wallClockMicros());
   }
 
   private static String percent(double share) {
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -127,12 +127,12 @@
       return term.election.holdsLease() && nowMicros < delegatedUntilMicros.getAsLong();
     }
     long knownUpToMicros = Math.min(jobs.knownUpToMicros(), term.election.leaseEndMicros());
-    return nowMicros < knownUpToMicros + term.safety.answerMicros();
+    return nowMicros < knownUpToMicros + term.safetyBounds.maxAnswerWithoutStoreMicros();
   }
 
   private void keepEarlyHeartbeat(Heartbeat heartbeat) {
     Heartbeat known = earlyHeartbeats.get(heartbeat.machine());
-    if (known == null || heartbeat.newerThan(known.epoch(), known.sequence())) {
+    if (known == null || heartbeat.isNewerThan(known.epoch(), known.sequence())) {
       earlyHeartbeats.put(heartbeat.machine(), heartbeat);
     }
   }
@@ -162,7 +162,7 @@
     if (older != null) {
       older.callback().accept(answer(older.heartbeat()));
     }
-    term.after(
+    term.runAfter(
         MAX_DURABILITY_WAIT_MICROS,
         () -> {
           if (pendingReplies.remove(machineId, reply)) {
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -127,7 +127,7 @@
   /** Starts to watch the leader key, and to campaign whenever it is absent. */
   public void start() {
     leaderKeyWatch.start();
-    scheduler.every(CAMPAIGN_CHECK_INTERVAL_MICROS, this::campaignIfPossible);
+    scheduler.runEvery(CAMPAIGN_CHECK_INTERVAL_MICROS, this::campaignIfPossible);
   }
 
   /** Returns the name of the known leader; empty if none is known. */
@@ -204,7 +204,7 @@
    *
    * @param reason the cause, for the log
    */
-  public void yieldLeadership(String reason) {
+  public void stepDownAndPauseCampaigns(String reason) {
     campaignNotBeforeMicros = scheduler.nowMicros() + CAMPAIGN_PAUSE_AFTER_YIELD_MICROS;
     stepDown(reason);
   }
@@ -252,7 +252,7 @@
     predecessorVersion = 0;
     if (state != State.LEADING) {
       leader = null;
-      scheduler.after(random.nextLong(MAX_CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
+      scheduler.runAfter(random.nextLong(MAX_CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
     }
   }
 
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -89,11 +89,11 @@
     int slash = jobAndChunk.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(jobAndChunk.substring(0, slash));
     if (job == null) {
-      term.commits.add(new DeleteKeyChange(item.key()), Urgency.LATER);
+      term.commitQueue.add(new DeleteKeyChange(item.key()), Urgency.DEFERRED);
       return;
     }
     try {
-      JobRecords.readProgress(
+      JobRecords.decodeProgress(
           item.value(), Integer.parseInt(jobAndChunk.substring(slash + 1)), job.done);
       if (JobRecords.readFailing(item.value())) {
         job.markFailing(term.scheduler.nowMicros());
@@ -113,7 +113,7 @@
       return;
     }
     try {
-      JobRecords.Live stored = JobRecords.readLive(item.value());
+      JobRecords.Live stored = JobRecords.decodeLive(item.value());
       JobSpec spec = stored.spec();
       TeamQuota team = term.deployment.teams().get(spec.team());
       if (team == null) {
@@ -150,7 +150,7 @@
     endJob(job);
     if (!job.done.isEmpty() || job.failing()) {
       for (String key : JobProgressChange.progressKeys(job)) {
-        term.commits.add(new DeleteKeyChange(key), Urgency.LATER);
+        term.commitQueue.add(new DeleteKeyChange(key), Urgency.DEFERRED);
       }
     }
   }
@@ -160,7 +160,7 @@
     job.ended = true;
     term.cluster.jobs.remove(job.spec.id());
     for (Assignment assignment : List.copyOf(job.assignments)) {
-      machines.evict(assignment);
+      machines.markForEviction(assignment);
       if (assignment.completed) {
         machines.release(assignment);
       }
@@ -168,14 +168,14 @@
   }
 
   /** Records that a task has completed. The tasks of a gang complete together. */
-  public void completed(Assignment assignment) {
+  public void recordCompletion(Assignment assignment) {
     Job job = assignment.job;
     if (job == null || job.ended || job.spec.kind() == JobKind.SERVICE) {
       machines.release(assignment);
       return;
     }
-    term.cluster.complete(assignment);
-    job.completed();
+    term.cluster.recordCompletion(assignment);
+    job.recordCompletion();
     if (job.spec.kind() == JobKind.GANG) {
       job.done.set(0, job.spec.tasks());
     } else {
@@ -200,7 +200,7 @@
    * durable.
    */
   void queueProgress(Job job) {
-    Urgency urgency = job.complete() ? Urgency.SOON : Urgency.LATER;
-    term.commits.add(new JobProgressChange(job, this, machines), urgency);
+    Urgency urgency = job.complete() ? Urgency.NORMAL : Urgency.DEFERRED;
+    term.commitQueue.add(new JobProgressChange(job, this, machines), urgency);
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -54,7 +54,7 @@
    */
   void load(StoredState found) throws MalformedMessageException {
     intents.load(found);
-    for (KeyValue item : found.rentals()) {
+    for (KeyValue item : found.openRentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
       pendingRequests.put(requestId, rental);
@@ -105,7 +105,7 @@
         rental.zone(),
         rental.spot(),
         rental.count(),
-        rental.counted());
+        rental.countsAgainstBudget());
   }
 
   /**
@@ -143,34 +143,34 @@
       return;
     }
     cloud.rent(
-        rental.request(),
+        rental.requestId(),
         scaleOutRequest(rental),
         result -> {
-          if (!term.closed()) {
+          if (!term.isClosed()) {
             handle(rental, result);
           }
         });
   }
 
   private void retryLater(RentalRecord rental) {
-    term.after(RETRY_MICROS, () -> send(rental));
+    term.runAfter(RETRY_MICROS, () -> send(rental));
   }
 
   private void handle(RentalRecord rental, RentResult result) {
     if (result instanceof RentResult.Rented rented) {
-      LOG.info("rented {} for request {}", rented.machineIds(), rental.request());
+      LOG.info("rented {} for request {}", rented.machineIds(), rental.requestId());
       complete(rental, rented.machineIds());
     } else if (result instanceof RentResult.NoCapacity) {
-      LOG.info("no capacity for request {}", rental.request());
+      LOG.info("no capacity for request {}", rental.requestId());
       complete(rental, List.of());
     } else if (result instanceof RentResult.Rejected) {
-      LOG.error("cloud rejected request {} as malformed", rental.request());
+      LOG.error("cloud rejected request {} as malformed", rental.requestId());
       complete(rental, List.of());
     } else {
       if (result instanceof RentResult.Malformed malformed) {
         LOG.info(
             "response to request {} is malformed, retrying the request: {}",
-            rental.request(),
+            rental.requestId(),
             malformed.reason());
       }
       retryLater(rental);
@@ -183,7 +183,7 @@
   private void complete(RentalRecord rental, List<String> machineIds) {
     poolLimits.recordAnswer(
         pool(rental), rental.count(), machineIds.size(), term.scheduler.nowMicros());
-    pendingRequests.remove(rental.request());
+    pendingRequests.remove(rental.requestId());
     for (String machineId : machineIds) {
       addIfNew(rental, machineId);
     }
@@ -204,7 +204,7 @@
             rental.zone(),
             rental.spot(),
             false,
-            term.scheduler.wallMicros());
-    machines.save(machine);
+            term.scheduler.wallClockMicros());
+    machines.queueRecord(machine);
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -62,7 +62,7 @@
             .anyMatch(
                 job ->
                     !job.spec.spotAllowed()
-                        && cluster.deployment.objectives().wantsPromptStart(job.spec));
+                        && cluster.deployment.objectives().hasWaitObjective(job.spec));
     return new Demand(
         guaranteed, waiting(cluster, guaranteed, wallMicros), promptNeedsNonSpot, coverage);
   }
@@ -70,8 +70,8 @@
   /** Returns, for each resource, the smallest amount that any waiting task requests. */
   Resources minTaskResources() {
     return waiting.stream()
-        .map(job -> job.spec.perTask())
-        .reduce(Resources::least)
+        .map(job -> job.spec.resourcesPerTask())
+        .reduce(Resources::min)
         .orElse(Resources.NONE);
   }
 
@@ -87,7 +87,7 @@
     for (Job job : oldestFirst) {
       Resources demandSoFar =
           demandByTeam.merge(
-              job.spec.team(), job.spec.perTask().times(job.remainingTasks()), Resources::plus);
+              job.spec.team(), job.spec.resourcesPerTask().times(job.remainingTasks()), Resources::plus);
       if (job.team.guarantees(demandSoFar)) {
         guaranteed.add(job);
       }
@@ -147,7 +147,7 @@
 
   private static boolean isPromptGang(Cluster cluster, Job job) {
     return job.spec.kind() == JobKind.GANG
-        && cluster.deployment.objectives().wantsPromptStart(job.spec);
+        && cluster.deployment.objectives().hasWaitObjective(job.spec);
   }
 
   /** The earliest deadline that a job can still meet, and how many it misses before that one. */
@@ -160,7 +160,7 @@
   }
 
   private static Deadline deadline(Cluster cluster, Job job, long nowWallMicros) {
-    List<Long> dueOffsets = cluster.deployment.objectives().dueMicros(job.spec);
+    List<Long> dueOffsets = cluster.deployment.objectives().dueOffsetsMicros(job.spec);
     if (dueOffsets.isEmpty()) {
       return new Deadline(0, job.acceptedWallMicros + DEFAULT_DEADLINE_MICROS);
     }
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -83,10 +83,10 @@
     try {
       JsonFields fields = Json.readObject(json);
       for (String name : RunHistoryCodec.FIELDS) {
-        csv.print(fields.plain(name));
+        csv.print(fields.asPlainText(name));
       }
       if (withOracle) {
-        csv.print(fields.plain(HistoryReader.ORACLE_FIELD));
+        csv.print(fields.asPlainText(HistoryReader.ORACLE_FIELD));
       }
       csv.println();
     } catch (MalformedMessageException e) {
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -128,7 +128,7 @@
 
   /** Starts the periodic dispatch of pending heartbeats. */
   void start() {
-    scheduler.every(PENDING_CHECK_PERIOD_MICROS, this::dispatchPendingHeartbeats);
+    scheduler.runEvery(PENDING_CHECK_PERIOD_MICROS, this::dispatchPendingHeartbeats);
   }
 
   /** Handles a worker's heartbeat; a malformed one gets status 400. */
@@ -169,7 +169,7 @@
    */
   private void hold(ReceivedHeartbeat received) {
     pendingHeartbeats.add(received);
-    scheduler.after(
+    scheduler.runAfter(
         MAX_PENDING_MICROS,
         () -> {
           if (pendingHeartbeats.remove(received)) {
@@ -209,7 +209,7 @@
     Optional<String> leader = election.leader();
     if (!delegationEnabled) {
       redirect(received);
-    } else if (leader.isPresent() && delegate.hasHeardLately(leader.get())) {
+    } else if (leader.isPresent() && delegate.hasRecentContact(leader.get())) {
       forwardOrRedirect(leader.get(), received);
     } else if (mayRespondWithoutLeader(leader, received)) {
       respondAsDelegate(received);
@@ -255,7 +255,7 @@
   private void respondAsDelegate(ReceivedHeartbeat received) {
     if (received.heartbeat().tasks().isEmpty()
         || !delegate.mayAnswer(election.highestTerm())
-        || !delegate.recordAnswer(received.heartbeat())) {
+        || !delegate.tryRecordAnswer(received.heartbeat())) {
       redirect(received);
       return;
     }
@@ -264,7 +264,7 @@
       LOG.info("answering heartbeats on behalf of {}", election.leader().orElse("no known leader"));
     }
     delegatedResponses++;
-    long token = FencingToken.echo(received.heartbeat().token(), delegate.grantTerm());
+    long token = FencingToken.tokenForAnswer(received.heartbeat().token(), delegate.grantTerm());
     respond(received, WorkerCodec.heartbeatResponse(token, List.of()));
   }
 
@@ -294,7 +294,7 @@
   void receive(ForwardedHeartbeat forwarded) {
     Heartbeat heartbeat;
     try {
-      heartbeat = decode(forwarded.report().getBytes(StandardCharsets.UTF_8));
+      heartbeat = decode(forwarded.heartbeatBody().getBytes(StandardCharsets.UTF_8));
     } catch (MalformedMessageException e) {
       malformedLog.log(e);
       return;
--- a/src/main/java/madderrudder/service/HeartbeatForwarder.java
+++ b/src/main/java/madderrudder/service/HeartbeatForwarder.java
@@ -57,7 +57,7 @@
     String text = new String(body, StandardCharsets.UTF_8);
     peerMessenger.send(
         leader, PeerMessageCodec.encode(new ForwardedHeartbeat(member, requestNumber, text)));
-    scheduler.after(
+    scheduler.runAfter(
         RESPONSE_TIMEOUT_MICROS,
         () -> {
           if (inFlight.remove(requestNumber) != null) {
@@ -71,7 +71,7 @@
     Callback callback = inFlight.remove(response.number());
     if (callback != null) {
       callback.onResponse(
-          Optional.of(response.answer())
+          Optional.of(response.responseBody())
               .filter(text -> !text.isEmpty())
               .map(text -> text.getBytes(StandardCharsets.UTF_8)));
     }
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -87,7 +87,7 @@
 
   /** Starts to send status messages periodically. */
   void start() {
-    scheduler.every(STATUS_PERIOD_MICROS, this::sendStatus);
+    scheduler.runEvery(STATUS_PERIOD_MICROS, this::sendStatus);
   }
 
   /** The latest status of each peer that has sent one since the start; a live view. */
@@ -143,9 +143,9 @@
 
   private void sendMembershipStatus(long nowMicros) {
     long grantMicros = localLeader.delegationGrantMicros();
-    List<StampEcho> echoes = delegate.echoes();
+    List<StampEcho> echoes = delegate.peerEchoes();
     if (grantMicros > 0) {
-      delegate.renewalSafeUntil(nowMicros + grantMicros);
+      delegate.extendRenewalSafety(nowMicros + grantMicros);
       echoes = localLeader.grantDelegation(echoes, grantMicros);
     }
     delegate.statusMessages(election.highestTerm(), grantMicros, echoes).forEach(this::broadcast);
@@ -185,7 +185,7 @@
 
   private void receiveNodeStatus(NodeStatus status) {
     long nowMicros = scheduler.nowMicros();
-    peerStatuses.put(status.member(), new PeerStatus(status.storeAnswers(), nowMicros));
+    peerStatuses.put(status.member(), new PeerStatus(status.storeReachable(), nowMicros));
     election.observeLeader(status.term(), status.leader());
     writeRateAllocator.recordPeerDemand(
         status.member(), status.wantedMilliWrites() / 1000.0, nowMicros);
@@ -203,7 +203,7 @@
 
   private void receiveMembershipStatus(MembershipStatus status) {
     election.observeTerm(status.term());
-    delegate.recordStatus(status, election.highestTerm());
+    delegate.recordPeerStatus(status, election.highestTerm());
     localLeader.recordPeerStatus(status, delegate.echoOfThisProcess(status));
   }
 }
--- a/src/test/java/madderrudder/cli/LoopbackCluster.java
+++ b/src/test/java/madderrudder/cli/LoopbackCluster.java
@@ -74,7 +74,7 @@
     provider[0] =
         new LoopbackCloud(owned, id -> startWorker(id, provider[0].zone(id), provider[0].spot(id)));
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    store = new HttpServer(loop, group, any, 64, services.store());
+    store = new HttpServer(loop, group, any, 64, services.storeHandler());
     cloud = new HttpServer(loop, group, any, 64, provider[0]);
     loop.execute(
         () -> {
--- a/src/test/java/madderrudder/config/SettingsPropertiesTest.java
+++ b/src/test/java/madderrudder/config/SettingsPropertiesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import madderrudder.config.SExpression.Atom;
 import madderrudder.config.SExpression.ListExpression;
-import madderrudder.protocol.Documents;
+import madderrudder.protocol.MutatedDocuments;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
@@ -141,7 +141,7 @@
 
   @Provide
   Arbitrary<byte[]> platformSettings() {
-    return Documents.nearly(SettingsTest.VALID_PLATFORM_SETTINGS);
+    return MutatedDocuments.mutationsOf(SettingsTest.VALID_PLATFORM_SETTINGS);
   }
 
   @Property(seed = "43", tries = 2000)
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -46,8 +46,8 @@
     machine.reported = true;
     machine.epoch = EPOCH;
     machine.sequence = SEQUENCE;
-    machine.seenToken = FencingToken.first(TERM);
-    machine.issuedToken = FencingToken.first(TERM);
+    machine.seenToken = FencingToken.firstOfTerm(TERM);
+    machine.issuedToken = FencingToken.firstOfTerm(TERM);
   }
 
   /**
@@ -81,7 +81,7 @@
   Assignment place(Job job, int index, boolean inherited) {
     Assignment assignment =
         new Assignment(
-            task(index), ATTEMPT, machine, job.spec.team(), job.spec.perTask(), job, inherited, 0);
+            task(index), ATTEMPT, machine, job.spec.team(), job.spec.resourcesPerTask(), job, inherited, 0);
     assignment.durable = true;
     machine.assignments.put(assignment.key(), assignment);
     return assignment;
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -176,7 +176,7 @@
     starts++;
     Long confirmedAtMicros = cancelConfirmedAtMicros.get(task.job());
     if (confirmedAtMicros != null
-        && scheduler.nowMicros - confirmedAtMicros > deployment.workers().cancelMicros()) {
+        && scheduler.nowMicros - confirmedAtMicros > deployment.workers().cancelDeadlineMicros()) {
       recordViolation("ran_cancelled", task + " starts on " + machine.id);
     }
     SimWorker other = runningOn.put(task, machine);
@@ -218,7 +218,7 @@
         }
       }
     }
-    if (sameZone > job.mostPerZone()) {
+    if (sameZone > job.maxTasksPerZone()) {
       recordViolation("wrong_place", task + " exceeds the job's limit in zone " + machine.zone);
     }
   }
@@ -385,7 +385,7 @@
     if (cancelConfirmedAtMicros.putIfAbsent(job, scheduler.nowMicros) != null) {
       return false;
     }
-    long deadlineMicros = scheduler.nowMicros + deployment.workers().cancelMicros();
+    long deadlineMicros = scheduler.nowMicros + deployment.workers().cancelDeadlineMicros();
     for (int task = 0; task < submitted.get(job).tasks(); task++) {
       cancelDeadlines.addLast(new CancelDeadline(new TaskId(job, task), deadlineMicros));
     }
@@ -421,7 +421,7 @@
   }
 
   private boolean hasCapacity(JobSpec job, int tasksNeeded, List<SimWorker> machines) {
-    Resources usage = usage(job.team(), holders.keySet()).plus(job.perTask().times(tasksNeeded));
+    Resources usage = usage(job.team(), holders.keySet()).plus(job.resourcesPerTask().times(tasksNeeded));
     return FreeCapacity.tasksThatFit(job, holders, machines) >= tasksNeeded
         && deployment.teams().get(job.team()).allows(usage);
   }
@@ -462,7 +462,7 @@
     return tasks.stream()
         .map(task -> submitted.get(task.job()))
         .filter(job -> job.team().equals(team))
-        .map(JobSpec::perTask)
+        .map(JobSpec::resourcesPerTask)
         .reduce(Resources.NONE, Resources::plus);
   }
 
@@ -517,7 +517,7 @@
         (name, jobs) -> {
           if (name.startsWith("class ")) {
             List<JobSpec> bySize = new ArrayList<>(jobs);
-            bySize.sort(Comparator.comparingLong(job -> -job.perTask().milliCpus() * job.tasks()));
+            bySize.sort(Comparator.comparingLong(job -> -job.resourcesPerTask().milliCpus() * job.tasks()));
             checkHalfServed(
                 "largest of " + name,
                 bySize.subList(0, Math.min(jobs.size(), Math.max(3, jobs.size() / 10))),
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -104,12 +104,12 @@
     network.setZone(id, zone);
     network.serve(address, id, this);
     leaseStartMicros = clock.nowMicros();
-    scheduleHeartbeat(scheduler.random.nextLong(times.reportMicros()));
+    scheduleHeartbeat(scheduler.random.nextLong(times.heartbeatIntervalMicros()));
     checkLeasePeriodically();
   }
 
   private void checkLeasePeriodically() {
-    clock.after(
+    clock.runAfter(
         100_000,
         () -> {
           expireLease();
@@ -188,7 +188,7 @@
   }
 
   private Scheduler.Timer schedule(long delayMicros, Runnable action) {
-    return clock.after(delayMicros, () -> runOrDefer(action));
+    return clock.runAfter(delayMicros, () -> runOrDefer(action));
   }
 
   /** Runs the action now, after the hang if the machine hangs, or not at all if it has ended. */
@@ -278,7 +278,7 @@
 
   private void onReply(HttpResponse response, long sentMicros, long sentEpoch) {
     heartbeatInFlight = false;
-    long nextMicros = (long) (times.reportMicros() * (0.75 + scheduler.random.nextDouble() / 2));
+    long nextMicros = (long) (times.heartbeatIntervalMicros() * (0.75 + scheduler.random.nextDouble() / 2));
     try {
       boolean inTime = clock.nowMicros() - sentMicros <= REPLY_TIMEOUT_MICROS;
       assertTrue(
@@ -395,7 +395,7 @@
 
   private void start(String attemptKey, TaskId id, long attempt) {
     JobSpec job = invariants.specOf(id.job());
-    SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.perTask());
+    SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.resourcesPerTask());
     if (job == null) {
       // No user has submitted this job, so that its image is unknown.
       task.state = "ended";
@@ -495,7 +495,7 @@
           @Override
           public void peerLost() {
             schedule(
-                scheduler.random.nextLong(times.gangPeerMicros()),
+                scheduler.random.nextLong(times.gangLossDetectionMicros()),
                 () -> {
                   if (task.active() && tasks.containsValue(task)) {
                     exit(task, "mates_gone");
@@ -510,7 +510,7 @@
           }
         };
     schedule(
-        times.gangWaitMicros(),
+        times.gangAssemblyTimeoutMicros(),
         () -> {
           if (isHeldInState(task, "gathering")) {
             exit(task, "alone");
