--- a/src/main/java/madderrudder/config/DeploymentReader.java
+++ b/src/main/java/madderrudder/config/DeploymentReader.java
@@ -85,11 +85,12 @@
             problems.positiveMicros(path, workers, "gang_wait_s"),
             problems.positiveMicros(path, workers, "gang_peer_s"),
             problems.positiveMicros(path, workers, "cancel_s"));
-    if (problems.none() && SafetyBounds.of(times).answerMicros() < MIN_ANSWER_MICROS) {
+    if (problems.none()
+        && SafetyBounds.of(times).maxAnswerWithoutStoreMicros() < MIN_ANSWER_MICROS) {
       problems.add(
           path + "cancel_s",
           "%s s must exceed lease_s, %s s, by 6 s or more, or no heartbeat could be answered safely"
-              .formatted(times.cancelMicros() / 1e6, times.leaseMicros() / 1e6));
+              .formatted(times.cancelDeadlineMicros() / 1e6, times.leaseMicros() / 1e6));
     }
     return times;
   }
--- a/src/main/java/madderrudder/config/OperatorSettings.java
+++ b/src/main/java/madderrudder/config/OperatorSettings.java
@@ -79,16 +79,16 @@
   private OperatorPolicy policy() throws MalformedSExpressionException {
     OperatorPolicy defaults = OperatorPolicy.defaults();
     return new OperatorPolicy(
-        micros("threshold-s", 0, 86_400, defaults.thresholdMicros()),
-        micros("poll-s", 0.1, 3_600, defaults.pollMicros()),
+        micros("threshold-s", 0, 86_400, defaults.rentalThresholdMicros()),
+        micros("poll-s", 0.1, 3_600, defaults.scaleOutIntervalMicros()),
         (int) number("budget", 0, 1_000_000, defaults.budget()),
         micros("budget-window-s", 1, 604_800, defaults.budgetWindowMicros()),
         micros("idle-s", 1, 86_400, defaults.idleMicros()),
         spotMode("spot", defaults.spotMode()),
         micros("hold-s", 1, 60, defaults.leaseMicros()),
         number("headroom", 0, 0.9, defaults.headroom()),
-        number("patience", 0, 1, defaults.patience()),
-        isOn("deputies", defaults.delegation()),
+        number("patience", 0, 1, defaults.spotWaitShare()),
+        isOn("deputies", defaults.delegationEnabled()),
         isOn("learned-run-times", defaults.learnedRunTimes()));
   }
 
--- a/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
+++ b/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
@@ -52,11 +52,11 @@
   }
 
   /** Whether any machine type has been read, from the store or from the cloud. */
-  public boolean known() {
+  public boolean hasTypes() {
     return !types.isEmpty();
   }
 
-  /** Returns the machine types by name, in catalog order; empty until {@link #known()}. */
+  /** Returns the machine types by name, in catalog order; empty until {@link #hasTypes()}. */
   public Map<String, MachineType> types() {
     return types;
   }
@@ -90,7 +90,7 @@
     cloud.catalog(
         result -> {
           long delayMicros = refresh(result) ? REFRESH_MICROS : RETRY_MICROS;
-          scheduler.after(delayMicros, known() ? this::readFromCloud : this::readFromStore);
+          scheduler.after(delayMicros, hasTypes() ? this::readFromCloud : this::readFromStore);
         });
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/CommandPlanner.java
@@ -35,18 +35,18 @@
   private static final int MAX_COMMANDS_PER_MESSAGE = 400;
 
   private final TaskFactsBuilder facts;
-  private final long gangPeerMicros;
+  private final long gangLossDetectionMicros;
 
   /**
    * Creates a planner.
    *
    * @param facts derives the reconciler's input and decision for a task
-   * @param gangPeerMicros the longest time in which the other tasks of a gang detect that one of
-   *     them is stopping
+   * @param gangLossDetectionMicros the longest time in which the other tasks of a gang detect that
+   *     one of them is stopping
    */
-  CommandPlanner(TaskFactsBuilder facts, long gangPeerMicros) {
+  CommandPlanner(TaskFactsBuilder facts, long gangLossDetectionMicros) {
     this.facts = facts;
-    this.gangPeerMicros = gangPeerMicros;
+    this.gangLossDetectionMicros = gangLossDetectionMicros;
   }
 
   /**
@@ -187,7 +187,8 @@
   private WorkerCommand stopCommand(Assignment assignment) {
     Job job = assignment.job;
     boolean writesCheckpoint = job != null && !job.ended && job.spec.checkpointIntervalMicros() > 0;
-    long graceMicros = writesCheckpoint ? job.spec.checkpointSaveMicros() + gangPeerMicros : 0;
+    long graceMicros =
+        writesCheckpoint ? job.spec.checkpointSaveMicros() + gangLossDetectionMicros : 0;
     return WorkerCommand.stop(assignment.task, assignment.attempt, graceMicros);
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -63,7 +63,7 @@
    */
   boolean send(Machine machine) {
     long nowMicros = term.scheduler.nowMicros();
-    if (!mayReceiveDirectCommands(machine, nowMicros) || term.closed()) {
+    if (!mayReceiveDirectCommands(machine, nowMicros) || term.isClosed()) {
       return false;
     }
     CommandPlan plan = planner.planDirect(machine, nowMicros, term.election.holdsLease());
@@ -75,13 +75,13 @@
     SentCommandRecorder.recordDirectStarts(machine, plan, token, nowMicros);
     machine.directInFlight = true;
     long epoch = machine.epoch;
-    term.calls.call(
+    term.httpCaller.call(
         machine.address,
         HttpRequest.post("/orders", WorkerCodec.directCommands(token, epoch, plan.commands())),
         REQUEST_TIMEOUT_MICROS,
         response -> {
           machine.directInFlight = false;
-          if (!term.closed()) {
+          if (!term.isClosed()) {
             handleResponse(machine, epoch, plan.starts(), response);
           }
         });
@@ -92,7 +92,7 @@
     return !machine.directInFlight
         && !machine.address.isEmpty()
         && nowMicros >= machine.directBlockedUntilMicros
-        && machine.usable(nowMicros, term.deployment.workers().reportMicros());
+        && machine.usable(nowMicros, term.deployment.workers().heartbeatIntervalMicros());
   }
 
   private void handleResponse(
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -43,7 +43,7 @@
     TaskFactsBuilder facts = new TaskFactsBuilder(term.number, startDeferred);
     TaskExitHandler exits = new TaskExitHandler(term, machines, jobs);
     TaskStatusIngest tasks = new TaskStatusIngest(term, machines, facts, exits);
-    planner = new CommandPlanner(facts, term.deployment.workers().gangPeerMicros());
+    planner = new CommandPlanner(facts, term.deployment.workers().gangLossDetectionMicros());
     commandRecorder = new SentCommandRecorder(term.number);
     ingest = new HeartbeatIngest(term, machines, scaleOut, tasks, onCapacityFreed);
     directSender = new DirectCommandSender(term, planner, commandRecorder, tasks, onCapacityFreed);
@@ -78,7 +78,8 @@
     Machine machine = findMachine(heartbeat);
     return machine != null
         && !machine.empty()
-        && machine.unacknowledgedFor(term.scheduler.nowMicros(), term.safety.leaseMicros());
+        && machine.unacknowledgedFor(
+            term.scheduler.nowMicros(), term.safetyBounds.workerLeaseExpiryMicros());
   }
 
   /** Returns whether the machine has a task that waits only for its record to become durable. */
@@ -108,7 +109,7 @@
     }
     long nowMicros = term.scheduler.nowMicros();
     recordLeaseRenewal(machine, nowMicros);
-    machine.lastHeardMicros = nowMicros;
+    machine.lastHeartbeatAnsweredMicros = nowMicros;
     CommandPlan plan = planner.planAnswer(machine, heartbeat, term.election.holdsLease());
     SentCommandRecorder.recordAnswer(machine, plan, heartbeat.sequence(), nowMicros);
     return plan.commands();
@@ -136,7 +137,7 @@
   public long issueToken(Heartbeat heartbeat) {
     Machine machine = findMachine(heartbeat);
     return machine == null
-        ? FencingToken.echo(heartbeat.token(), term.number)
+        ? FencingToken.tokenForAnswer(heartbeat.token(), term.number)
         : commandRecorder.issueToken(machine, heartbeat.token());
   }
 
@@ -155,7 +156,7 @@
 
   /** Records that an answer renews the worker's lease. */
   private static void recordLeaseRenewal(Machine machine, long nowMicros) {
-    machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, nowMicros);
+    machine.lastLeaseRenewalMicros = Math.max(machine.lastLeaseRenewalMicros, nowMicros);
     machine.answeredInTerm = true;
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -70,7 +70,7 @@
     boolean firstReport = !machine.reported;
     if (firstReport || machine.leaseExpired) {
       machine.idleSinceMicros = nowMicros;
-      scaleOut.machineUp(machine);
+      scaleOut.recordMachineUp(machine);
       LOG.info("machine {} is up", machine.id);
     }
     updateWorkerState(machine, heartbeat, nowMicros);
@@ -89,7 +89,7 @@
             heartbeat.type(),
             heartbeat.zone(),
             heartbeat.spot(),
-            scaleOut.ownedStillOpen(),
+            scaleOut.noMachineRentedYet(),
             term.scheduler.wallMicros());
     LOG.info(
         "first heartbeat from unknown machine {} ({} {}{}), {}",
@@ -98,7 +98,7 @@
         heartbeat.zone(),
         heartbeat.spot() ? " spot" : "",
         machine.owned ? "owned" : "rented");
-    machines.save(machine);
+    machines.queueRecord(machine);
     // A rented machine may have been returned long ago and this heartbeat may be a delayed copy. No
     // task is placed on the machine until its worker acknowledges an answer.
     if (!machine.owned) {
@@ -115,7 +115,7 @@
     } else if (machine.reported && machine.answeredInTerm) {
       // An earlier answer carried this term's token; a lower token here shows that it did not reach
       // the worker.
-      expectAcknowledgementUnlessSeen(machine, heartbeat, machine.lastHeardMicros);
+      expectAcknowledgementUnlessSeen(machine, heartbeat, machine.lastHeartbeatAnsweredMicros);
     }
     if (machine.recordAcknowledgement(heartbeat.token())) {
       LOG.debug("machine {} acknowledged an answer", machine.id);
@@ -138,7 +138,7 @@
    */
   private void beginEpoch(Machine machine) {
     LOG.info("machine {} began a new epoch, releasing the tasks placed in this term", machine.id);
-    machines.releaseOwn(machine);
+    machines.handleNewEpoch(machine);
     machine.heartbeatSequence = -1;
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/SentCommandRecorder.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/SentCommandRecorder.java
@@ -74,7 +74,8 @@
    * @param seenToken the token that the worker last reported
    */
   long issueToken(Machine machine, long seenToken) {
-    machine.issuedToken = Math.max(machine.issuedToken, FencingToken.echo(seenToken, term));
+    machine.issuedToken =
+        Math.max(machine.issuedToken, FencingToken.tokenForAnswer(seenToken, term));
     return machine.issuedToken;
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
@@ -70,7 +70,7 @@
       machines.recordImageUse(assignment.machine, job.spec);
       recordRun(assignment, nowMicros, !job.mayHaveResumed(assignment.task.index()));
     }
-    jobs.completed(assignment);
+    jobs.recordCompletion(assignment);
   }
 
   private void recordIncomplete(Assignment assignment, TaskStatus task, long nowMicros) {
@@ -86,7 +86,7 @@
       switch (task.exitReason()) {
         case ERROR -> recordFailure(job, task, assignment.machine, nowMicros);
         case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT, UNKNOWN ->
-            job.refused(task.task().index(), nowMicros);
+            job.recordRefusal(task.task().index(), nowMicros);
         default -> {}
       }
     }
@@ -98,7 +98,7 @@
    */
   private void recordFailure(Job job, TaskStatus task, Machine machine, long nowMicros) {
     boolean wasFailing = job.failing();
-    job.failed(task.task().index(), machine.id, nowMicros);
+    job.recordFailure(task.task().index(), machine.id, nowMicros);
     if (!job.failing()) {
       machine.recordFailure(
           job.spec.id(), nowMicros, MACHINE_FAILURE_WINDOW_MICROS, CORDON_DURATION_MICROS);
@@ -112,7 +112,7 @@
   }
 
   private void clearMachineFailures(Job job) {
-    for (String id : job.failedOn()) {
+    for (String id : job.machinesFailedOn()) {
       Machine machine = term.cluster.machines.get(id);
       if (machine != null) {
         machine.clearFailure(job.spec.id());
@@ -141,6 +141,6 @@
             nowMicros - assignment.runningMicros,
             complete);
     term.cluster.runTimes.observe(run);
-    term.history.add(term.scheduler.wallMicros(), run);
+    term.runHistory.add(term.scheduler.wallMicros(), run);
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
@@ -39,7 +39,7 @@
 
   /** Returns the decision on a recorded attempt, based on the newest report of its machine. */
   TaskDecision decide(Assignment assignment) {
-    return TaskReconciler.of(
+    return TaskReconciler.decide(
         facts(
             assignment,
             reportedState(assignment),
@@ -56,13 +56,13 @@
    */
   TaskDecision decideExit(Assignment assignment, TaskStatus task, long token) {
     boolean startMayArrive = assignment.inherited && FencingToken.term(token) < term;
-    return TaskReconciler.of(facts(assignment, exitState(task), startMayArrive, true));
+    return TaskReconciler.decide(facts(assignment, exitState(task), startMayArrive, true));
   }
 
   /** Returns the decision on a reported task that has no record on the machine. */
   static TaskDecision decideUnrecorded(TaskStatus task) {
     ReportedState reported = task.phase() == Phase.EXITED ? exitState(task) : ReportedState.PRESENT;
-    return TaskReconciler.of(
+    return TaskReconciler.decide(
         new TaskFacts(
             RecordOwner.NONE,
             DesiredState.REMOVE,
--- a/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
+++ b/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
@@ -36,8 +36,8 @@
 
   private void save() {
     byte[] json = catalog.latestJson();
-    if (!term.closed() && json != null && json.length < term.deployment.state().valueBytes()) {
-      term.commits.add(new CatalogChange(json), Urgency.LATER);
+    if (!term.isClosed() && json != null && json.length < term.deployment.state().valueBytes()) {
+      term.commitQueue.add(new CatalogChange(json), Urgency.LATER);
     }
   }
 
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -36,7 +36,7 @@
   CoverageTracker(LeaderTerm term, int controllerCount) {
     this.term = term;
     reportTimeoutMicros =
-        ClusterCoverage.patienceMicros(term.deployment.workers(), controllerCount);
+        ClusterCoverage.reportTimeoutMicros(term.deployment.workers(), controllerCount);
     termStartMicros = term.scheduler.nowMicros();
   }
 
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -38,13 +38,17 @@
    * may still run, so the time counts from before the users of those jobs were told.
    */
   long grantMicros() {
-    if (!term.policy.delegation()) {
+    if (!term.policy.delegationEnabled()) {
       return 0;
     }
     long cancellationsSettledMicros =
         term.cluster.cancellationsSettledMicros(jobs.knownUpToMicros());
     long knownUpToMicros = Math.min(cancellationsSettledMicros, term.election.leaseEndMicros());
-    return Math.max(0, knownUpToMicros + term.safety.answerMicros() - term.scheduler.nowMicros());
+    return Math.max(
+        0,
+        knownUpToMicros
+            + term.safetyBounds.maxAnswerWithoutStoreMicros()
+            - term.scheduler.nowMicros());
   }
 
   /**
@@ -56,7 +60,9 @@
    */
   List<StampEcho> recordGrant(List<StampEcho> processes, long grantMicros) {
     long untilMicros = term.scheduler.nowMicros() + grantMicros;
-    return processes.stream().filter(echo -> term.delegation.grant(echo, untilMicros)).toList();
+    return processes.stream()
+        .filter(echo -> term.delegation.recordGrant(echo, untilMicros))
+        .toList();
   }
 
   /** Records the lease renewals that another controller made on behalf of this leader. */
@@ -65,12 +71,12 @@
     for (LeaseRenewal renewal : renewals.answers()) {
       Machine machine = term.cluster.machines.get(renewal.machine());
       if (machine != null) {
-        long renewalAgeMicros = SafetyBounds.minusClockDrift(1000L * renewal.agoMillis());
-        machine.lastAnsweredMicros =
-            Math.max(machine.lastAnsweredMicros, nowMicros - renewalAgeMicros);
+        long renewalAgeMicros = SafetyBounds.shortenByClockDrift(1000L * renewal.agoMillis());
+        machine.lastLeaseRenewalMicros =
+            Math.max(machine.lastLeaseRenewalMicros, nowMicros - renewalAgeMicros);
       }
     }
-    term.delegation.recordRenewals(renewals);
+    term.delegation.recordRenewalsMessage(renewals);
   }
 
   /**
@@ -84,7 +90,7 @@
     }
     long nowMicros = term.scheduler.nowMicros();
     term.delegation.recordStatus(status, echo, nowMicros);
-    if (termAcknowledgements.record(status, echo, nowMicros)) {
+    if (termAcknowledgements.recordStatus(status, echo, nowMicros)) {
       endLeaseExtensions();
     }
   }
@@ -94,8 +100,8 @@
    * answer the worker for a bounded time, until all other controllers have acknowledged this term.
    */
   void extendLeaseForEarlierLeader(Machine machine) {
-    if (!termAcknowledgements.complete()) {
-      machine.lastAnsweredMicros += term.safety.answerMicros();
+    if (!termAcknowledgements.isComplete()) {
+      machine.lastLeaseRenewalMicros += term.safetyBounds.maxAnswerWithoutStoreMicros();
     }
   }
 
@@ -108,7 +114,7 @@
     long nowMicros = term.scheduler.nowMicros();
     for (Machine machine : term.cluster.machines.values()) {
       if (!machine.reported) {
-        machine.lastAnsweredMicros = Math.min(machine.lastAnsweredMicros, nowMicros);
+        machine.lastLeaseRenewalMicros = Math.min(machine.lastLeaseRenewalMicros, nowMicros);
       }
     }
   }
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -127,7 +127,7 @@
       return term.election.holdsLease() && nowMicros < delegatedUntilMicros.getAsLong();
     }
     long knownUpToMicros = Math.min(jobs.knownUpToMicros(), term.election.leaseEndMicros());
-    return nowMicros < knownUpToMicros + term.safety.answerMicros();
+    return nowMicros < knownUpToMicros + term.safetyBounds.maxAnswerWithoutStoreMicros();
   }
 
   private void keepEarlyHeartbeat(Heartbeat heartbeat) {
@@ -162,7 +162,7 @@
     if (older != null) {
       older.callback().accept(answer(older.heartbeat()));
     }
-    term.after(
+    term.runAfter(
         MAX_DURABILITY_WAIT_MICROS,
         () -> {
           if (pendingReplies.remove(machineId, reply)) {
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -66,17 +66,17 @@
     machines = new MachineRegistry(term);
     JobRegistry jobs = new JobRegistry(term, machines, this::planSoon);
     scaleOut = new ScaleOutController(term, machines, dependencies.cloud());
-    coverage = new CoverageTracker(term, dependencies.others().size() + 1);
+    coverage = new CoverageTracker(term, dependencies.otherMembers().size() + 1);
     heartbeats =
         new HeartbeatHandler(term, machines, jobs, scaleOut, this::planSoon, coverage::defersStart);
     responder =
         new HeartbeatResponder(term, jobs, heartbeats, dependencies.renewalSafeUntilMicros());
-    delegation = new DelegationGrants(term, jobs, dependencies.others());
+    delegation = new DelegationGrants(term, jobs, dependencies.otherMembers());
     planning = new PlanningLoop(term, machines, scaleOut, heartbeats, coverage, this::ready);
     loader = new StateLoader(term, dependencies.catalog(), machines, jobs, scaleOut, delegation);
     progress = new JobProgressReporter(term);
     status = new LeaderStatus(term, scaleOut, coverage, planning);
-    machines.onDurable(this::onDurable);
+    machines.setDurableListener(this::onDurable);
   }
 
   /** Starts reading the stored state. The leader is ready once the state is loaded. */
@@ -91,7 +91,7 @@
   }
 
   /** Returns the number of the term. */
-  public long number() {
+  public long termNumber() {
     return term.number;
   }
 
@@ -104,7 +104,7 @@
    * Returns whether heartbeats can be decided now. Until the stored state is loaded, that is the
    * case only while a grant of an earlier leader allows answers.
    */
-  public boolean decidesHeartbeats() {
+  public boolean repliesToHeartbeats() {
     return responder.decidesNow();
   }
 
@@ -167,7 +167,7 @@
    * @param sinceMicros the time since the last call
    */
   public double spareWritesPerSecond(long sinceMicros) {
-    return ready ? term.commits.spareWritesPerSecond(sinceMicros) : 0;
+    return ready ? term.commitQueue.spareWritesPerSecond(sinceMicros) : 0;
   }
 
   /** Writes the fields of {@code GET /metrics} that only the leader provides. */
@@ -177,7 +177,7 @@
 
   /** Writes the task runs that follow the run with the number {@code after} in the history. */
   public void writeHistory(JsonGenerator out, long after) throws IOException {
-    term.history.write(out, after);
+    term.runHistory.write(out, after);
   }
 
   private void takeOver() {
@@ -185,8 +185,8 @@
     ready = true;
     responder.markReady();
     coverage.begin(responder::acceptEarlyHeartbeats);
-    term.every(TICK_INTERVAL_MICROS, this::tick);
-    term.every(SUMMARY_INTERVAL_MICROS, status::logSummary);
+    term.runEvery(TICK_INTERVAL_MICROS, this::tick);
+    term.runEvery(SUMMARY_INTERVAL_MICROS, status::logSummary);
   }
 
   private void planSoon() {
@@ -200,7 +200,7 @@
 
   private void tick() {
     if (mostMachinesSilent()) {
-      term.election.yieldLeadership("heartbeats of most machines are missing");
+      term.election.stepDownAndPauseCampaigns("heartbeats of most machines are missing");
       return;
     }
     machines.expireSilentLeases(term.scheduler.nowMicros());
@@ -229,13 +229,14 @@
    */
   private boolean mostMachinesSilent() {
     long nowMicros = term.scheduler.nowMicros();
-    long silenceLimitMicros = 2 * term.deployment.workers().reportMicros() + SILENCE_SLACK_MICROS;
+    long silenceLimitMicros =
+        2 * term.deployment.workers().heartbeatIntervalMicros() + SILENCE_SLACK_MICROS;
     int reported = 0;
     int silent = 0;
     for (Machine machine : term.cluster.machines.values()) {
       if (machine.reported && !machine.leaseExpired && !machine.retiring) {
         reported++;
-        silent += nowMicros - machine.lastHeardMicros > silenceLimitMicros ? 1 : 0;
+        silent += nowMicros - machine.lastHeartbeatAnsweredMicros > silenceLimitMicros ? 1 : 0;
       }
     }
     return reported >= MIN_MACHINES_FOR_SILENCE_CHECK
--- a/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
+++ b/src/main/java/madderrudder/coordination/leader/LeaderStatus.java
@@ -42,7 +42,7 @@
         "machines and processors in use: {}; {} tasks waiting, {} unwritten changes, budget left {}",
         ClusterSummary.of(term.cluster),
         waitingTasks(),
-        term.commits.backlog(),
+        term.commitQueue.backlog(),
         scaleOut.budgetLeft());
   }
 
@@ -50,8 +50,8 @@
   void writeMetrics(JsonGenerator out) throws IOException {
     out.writeNumberField("jobs", term.cluster.jobs.size());
     out.writeNumberField("waiting_tasks", waitingTasks());
-    out.writeNumberField("unwritten_changes", term.commits.backlog());
-    out.writeNumberField("rentals_under_way", scaleOut.underWay());
+    out.writeNumberField("unwritten_changes", term.commitQueue.backlog());
+    out.writeNumberField("rentals_under_way", scaleOut.pendingRequestCount());
     out.writeNumberField("budget_left", scaleOut.budgetLeft());
     out.writeStringField("machines", ClusterSummary.of(term.cluster));
     long nowMicros = term.scheduler.nowMicros();
@@ -63,8 +63,8 @@
     out.writeNumberField(
         "boots_late",
         countMachines(machine -> machine.booting() && !machine.bootingOnTime(nowMicros)));
-    if (term.learned != null) {
-      term.learned.write(out);
+    if (term.learnedRunTimes != null) {
+      term.learnedRunTimes.writeMetrics(out);
     }
     writeCoverage(out, coverage.coverage());
   }
@@ -72,7 +72,7 @@
   private void writeCoverage(JsonGenerator out, ClusterCoverage current) throws IOException {
     out.writeObjectFieldStart("heard");
     out.writeNumberField("share", current.share());
-    out.writeBooleanField("overdue", current.overdue());
+    out.writeBooleanField("overdue", current.reportTimeoutPassed());
     out.writeNumberField("jobs_held_back", planning.jobsHeldBack());
     writeShares(out, "zones", current.zones());
     writeShares(out, "types", current.types());
--- a/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
+++ b/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
@@ -71,7 +71,7 @@
       return;
     }
     roundScheduled = true;
-    term.after(
+    term.runAfter(
         Math.max(COALESCING_DELAY_MICROS, PAUSE_TO_ROUND_RATIO * lastRoundMicros),
         () -> {
           if (roundScheduled) {
@@ -89,7 +89,7 @@
     long nowMicros = term.scheduler.nowMicros();
     // A gang is evicted as a whole: its other tasks are stopped in the same round, so that they can
     // write their checkpoints together.
-    SpotReclaimDrain.plan(term.cluster, nowMicros).forEach(machines::evict);
+    SpotReclaimDrain.plan(term.cluster, nowMicros).forEach(machines::markForEviction);
     evictBrokenGangs();
     coverage.refresh();
     Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage.coverage());
@@ -98,7 +98,7 @@
       placeAndPreempt(demand, nowMicros);
     }
     scaleOut.scaleOut(demand, nowMicros);
-    machines.takePendingPushes().forEach(heartbeats::sendDirectCommands);
+    machines.takeMachinesToCommand().forEach(heartbeats::sendDirectCommands);
     lastRoundMicros = term.scheduler.nowMicros() - nowMicros;
     term.metrics.record(Timing.PLANNING, lastRoundMicros);
     LOG.debug(
@@ -119,7 +119,7 @@
           && !job.assignments.isEmpty()
           && !job.complete()
           && isBroken(job)) {
-        job.assignments.forEach(machines::evict);
+        job.assignments.forEach(machines::markForEviction);
       }
     }
   }
@@ -141,7 +141,7 @@
     }
     for (Assignment victim : Preemption.plan(term.cluster, term.policy, demand, nowMicros)) {
       LOG.debug("preempting task {} on machine {}", victim.task, victim.machine.id);
-      machines.evict(victim);
+      machines.markForEviction(victim);
     }
   }
 
--- a/src/main/java/madderrudder/coordination/leader/StateLoader.java
+++ b/src/main/java/madderrudder/coordination/leader/StateLoader.java
@@ -55,8 +55,8 @@
 
   private void loadWhenCatalogKnown(
       StoredState storedState, long readStartMicros, Runnable onLoaded) {
-    if (!catalog.known()) {
-      term.after(
+    if (!catalog.hasTypes()) {
+      term.runAfter(
           CATALOG_RETRY_INTERVAL_MICROS,
           () -> loadWhenCatalogKnown(storedState, readStartMicros, onLoaded));
       return;
@@ -78,9 +78,9 @@
     machines.load(storedState.logSegments());
     term.cluster.machines.values().forEach(delegation::extendLeaseForEarlierLeader);
     scaleOut.load(storedState);
-    if (term.learned != null) {
-      term.learned.load(storedState.runTimes());
-      term.learned.startPersisting();
+    if (term.learnedRunTimes != null) {
+      term.learnedRunTimes.load(storedState.runTimePages());
+      term.learnedRunTimes.startPersisting();
     }
   }
 }
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -78,7 +78,7 @@
    * @return false if the process is not the latest known one of its controller; the grant must then
    *     not be sent
    */
-  public boolean grant(StampEcho to, long untilMicros) {
+  public boolean recordGrant(StampEcho to, long untilMicros) {
     Delegate delegate = delegates.get(to.member());
     if (delegate == null || delegate.incarnation != to.incarnation()) {
       return false;
@@ -91,7 +91,7 @@
    * Records that one message of a delegate's renewals was received. The caller applies the renewals
    * to the machines.
    */
-  public void recordRenewals(DelegatedRenewals renewals) {
+  public void recordRenewalsMessage(DelegatedRenewals renewals) {
     Delegate delegate = delegates.get(renewals.member());
     if (delegate == null || delegate.incarnation != renewals.incarnation()) {
       return;
@@ -128,7 +128,7 @@
    */
   private long silenceMicrosAfter(StampEcho echo) {
     return echo.stampMicros() >= termBeginMicros
-        ? SafetyBounds.minusClockDrift(safety.leaderSilenceMicros())
+        ? SafetyBounds.shortenByClockDrift(safety.leaderSilenceMicros())
         : 0;
   }
 
@@ -145,7 +145,7 @@
     if (echo == null || echo.stampMicros() < delegate.firstStatusMicros) {
       return false;
     }
-    long startedMicros = nowMicros - SafetyBounds.minusClockDrift(status.ageMicros());
+    long startedMicros = nowMicros - SafetyBounds.shortenByClockDrift(status.ageMicros());
     long lastAnswerMicros = Math.min(delegate.grantEndMicros, startedMicros);
     if (lastAnswerMicros > delegate.answersKnownUpToMicros) {
       delegate.predecessorsAnswerEndMicros =
@@ -161,18 +161,20 @@
    * it until its grant ended. The lease may then end later, and the answers of the other delegates
    * have to be known up to that later end.
    *
-   * @param lastAnsweredMicros the time of the last known answer to the worker
+   * @param lastLeaseRenewalMicros the time of the last known answer to the worker
    */
-  public boolean leaseExpired(long lastAnsweredMicros, long nowMicros) {
-    long endMicros = lastAnsweredMicros + safety.leaseMicros();
+  public boolean leaseExpired(long lastLeaseRenewalMicros, long nowMicros) {
+    long endMicros = lastLeaseRenewalMicros + safety.workerLeaseExpiryMicros();
     for (Delegate delegate : delegates.values()) {
-      endMicros = Math.max(endMicros, delegate.predecessorsAnswerEndMicros + safety.leaseMicros());
+      endMicros =
+          Math.max(
+              endMicros, delegate.predecessorsAnswerEndMicros + safety.workerLeaseExpiryMicros());
     }
     boolean recheck = nowMicros > endMicros;
     while (recheck) {
       recheck = false;
       for (Delegate delegate : delegates.values()) {
-        long delegatedEndMicros = delegate.grantEndMicros + safety.leaseMicros();
+        long delegatedEndMicros = delegate.grantEndMicros + safety.workerLeaseExpiryMicros();
         if (delegate.answersKnownUpToMicros < endMicros && delegatedEndMicros > endMicros) {
           endMicros = delegatedEndMicros;
           recheck = true;
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -99,7 +99,7 @@
    * Records a peer's status. If the peer leads in the highest known term and grants this process
    * permission to answer, that grant replaces or extends the current one.
    */
-  public void recordStatus(MembershipStatus status, long highestTerm) {
+  public void recordPeerStatus(MembershipStatus status, long highestTerm) {
     peers.put(
         status.member(),
         new PeerContact(status.incarnation(), status.stampMicros(), scheduler.nowMicros()));
@@ -107,9 +107,9 @@
     if (echo == null || status.term() != highestTerm || status.grantMicros() <= 0) {
       return;
     }
-    long end = echo.stampMicros() + SafetyBounds.minusClockDrift(status.grantMicros());
+    long end = echo.stampMicros() + SafetyBounds.shortenByClockDrift(status.grantMicros());
     grantEndMicros = status.term() == grantTerm ? Math.max(grantEndMicros, end) : end;
-    renewalSafeUntil(end);
+    extendRenewalSafety(end);
     grantTerm = status.term();
     grantingLeader = status.member();
   }
@@ -125,7 +125,7 @@
   }
 
   /** Returns whether a status of the peer was received within the last 2 s. */
-  public boolean hasHeardLately(String peer) {
+  public boolean hasRecentContact(String peer) {
     PeerContact last = peers.get(peer);
     return last != null
         && scheduler.nowMicros() - last.receivedMicros() < PEER_CONTACT_TIMEOUT_MICROS;
@@ -145,7 +145,7 @@
   }
 
   /** Records the end of a grant that this process has issued as the leader. */
-  public void renewalSafeUntil(long grantEnd) {
+  public void extendRenewalSafety(long grantEnd) {
     renewalSafeUntilMicros = Math.max(renewalSafeUntilMicros, grantEnd);
   }
 
@@ -172,7 +172,7 @@
    * @return false if this heartbeat or a later one of the worker was answered before; this one is
    *     then a late copy, and must not be answered
    */
-  public boolean recordAnswer(Heartbeat heartbeat) {
+  public boolean tryRecordAnswer(Heartbeat heartbeat) {
     Answer last = lastAnswers.get(heartbeat.machine());
     if (last != null && !heartbeat.newerThan(last.epoch(), last.sequence())) {
       return false;
@@ -190,8 +190,8 @@
    *
    * @param highestTerm the highest known term
    * @param grantMicros for how long peers may answer, if this controller leads; else 0
-   * @param echoes the stamps to send back; those of {@link #echoes} that the leader grants, if this
-   *     controller leads
+   * @param echoes the stamps to send back; those of {@link #peerEchoes} that the leader grants, if
+   *     this controller leads
    */
   public List<PeerMessage> statusMessages(
       long highestTerm, long grantMicros, List<StampEcho> echoes) {
@@ -219,7 +219,7 @@
     while (entries.hasNext()) {
       Map.Entry<String, Answer> entry = entries.next();
       long ageMicros = nowMicros - entry.getValue().answeredMicros();
-      if (ageMicros > safety.leaseMicros() + RENEWAL_REPORT_MARGIN_MICROS) {
+      if (ageMicros > safety.workerLeaseExpiryMicros() + RENEWAL_REPORT_MARGIN_MICROS) {
         entries.remove();
         continue;
       }
@@ -238,7 +238,7 @@
   }
 
   /** Returns the last received stamp of each peer, to be sent back. */
-  public List<StampEcho> echoes() {
+  public List<StampEcho> peerEchoes() {
     return peers.entrySet().stream().map(peer -> echo(peer.getKey(), peer.getValue())).toList();
   }
 
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -204,7 +204,7 @@
    *
    * @param reason the cause, for the log
    */
-  public void yieldLeadership(String reason) {
+  public void stepDownAndPauseCampaigns(String reason) {
     campaignNotBeforeMicros = scheduler.nowMicros() + CAMPAIGN_PAUSE_AFTER_YIELD_MICROS;
     stepDown(reason);
   }
--- a/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
+++ b/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
@@ -43,8 +43,8 @@
    * @param nowMicros the current time of the steady clock in microseconds
    * @return true if this status completes the second round; later calls return false
    */
-  public boolean record(MembershipStatus status, StampEcho echo, long nowMicros) {
-    if (complete() || status.term() < term || !otherMembers.contains(status.member())) {
+  public boolean recordStatus(MembershipStatus status, StampEcho echo, long nowMicros) {
+    if (isComplete() || status.term() < term || !otherMembers.contains(status.member())) {
       return false;
     }
     if (!firstRound.containsAll(otherMembers)) {
@@ -53,13 +53,13 @@
     } else if (echo != null && echo.stampMicros() > firstRoundCompletedMicros) {
       secondRound.add(status.member());
     }
-    return complete();
+    return isComplete();
   }
 
   /**
    * Returns whether all other controllers have acknowledged twice; always true if there are none.
    */
-  public boolean complete() {
+  public boolean isComplete() {
     return secondRound.containsAll(otherMembers);
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/Deployment.java
+++ b/src/main/java/madderrudder/coordination/policy/Deployment.java
@@ -11,8 +11,8 @@
  * @param workers the intervals and timeouts of workers
  * @param state the limits of the key-value store
  * @param cloud the limits of the cloud's API
- * @param members the number of controllers, including this one
- * @param clockOffMicros the largest error of a clock's time of day, in microseconds
+ * @param controllerCount the number of controllers, including this one
+ * @param maxClockErrorMicros the largest error of a clock's time of day, in microseconds
  * @param objectives the service-level objectives of each class of jobs
  */
 public record Deployment(
@@ -21,26 +21,27 @@
     WorkerTimes workers,
     StateLimits state,
     CloudLimits cloud,
-    int members,
-    long clockOffMicros,
+    int controllerCount,
+    long maxClockErrorMicros,
     ServiceLevelObjectives objectives) {
 
   /**
    * The intervals and timeouts of workers, in microseconds.
    *
-   * @param reportMicros the interval between heartbeats
+   * @param heartbeatIntervalMicros the interval between heartbeats
    * @param leaseMicros how long a worker keeps its tasks after its last answered heartbeat
-   * @param gangWaitMicros how long a task of a gang waits until all tasks of the gang are present
-   * @param gangPeerMicros the time within which the other tasks of a gang detect the loss of one
-   *     task
-   * @param cancelMicros the time within which all tasks of a cancelled job must have ended
+   * @param gangAssemblyTimeoutMicros how long a task of a gang waits until all tasks of the gang
+   *     are present
+   * @param gangLossDetectionMicros the time within which the other tasks of a gang detect the loss
+   *     of one task
+   * @param cancelDeadlineMicros the time within which all tasks of a cancelled job must have ended
    */
   public record WorkerTimes(
-      long reportMicros,
+      long heartbeatIntervalMicros,
       long leaseMicros,
-      long gangWaitMicros,
-      long gangPeerMicros,
-      long cancelMicros) {}
+      long gangAssemblyTimeoutMicros,
+      long gangLossDetectionMicros,
+      long cancelDeadlineMicros) {}
 
   /**
    * The limits of the key-value store.
--- a/src/main/java/madderrudder/coordination/policy/FencingToken.java
+++ b/src/main/java/madderrudder/coordination/policy/FencingToken.java
@@ -15,7 +15,7 @@
   private FencingToken() {}
 
   /** Returns the lowest token of a term. */
-  public static long first(long term) {
+  public static long firstOfTerm(long term) {
     return term << COUNTER_BITS;
   }
 
@@ -35,7 +35,7 @@
    *
    * @param seen the highest token that the worker has seen
    */
-  public static long echo(long seen, long term) {
-    return term(seen) == term ? seen : first(term);
+  public static long tokenForAnswer(long seen, long term) {
+    return term(seen) == term ? seen : firstOfTerm(term);
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
+++ b/src/main/java/madderrudder/coordination/policy/OperatorPolicy.java
@@ -3,10 +3,10 @@
 /**
  * The operators' settings. The name of each setting in the file is given in parentheses.
  *
- * @param thresholdMicros how long a task that would fit on an owned machine waits while all of them
- *     are full before a machine is rented for it, in microseconds ({@code threshold-s})
- * @param pollMicros the interval between checks whether to scale out for waiting tasks, in
- *     microseconds ({@code poll-s})
+ * @param rentalThresholdMicros how long a task that would fit on an owned machine waits while all
+ *     of them are full before a machine is rented for it, in microseconds ({@code threshold-s})
+ * @param scaleOutIntervalMicros the interval between checks whether to scale out for waiting tasks,
+ *     in microseconds ({@code poll-s})
  * @param budget the maximum number of counted rentals within the window ({@code budget})
  * @param budgetWindowMicros the length of the budget window, in microseconds ({@code
  *     budget-window-s})
@@ -19,24 +19,25 @@
  * @param headroom the share of all processors, from 0 to 1, that jobs of normal or low priority
  *     leave free where a wait objective is shorter than the time to boot a machine, so that scaling
  *     out could not meet it ({@code headroom})
- * @param patience the share, from 0 to 1, of a job's spare time before its deadline that it waits
- *     for spot or owned machines before an on-demand machine is rented for it ({@code patience})
- * @param delegation whether other controllers answer heartbeats for a leader that workers cannot
- *     reach ({@code deputies})
+ * @param spotWaitShare the share, from 0 to 1, of a job's spare time before its deadline that it
+ *     waits for spot or owned machines before an on-demand machine is rented for it ({@code
+ *     patience})
+ * @param delegationEnabled whether other controllers answer heartbeats for a leader that workers
+ *     cannot reach ({@code deputies})
  * @param learnedRunTimes whether run times are predicted from completed runs rather than from the
  *     owners' corrected estimates ({@code learned-run-times})
  */
 public record OperatorPolicy(
-    long thresholdMicros,
-    long pollMicros,
+    long rentalThresholdMicros,
+    long scaleOutIntervalMicros,
     int budget,
     long budgetWindowMicros,
     long idleMicros,
     SpotMode spotMode,
     long leaseMicros,
     double headroom,
-    double patience,
-    boolean delegation,
+    double spotWaitShare,
+    boolean delegationEnabled,
     boolean learnedRunTimes) {
   /** Which rented machines may be spot machines. */
   public enum SpotMode {
--- a/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
+++ b/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
@@ -4,13 +4,14 @@
  * The time bounds on which the safety rules rely. Intervals measured on two monotonic clocks may
  * differ by twice the drift of one clock, so each bound is extended or reduced by more than that.
  *
- * @param leaseMicros the time without contact after which a worker's lease has certainly expired
- *     and the worker has dropped its tasks, in microseconds
- * @param answerMicros how long heartbeats may be answered without updates from the store, in
- *     microseconds: a worker that receives the last answer still drops a job that was cancelled in
- *     the meantime before the cancellation deadline; 0 if the settings leave no such time
+ * @param workerLeaseExpiryMicros the time without contact after which a worker's lease has
+ *     certainly expired and the worker has dropped its tasks, in microseconds
+ * @param maxAnswerWithoutStoreMicros how long heartbeats may be answered without updates from the
+ *     store, in microseconds: a worker that receives the last answer still drops a job that was
+ *     cancelled in the meantime before the cancellation deadline; 0 if the settings leave no such
+ *     time
  */
-public record SafetyBounds(long leaseMicros, long answerMicros) {
+public record SafetyBounds(long workerLeaseExpiryMicros, long maxAnswerWithoutStoreMicros) {
   private static final int LEADER_SILENCES_PER_LEASE = 4;
   private static final long SAFETY_MARGIN_MICROS = 1_000_000;
   private static final long LEADER_LEASE_MARGIN_MICROS = 20_000;
@@ -28,14 +29,14 @@
    * @param durationMicros the duration of the lease in the store
    */
   public static long leaseEndMicros(long sentMicros, long durationMicros) {
-    return sentMicros + minusClockDrift(durationMicros) - LEADER_LEASE_MARGIN_MICROS;
+    return sentMicros + shortenByClockDrift(durationMicros) - LEADER_LEASE_MARGIN_MICROS;
   }
 
   /**
    * Returns the longest interval on this clock during which certainly no more than the given
    * interval passes on another clock.
    */
-  public static long minusClockDrift(long micros) {
+  public static long shortenByClockDrift(long micros) {
     return micros - micros / CLOCK_DRIFT_DIVISOR;
   }
 
@@ -46,14 +47,16 @@
    * cannot reach the leader time to contact a delegate before its lease expires.
    */
   public long leaderSilenceMicros() {
-    return leaseMicros / LEADER_SILENCES_PER_LEASE;
+    return workerLeaseExpiryMicros / LEADER_SILENCES_PER_LEASE;
   }
 
   /** Derives the bounds from the intervals and timeouts of workers. */
   public static SafetyBounds of(Deployment.WorkerTimes workers) {
     long driftMicros = workers.leaseMicros() / CLOCK_DRIFT_DIVISOR;
-    long leaseMicros = workers.leaseMicros() + driftMicros + SAFETY_MARGIN_MICROS / 2;
+    long workerLeaseExpiryMicros = workers.leaseMicros() + driftMicros + SAFETY_MARGIN_MICROS / 2;
     return new SafetyBounds(
-        leaseMicros, Math.max(0, workers.cancelMicros() - leaseMicros - SAFETY_MARGIN_MICROS));
+        workerLeaseExpiryMicros,
+        Math.max(
+            0, workers.cancelDeadlineMicros() - workerLeaseExpiryMicros - SAFETY_MARGIN_MICROS));
   }
 }
--- a/src/main/java/madderrudder/coordination/policy/ServiceLevelObjectives.java
+++ b/src/main/java/madderrudder/coordination/policy/ServiceLevelObjectives.java
@@ -11,13 +11,13 @@
  *
  * @param waitMicros the strictest objective for the wait until a job starts, in microseconds
  * @param finishMicros the times after submission by which a job should be complete, in microseconds
- * @param deadlineTimes the multiples of a job's own deadline by which it should be complete; a
+ * @param deadlineMultiples the multiples of a job's own deadline by which it should be complete; a
  *     class without an entry has the single multiple 1
  */
 public record ServiceLevelObjectives(
     Map<String, Long> waitMicros,
     Map<String, List<Long>> finishMicros,
-    Map<String, List<Double>> deadlineTimes) {
+    Map<String, List<Double>> deadlineMultiples) {
   private static final List<Double> OWN_DEADLINE_ONLY = List.of(1.0);
 
   /** Returns empty objectives, for a platform that defines none. */
@@ -34,7 +34,7 @@
   }
 
   /** Whether the job's class has an objective for the wait until the job starts. */
-  public boolean wantsPromptStart(JobSpec job) {
+  public boolean hasWaitObjective(JobSpec job) {
     return waitMicros.containsKey(job.jobClass());
   }
 
@@ -42,10 +42,10 @@
    * Returns the times by which the job should be complete, in microseconds after its submission,
    * earliest first; empty if there is no such objective.
    */
-  public List<Long> dueMicros(JobSpec job) {
+  public List<Long> dueOffsetsMicros(JobSpec job) {
     List<Long> dueOffsets = new ArrayList<>(finishMicros.getOrDefault(job.jobClass(), List.of()));
     if (job.deadlineMicros() > 0) {
-      for (double multiple : deadlineTimes.getOrDefault(job.jobClass(), OWN_DEADLINE_ONLY)) {
+      for (double multiple : deadlineMultiples.getOrDefault(job.jobClass(), OWN_DEADLINE_ONLY)) {
         dueOffsets.add((long) (multiple * job.deadlineMicros()));
       }
     }
--- a/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
@@ -34,7 +34,7 @@
   /** A worker that a controller rejected, or that reached none, tries the next after a second. */
   private static final long CONTROLLER_RETRY_MICROS = 1_000_000;
 
-  private final boolean overdue;
+  private final boolean reportTimeoutPassed;
   private final Map<ZonePool, Count> pools = new TreeMap<>();
   private final Map<String, Count> teams = new TreeMap<>();
   private final Set<Machine> unreported = new HashSet<>();
@@ -81,18 +81,18 @@
     }
   }
 
-  private ClusterCoverage(boolean overdue) {
-    this.overdue = overdue;
+  private ClusterCoverage(boolean reportTimeoutPassed) {
+    this.reportTimeoutPassed = reportTimeoutPassed;
   }
 
   /**
    * How long the leader waits for workers to report, in microseconds: the heartbeat interval, plus
    * the quarter by which it may be longer, plus one attempt at each controller.
    *
-   * @param members how many controllers there are
+   * @param controllerCount how many controllers there are
    */
-  public static long patienceMicros(WorkerTimes workers, int members) {
-    return workers.reportMicros() * 5 / 4 + members * CONTROLLER_RETRY_MICROS;
+  public static long reportTimeoutMicros(WorkerTimes workers, int controllerCount) {
+    return workers.heartbeatIntervalMicros() * 5 / 4 + controllerCount * CONTROLLER_RETRY_MICROS;
   }
 
   /**
@@ -157,28 +157,30 @@
   }
 
   /** Whether the time in which workers are expected to report is over. */
-  public boolean overdue() {
-    return overdue;
+  public boolean reportTimeoutPassed() {
+    return reportTimeoutPassed;
   }
 
   /** Whether the machine was up, has not reported yet, and is likely to report soon. */
-  public boolean awaits(Machine machine) {
-    return !overdue && unreported.contains(machine) && !cutOffZones.contains(machine.zone);
+  public boolean mayStillReport(Machine machine) {
+    return !reportTimeoutPassed
+        && unreported.contains(machine)
+        && !cutOffZones.contains(machine.zone);
   }
 
   /** Whether the machine was up and has not reported, though it should have by now. */
-  public boolean misses(Machine machine) {
-    return unreported.contains(machine) && !awaits(machine);
+  public boolean isMissing(Machine machine) {
+    return unreported.contains(machine) && !mayStillReport(machine);
   }
 
   /** Whether enough of all machines have reported, or the time to report is over. */
   public boolean suffices() {
-    return overdue || allMachines.isSufficient();
+    return reportTimeoutPassed || allMachines.isSufficient();
   }
 
   /** Whether enough of the machines that the job may use have reported, or time is over. */
   public boolean suffices(Job job) {
-    if (overdue) {
+    if (reportTimeoutPassed) {
       return true;
     }
     Count usable = new Count();
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
@@ -62,7 +62,7 @@
    * @param nothingRented whether no machine was ever rented, so that an unrecorded machine must be
    *     an owned one
    */
-  public static MachineDecision of(MachineFacts facts, boolean nothingRented) {
+  public static MachineDecision decide(MachineFacts facts, boolean nothingRented) {
     return switch (facts.recorded()) {
       case GONE -> REMOVED;
       case NO -> decideUnrecorded(facts, nothingRented);
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -63,7 +63,7 @@
   private TaskReconciler() {}
 
   /** Returns the decision on one attempt on one machine. */
-  public static TaskDecision of(TaskFacts facts) {
+  public static TaskDecision decide(TaskFacts facts) {
     if (facts.record() == RecordOwner.NONE) {
       return decideUnrecorded(facts);
     }
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -89,7 +89,7 @@
     int slash = jobAndChunk.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(jobAndChunk.substring(0, slash));
     if (job == null) {
-      term.commits.add(new DeleteKeyChange(item.key()), Urgency.LATER);
+      term.commitQueue.add(new DeleteKeyChange(item.key()), Urgency.LATER);
       return;
     }
     try {
@@ -150,7 +150,7 @@
     endJob(job);
     if (!job.done.isEmpty() || job.failing()) {
       for (String key : JobProgressChange.progressKeys(job)) {
-        term.commits.add(new DeleteKeyChange(key), Urgency.LATER);
+        term.commitQueue.add(new DeleteKeyChange(key), Urgency.LATER);
       }
     }
   }
@@ -160,7 +160,7 @@
     job.ended = true;
     term.cluster.jobs.remove(job.spec.id());
     for (Assignment assignment : List.copyOf(job.assignments)) {
-      machines.evict(assignment);
+      machines.markForEviction(assignment);
       if (assignment.completed) {
         machines.release(assignment);
       }
@@ -168,14 +168,14 @@
   }
 
   /** Records that a task has completed. The tasks of a gang complete together. */
-  public void completed(Assignment assignment) {
+  public void recordCompletion(Assignment assignment) {
     Job job = assignment.job;
     if (job == null || job.ended || job.spec.kind() == JobKind.SERVICE) {
       machines.release(assignment);
       return;
     }
-    term.cluster.complete(assignment);
-    job.completed();
+    term.cluster.recordCompletion(assignment);
+    job.recordCompletion();
     if (job.spec.kind() == JobKind.GANG) {
       job.done.set(0, job.spec.tasks());
     } else {
@@ -201,6 +201,6 @@
    */
   void queueProgress(Job job) {
     Urgency urgency = job.complete() ? Urgency.SOON : Urgency.LATER;
-    term.commits.add(new JobProgressChange(job, this, machines), urgency);
+    term.commitQueue.add(new JobProgressChange(job, this, machines), urgency);
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/LeaderDependencies.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderDependencies.java
@@ -24,7 +24,7 @@
  * @param deployment the platform's settings
  * @param policy the operators' settings
  * @param member the name of this controller
- * @param others the names of the other controllers
+ * @param otherMembers the names of the other controllers
  * @param metrics the recorder of timings
  * @param renewalSafeUntilMicros the time, on the scheduler's clock in microseconds, until which the
  *     leader may answer heartbeats without commands while it has not read the store yet
@@ -39,6 +39,6 @@
     Deployment deployment,
     OperatorPolicy policy,
     String member,
-    Set<String> others,
+    Set<String> otherMembers,
     Metrics metrics,
     LongSupplier renewalSafeUntilMicros) {}
--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -28,7 +28,7 @@
 
   /**
    * Clock and timers of the event loop. Its timers also run after the end of the term; those of
-   * {@link #after} and {@link #every} do not.
+   * {@link #runAfter} and {@link #runEvery} do not.
    */
   public final Scheduler scheduler;
 
@@ -36,7 +36,7 @@
   public final StoreClient store;
 
   /** HTTP client that sends commands directly to workers. */
-  public final HttpCaller calls;
+  public final HttpCaller httpCaller;
 
   /** The leader election: tells whether the leader's lease holds, and steps down on request. */
   public final LeaderElection election;
@@ -48,7 +48,7 @@
   public final OperatorPolicy policy;
 
   /** Time bounds that the safety rules depend on, such as the length of a worker's lease. */
-  public final SafetyBounds safety;
+  public final SafetyBounds safetyBounds;
 
   /** The recorder of timings. */
   public final Metrics metrics;
@@ -57,16 +57,16 @@
   public final long number;
 
   /** The queue that commits the changes of this term to the store. */
-  public final CommitQueue commits;
+  public final CommitQueue commitQueue;
 
   /** The leader's in-memory view of the cluster. */
   public final Cluster cluster;
 
   /** Run times learned from finished tasks; null if operators have turned learning off. */
-  public final LearnedRunTimes learned;
+  public final LearnedRunTimes learnedRunTimes;
 
   /** The task runs of this term, which operators can query. */
-  public final RunHistory history;
+  public final RunHistory runHistory;
 
   /**
    * Tracks which heartbeats other controllers may have answered for this leader, and so when the
@@ -90,14 +90,14 @@
       LeaderDependencies dependencies, long number, long termVersion, Runnable onLost) {
     scheduler = dependencies.scheduler();
     store = dependencies.store();
-    calls = dependencies.httpCaller();
+    httpCaller = dependencies.httpCaller();
     election = dependencies.election();
     deployment = dependencies.deployment();
     policy = dependencies.policy();
     metrics = dependencies.metrics();
-    safety = SafetyBounds.of(deployment.workers());
+    safetyBounds = SafetyBounds.of(deployment.workers());
     this.number = number;
-    commits =
+    commitQueue =
         new CommitQueue(
             scheduler,
             store,
@@ -107,10 +107,12 @@
             deployment.state().transactionWrites(),
             deployment.state().writesPerSecond() * LEADER_WRITE_RATE_SHARE,
             onLost);
-    learned = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
-    history = new RunHistory(number);
-    cluster = new Cluster(deployment, learned == null ? new EstimatedRunTimes() : learned);
-    delegation = new DelegationTracker(safety, scheduler.nowMicros());
+    learnedRunTimes = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
+    runHistory = new RunHistory(number);
+    cluster =
+        new Cluster(
+            deployment, learnedRunTimes == null ? new EstimatedRunTimes() : learnedRunTimes);
+    delegation = new DelegationTracker(safetyBounds, scheduler.nowMicros());
     ids = new TermScopedIds(number);
   }
 
@@ -127,26 +129,26 @@
   /** Ends the term: later changes are not committed, and scheduled actions do not run. */
   public void close() {
     closed = true;
-    commits.close();
+    commitQueue.close();
   }
 
   /** Whether the term has ended. */
-  public boolean closed() {
+  public boolean isClosed() {
     return closed;
   }
 
   /** Runs the action repeatedly until the term ends, for the first time after one period. */
-  public void every(long periodMicros, Runnable action) {
-    after(
+  public void runEvery(long periodMicros, Runnable action) {
+    runAfter(
         periodMicros,
         () -> {
           action.run();
-          every(periodMicros, action);
+          runEvery(periodMicros, action);
         });
   }
 
   /** Runs the action once after the delay, unless the term has ended by then. */
-  public void after(long delayMicros, Runnable action) {
+  public void runAfter(long delayMicros, Runnable action) {
     scheduler.after(
         delayMicros,
         () -> {
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -97,14 +97,14 @@
 
   /** Starts to store the changed pages, one per interval, until the term ends. */
   public void startPersisting() {
-    term.every(PAGE_INTERVAL_MICROS, this::queueNextChangedPage);
+    term.runEvery(PAGE_INTERVAL_MICROS, this::queueNextChangedPage);
   }
 
   private void queueNextChangedPage() {
     int page = pages.nextChanged(nextPage);
     if (page >= 0) {
       nextPage = (page + 1) % PAGE_COUNT;
-      term.commits.add(new PageChange(page), Urgency.LATER);
+      term.commitQueue.add(new PageChange(page), Urgency.LATER);
     }
   }
 
@@ -117,16 +117,17 @@
 
   private Estimate cachedEstimate(Job job) {
     long nowMicros = term.scheduler.nowMicros();
-    if (job.expected == null || nowMicros - job.expected.askedMicros() >= ESTIMATE_CACHE_MICROS) {
+    if (job.lastEstimate == null
+        || nowMicros - job.lastEstimate.askedMicros() >= ESTIMATE_CACHE_MICROS) {
       EstimateQuery query =
           new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, INTERVAL_COVERAGE);
       Estimate estimate = estimator.estimate(query);
-      if (job.expected == null && LOG.isDebugEnabled()) {
+      if (job.lastEstimate == null && LOG.isDebugEnabled()) {
         logFirstEstimate(job, query, estimate);
       }
-      job.expected = new Expected(estimate, nowMicros);
+      job.lastEstimate = new Expected(estimate, nowMicros);
     }
-    return job.expected.estimate();
+    return job.lastEstimate.estimate();
   }
 
   private void logFirstEstimate(Job job, EstimateQuery query, Estimate estimate) {
@@ -179,7 +180,7 @@
    * Writes the metrics of the estimates as the field {@code run_times}: counters, and for each job
    * class the distribution of the ratio of run time to the user's estimate.
    */
-  public void write(JsonGenerator out) throws IOException {
+  public void writeMetrics(JsonGenerator out) throws IOException {
     out.writeObjectFieldStart("run_times");
     out.writeNumberField("kinds", estimator.size());
     writeCounts(out);
--- a/src/main/java/madderrudder/coordination/registry/LiveJobWatch.java
+++ b/src/main/java/madderrudder/coordination/registry/LiveJobWatch.java
@@ -58,7 +58,7 @@
         revision,
         POLL_WAIT_MICROS,
         reply -> {
-          if (term.closed()) {
+          if (term.isClosed()) {
             return;
           }
           if (reply.is(Outcome.OK)) {
@@ -68,7 +68,7 @@
             term.election.stepDown(
                 "the store no longer keeps the changes to live jobs since the last watched revision");
           } else {
-            term.after(RETRY_DELAY_MICROS, () -> watchFrom(revision));
+            term.runAfter(RETRY_DELAY_MICROS, () -> watchFrom(revision));
           }
         });
   }
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -52,20 +52,20 @@
   /** Queues the record of a new or changed machine for writing. */
   void queueMachine(Machine machine) {
     pending.machines.add(machine);
-    term.commits.add(logChange, Urgency.SOON);
+    term.commitQueue.add(logChange, Urgency.SOON);
   }
 
   /** Queues the removal of a machine that no longer exists for writing. */
   void queueMachineRemoval(Machine machine) {
     pending.machines.remove(machine);
     pending.removedMachineIds.add(machine.id);
-    term.commits.add(logChange, Urgency.SOON);
+    term.commitQueue.add(logChange, Urgency.SOON);
   }
 
   /** Queues an assignment for writing. Its task may be started once the assignment is durable. */
   void queueAssignment(Assignment assignment) {
     pending.assignments.add(assignment);
-    term.commits.add(logChange, Urgency.FIRST);
+    term.commitQueue.add(logChange, Urgency.FIRST);
   }
 
   /**
@@ -74,7 +74,7 @@
    */
   void queueAttemptEnd(Assignment assignment) {
     if (pending.addEndedAttempt(assignment)) {
-      term.commits.add(logChange, Urgency.LATER);
+      term.commitQueue.add(logChange, Urgency.LATER);
     }
   }
 
@@ -85,14 +85,14 @@
    */
   void queueCachedImage(Machine machine, String image, double gb) {
     pending.images.add(new MachineImage(machine, image, gb));
-    term.commits.add(logChange, Urgency.LATER);
+    term.commitQueue.add(logChange, Urgency.LATER);
   }
 
   private void handleCommitted() {
     Set<Machine> durableMachines = new LinkedHashSet<>();
     log.markBatchCommitted(segment -> markDurable(segment, durableMachines));
     if (!pending.isEmpty()) {
-      term.commits.add(logChange, pending.urgency());
+      term.commitQueue.add(logChange, pending.urgency());
     }
     durableMachines.forEach(onDurable);
   }
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -52,13 +52,13 @@
    * Sets the listener that is called with a machine when an assignment, its retirement or the
    * progress of a task on it has become durable. Replaces the previous listener.
    */
-  public void onDurable(Consumer<Machine> listener) {
+  public void setDurableListener(Consumer<Machine> listener) {
     durableListener = listener;
   }
 
   /**
-   * Adds a machine to the cluster state; {@link #save} queues its record for writing. A machine of
-   * a type that the cloud does not list has no capacity.
+   * Adds a machine to the cluster state; {@link #queueRecord} queues its record for writing. A
+   * machine of a type that the cloud does not list has no capacity.
    *
    * @param type the name of the machine type
    * @param rentedWallMicros the wall-clock time when it was rented, in microseconds
@@ -72,7 +72,7 @@
     Machine machine =
         new Machine(
             id, machineType, zone, spot, owned, rentedWallMicros, term.scheduler.nowMicros());
-    machine.issuedToken = FencingToken.first(term.number);
+    machine.issuedToken = FencingToken.firstOfTerm(term.number);
     term.cluster.add(machine);
     return machine;
   }
@@ -185,16 +185,16 @@
   }
 
   /**
-   * Marks the task to be stopped. Its machine is then among {@link #takePendingPushes}, so that its
-   * worker is sent the command to stop the task.
+   * Marks the task to be stopped. Its machine is then among {@link #takeMachinesToCommand}, so that
+   * its worker is sent the command to stop the task.
    */
-  public void evict(Assignment assignment) {
+  public void markForEviction(Assignment assignment) {
     assignment.evicting = true;
     machinesToCommand.add(assignment.machine);
   }
 
   /** Returns and clears the set of machines whose workers have to be sent new commands. */
-  public List<Machine> takePendingPushes() {
+  public List<Machine> takeMachinesToCommand() {
     List<Machine> machines = List.copyOf(machinesToCommand);
     machinesToCommand.clear();
     return machines;
@@ -239,7 +239,7 @@
    * Handles a new epoch of the machine's worker: releases the assignments that this leader made and
    * keeps those of earlier leaders, whose start commands may still be in flight.
    */
-  public void releaseOwn(Machine machine) {
+  public void handleNewEpoch(Machine machine) {
     for (Assignment assignment : List.copyOf(machine.assignments.values())) {
       if (!assignment.inherited) {
         release(assignment);
@@ -276,7 +276,7 @@
           machine.spot ? " spot" : "",
           reason);
       machine.retiring = true;
-      save(machine);
+      queueRecord(machine);
     }
   }
 
@@ -286,7 +286,7 @@
       boolean mayHaveTasks = machine.reported || !machine.assignments.isEmpty();
       if (!machine.leaseExpired
           && mayHaveTasks
-          && term.delegation.leaseExpired(machine.lastAnsweredMicros, nowMicros)) {
+          && term.delegation.leaseExpired(machine.lastLeaseRenewalMicros, nowMicros)) {
         LOG.info("lease of machine {} expired; releasing its assignments", machine.id);
         machine.leaseExpired = true;
         releaseAll(machine);
@@ -300,7 +300,7 @@
   }
 
   /** Queues the record of a new or changed machine for writing. */
-  public void save(Machine machine) {
+  public void queueRecord(Machine machine) {
     log.queueMachine(machine);
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
+++ b/src/main/java/madderrudder/coordination/registry/StoredStateReader.java
@@ -46,7 +46,7 @@
 
   private void start() {
     List<String> prefixes = new ArrayList<>(RANGE_PREFIXES);
-    if (term.learned != null) {
+    if (term.learnedRunTimes != null) {
       prefixes.add(Keys.RUN_TIMES);
     }
     pendingReads = prefixes.size() + SINGLE_KEYS.size();
@@ -63,11 +63,11 @@
         prefix,
         after,
         reply -> {
-          if (term.closed()) {
+          if (term.isClosed()) {
             return;
           }
           if (!reply.is(Outcome.OK)) {
-            term.after(RETRY_DELAY_MICROS, () -> readRange(prefix, after));
+            term.runAfter(RETRY_DELAY_MICROS, () -> readRange(prefix, after));
             return;
           }
           recordLiveJobsRevision(prefix, reply.value().revision());
@@ -95,13 +95,13 @@
     term.store.get(
         key,
         reply -> {
-          if (term.closed()) {
+          if (term.isClosed()) {
             return;
           }
           if (reply.is(Outcome.OK)) {
             singleValues.put(key, reply.value());
           } else if (!reply.is(Outcome.GONE)) {
-            term.after(RETRY_DELAY_MICROS, () -> readSingle(key));
+            term.runAfter(RETRY_DELAY_MICROS, () -> readSingle(key));
             return;
           }
           completeRead();
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListPoller.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListPoller.java
@@ -46,7 +46,7 @@
     cloud.list(
         afterId,
         result -> {
-          if (!term.closed()) {
+          if (!term.isClosed()) {
             handle(result, listedIds);
           }
         });
@@ -60,7 +60,7 @@
     if (result instanceof CloudResult.Malformed<CloudCodec.Page> malformed) {
       LOG.info("machine list is malformed, reading it again: {}", malformed.reason());
     }
-    term.after(RETRY_MICROS, this::start);
+    term.runAfter(RETRY_MICROS, this::start);
   }
 
   private void handlePage(CloudCodec.Page page, Set<String> listedIds) {
@@ -75,6 +75,6 @@
     }
     completeListRead = true;
     tracker.observeCompleteList(listedIds);
-    term.after(term.deployment.cloud().listLagMicros(), this::start);
+    term.runAfter(term.deployment.cloud().listLagMicros(), this::start);
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
@@ -86,10 +86,11 @@
     boolean nothingRentedOrPending = requests.noMachineRentedYet() && requests.pendingCount() == 0;
     boolean listedBeyondLag = !nothingRentedOrPending && isListedBeyondMaxLag(entry.id());
     MachineDecision decision =
-        MachineReconciler.of(factsOfUnknown(entry.id(), listedBeyondLag), nothingRentedOrPending);
+        MachineReconciler.decide(
+            factsOfUnknown(entry.id(), listedBeyondLag), nothingRentedOrPending);
     switch (decision.verdict()) {
-      case ADOPT_OWNED -> machines.save(adopt(entry, true));
-      case ADOPT -> machines.save(adopt(entry, false));
+      case ADOPT_OWNED -> machines.queueRecord(adopt(entry, true));
+      case ADOPT -> machines.queueRecord(adopt(entry, false));
       default -> {}
     }
   }
@@ -140,7 +141,7 @@
   void observeCompleteList(Set<String> listedIds) {
     unknownSinceMicros.keySet().retainAll(listedIds);
     missingIds.clear();
-    long minAgeMicros = maxLagMicros() + 2 * term.deployment.clockOffMicros();
+    long minAgeMicros = maxLagMicros() + 2 * term.deployment.maxClockErrorMicros();
     long wallMicros = term.scheduler.wallMicros();
     for (Machine machine : term.cluster.machines.values()) {
       long ageMicros = wallMicros - machine.rentedWallMicros;
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -56,7 +56,7 @@
     boolean mostSilent = mostMachinesAreSilent();
     for (Machine machine : List.copyOf(term.cluster.machines.values())) {
       MachineDecision decision =
-          MachineReconciler.of(
+          MachineReconciler.decide(
               facts(machine, nowMicros, mostSilent), requests.noMachineRentedYet());
       switch (decision.verdict()) {
         case RETURN -> {
@@ -145,8 +145,9 @@
       return Worker.LEASE_EXPIRED;
     }
     boolean missedHeartbeat =
-        machine.missedHeartbeat(nowMicros, term.deployment.workers().reportMicros());
-    if (machine.unacknowledgedFor(nowMicros, term.safety.leaseMicros()) && !missedHeartbeat) {
+        machine.missedHeartbeat(nowMicros, term.deployment.workers().heartbeatIntervalMicros());
+    if (machine.unacknowledgedFor(nowMicros, term.safetyBounds.workerLeaseExpiryMicros())
+        && !missedHeartbeat) {
       return Worker.UNACKNOWLEDGED;
     }
     if (!machine.reported) {
@@ -168,6 +169,7 @@
     long ageMicros = term.scheduler.wallMicros() - machine.rentedWallMicros;
     long bootLimitMicros =
         Math.max(OVERDUE_BOOT_FACTOR * machine.type.bootMicros(), term.policy.idleMicros());
-    return knownForMicros > 2 * term.safety.leaseMicros() && ageMicros > bootLimitMicros;
+    return knownForMicros > 2 * term.safetyBounds.workerLeaseExpiryMicros()
+        && ageMicros > bootLimitMicros;
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -36,7 +36,7 @@
         new RentalBudget(
             term.policy.budget(),
             term.policy.budgetWindowMicros(),
-            term.deployment.clockOffMicros());
+            term.deployment.maxClockErrorMicros());
   }
 
   /** Loads the budget that earlier leaders stored, and whether any of them rented a machine. */
@@ -74,7 +74,7 @@
    * @param onDurable receives the intent when it is durable
    */
   void put(RentalRecord rental, Consumer<RentalRecord> onDurable) {
-    term.commits.add(new PutRentalIntent(rental, onDurable), Urgency.FIRST);
+    term.commitQueue.add(new PutRentalIntent(rental, onDurable), Urgency.FIRST);
   }
 
   /**
@@ -82,7 +82,7 @@
    * changes of the same name.
    */
   void delete(RentalRecord rental) {
-    term.commits.add(new DeleteRentalIntent(rental.request()), Urgency.SOON);
+    term.commitQueue.add(new DeleteRentalIntent(rental.request()), Urgency.SOON);
   }
 
   private byte[] renderOwnedMachines() {
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -54,7 +54,7 @@
    */
   void load(StoredState found) throws MalformedMessageException {
     intents.load(found);
-    for (KeyValue item : found.rentals()) {
+    for (KeyValue item : found.openRentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
       pendingRequests.put(requestId, rental);
@@ -146,14 +146,14 @@
         rental.request(),
         scaleOutRequest(rental),
         result -> {
-          if (!term.closed()) {
+          if (!term.isClosed()) {
             handle(rental, result);
           }
         });
   }
 
   private void retryLater(RentalRecord rental) {
-    term.after(RETRY_MICROS, () -> send(rental));
+    term.runAfter(RETRY_MICROS, () -> send(rental));
   }
 
   private void handle(RentalRecord rental, RentResult result) {
@@ -205,6 +205,6 @@
             rental.spot(),
             false,
             term.scheduler.wallMicros());
-    machines.save(machine);
+    machines.queueRecord(machine);
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
@@ -32,7 +32,8 @@
 
   /** Starts to delete retired machines periodically, until the term ends. */
   void start() {
-    term.every(term.policy.pollMicros() / BATCHES_PER_POLL_INTERVAL, this::deleteNextBatch);
+    term.runEvery(
+        term.policy.scaleOutIntervalMicros() / BATCHES_PER_POLL_INTERVAL, this::deleteNextBatch);
   }
 
   private void deleteNextBatch() {
@@ -47,7 +48,7 @@
     cloud.delete(
         batch.stream().map(machine -> machine.id).toList(),
         result -> {
-          if (!term.closed()) {
+          if (!term.isClosed()) {
             finish(batch, result);
           }
         });
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -62,17 +62,17 @@
    * Returns whether no machine was ever rented. Until the first rental, each discovered machine is
    * an owned one.
    */
-  public boolean ownedStillOpen() {
+  public boolean noMachineRentedYet() {
     return requests.noMachineRentedYet();
   }
 
   /** Returns the number of rental requests whose outcome is not known yet. */
-  public int underWay() {
+  public int pendingRequestCount() {
     return requests.pendingCount();
   }
 
   /** Records that a machine has booted and sent its first heartbeat. */
-  public void machineUp(Machine machine) {
+  public void recordMachineUp(Machine machine) {
     poolLimits.recordBoot(machine.capacityPool());
   }
 
@@ -112,7 +112,7 @@
     if (nowMicros < nextCountedRequestMicros) {
       return false;
     }
-    nextCountedRequestMicros = nowMicros + term.policy.pollMicros();
+    nextCountedRequestMicros = nowMicros + term.policy.scaleOutIntervalMicros();
     return true;
   }
 
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -62,7 +62,7 @@
             .anyMatch(
                 job ->
                     !job.spec.spotAllowed()
-                        && cluster.deployment.objectives().wantsPromptStart(job.spec));
+                        && cluster.deployment.objectives().hasWaitObjective(job.spec));
     return new Demand(
         guaranteed, waiting(cluster, guaranteed, wallMicros), promptNeedsNonSpot, coverage);
   }
@@ -147,7 +147,7 @@
 
   private static boolean isPromptGang(Cluster cluster, Job job) {
     return job.spec.kind() == JobKind.GANG
-        && cluster.deployment.objectives().wantsPromptStart(job.spec);
+        && cluster.deployment.objectives().hasWaitObjective(job.spec);
   }
 
   /** The earliest deadline that a job can still meet, and how many it misses before that one. */
@@ -160,7 +160,7 @@
   }
 
   private static Deadline deadline(Cluster cluster, Job job, long nowWallMicros) {
-    List<Long> dueOffsets = cluster.deployment.objectives().dueMicros(job.spec);
+    List<Long> dueOffsets = cluster.deployment.objectives().dueOffsetsMicros(job.spec);
     if (dueOffsets.isEmpty()) {
       return new Deadline(0, job.acceptedWallMicros + DEFAULT_DEADLINE_MICROS);
     }
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -244,7 +244,7 @@
       if (fits(job, machine)
           && !machine.atTaskLimit(usage.addedTasks(job, machine))
           && cluster.allowed(job, machine)
-          && (!job.failedOn(machine.id, nowMicros) || job.failing())) {
+          && (!job.failedRecentlyOn(machine.id, nowMicros) || job.failing())) {
         candidates.add(new Candidate(machine, cost(job, machine)));
       }
     }
--- a/src/main/java/madderrudder/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/madderrudder/coordination/scheduling/PlanningRound.java
@@ -17,7 +17,7 @@
 
   /** Whether the state of the machine and its worker allows tasks to be placed on it now. */
   boolean usable(Machine machine) {
-    return machine.usable(nowMicros, cluster.deployment.workers().reportMicros());
+    return machine.usable(nowMicros, cluster.deployment.workers().heartbeatIntervalMicros());
   }
 
   /** Whether a task of the job would fit on some owned machine if that machine were empty. */
@@ -30,7 +30,7 @@
    * machines.
    */
   boolean waitedThreshold(Job job, int task) {
-    return nowMicros - job.waitingSinceMicros(task) >= policy.thresholdMicros();
+    return nowMicros - job.waitingSinceMicros(task) >= policy.rentalThresholdMicros();
   }
 
   /** Whether the job is covered by its team's guarantee. */
--- a/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
@@ -26,7 +26,7 @@
     int silentMachines = 0;
     int knownMachines = 0;
     for (Machine machine : round.cluster().machines.values()) {
-      boolean overdue = coverage.misses(machine);
+      boolean overdue = coverage.isMissing(machine);
       if ((!machine.reported && !overdue) || machine.leaseExpired || machine.retiring) {
         continue;
       }
@@ -40,10 +40,10 @@
   }
 
   private static boolean unreachable(PlanningRound round, Machine machine) {
-    long reportMicros = round.cluster().deployment.workers().reportMicros();
-    return machine.silent(round.nowMicros(), reportMicros)
+    long heartbeatIntervalMicros = round.cluster().deployment.workers().heartbeatIntervalMicros();
+    return machine.silent(round.nowMicros(), heartbeatIntervalMicros)
         || machine.unacknowledgedFor(
-            round.nowMicros(), Machine.missedHeartbeatsMicros(reportMicros));
+            round.nowMicros(), Machine.silenceLimitMicros(heartbeatIntervalMicros));
   }
 
   private static void addProductionTasks(Machine machine, Map<Job, Integer> atRisk) {
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -57,8 +57,8 @@
    */
   private boolean isIncoming(Machine machine) {
     ClusterCoverage coverage = round.demand().coverage();
-    return coverage.awaits(machine)
-        || (machine.bootingOnTime(round.nowMicros()) && !coverage.misses(machine));
+    return coverage.mayStillReport(machine)
+        || (machine.bootingOnTime(round.nowMicros()) && !coverage.isMissing(machine));
   }
 
   /**
@@ -125,14 +125,14 @@
   private boolean onDemandAllowed(Job job, int task) {
     if (selection.lacksNonSpotHeadroom()
         || !job.spec.spotAllowed()
-        || cluster.deployment.objectives().wantsPromptStart(job.spec)) {
+        || cluster.deployment.objectives().hasWaitObjective(job.spec)) {
       return true;
     }
-    List<Long> dueOffsets = cluster.deployment.objectives().dueMicros(job.spec);
+    List<Long> dueOffsets = cluster.deployment.objectives().dueOffsetsMicros(job.spec);
     long spareMicros =
         dueOffsets.isEmpty() ? 0 : dueOffsets.get(0) - cluster.runTimes.upperBoundMicros(job);
     return round.nowMicros() - job.waitingSinceMicros(task)
-        >= round.policy().patience() * spareMicros;
+        >= round.policy().spotWaitShare() * spareMicros;
   }
 
   private boolean fits(Job job, IncomingMachine machine) {
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -104,7 +104,7 @@
   }
 
   /** Records that the task has completed and uses no resources from now on. */
-  public void complete(Assignment assignment) {
+  public void recordCompletion(Assignment assignment) {
     if (!assignment.completed) {
       assignment.completed = true;
       cancelledAssignments.remove(assignment);
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -61,7 +61,7 @@
   public final TaskProfile profile;
 
   /** The last estimate of the run time of its tasks; null before the first. */
-  public RunTimes.Expected expected;
+  public RunTimes.Expected lastEstimate;
 
   /** Tasks that have run under an earlier attempt and may have written a checkpoint. */
   private final BitSet ranBefore = new BitSet();
@@ -195,12 +195,12 @@
   }
 
   /** Records that a task has completed under this leader. */
-  public void completed() {
+  public void recordCompletion() {
     completions++;
   }
 
   /** Records that a worker refused to start the task, which is retried after a short backoff. */
-  public void refused(int task, long nowMicros) {
+  public void recordRefusal(int task, long nowMicros) {
     backoff.recordRefusal(task, nowMicros);
   }
 
@@ -210,7 +210,7 @@
    * each task had its own backoff, a broken job of three hundred tasks caused five starts a second
    * until its user stopped it.
    */
-  public void failed(int task, String machine, long nowMicros) {
+  public void recordFailure(int task, String machine, long nowMicros) {
     backoff.recordFailure(task, machine, nowMicros);
     if (failing()) {
       backoff.delayProbe(nowMicros);
@@ -221,12 +221,12 @@
    * Whether one of its tasks has failed on the machine recently. Failures are ignored after some
    * time, because a job that has failed on every machine could otherwise not be placed again.
    */
-  public boolean failedOn(String machine, long nowMicros) {
+  public boolean failedRecentlyOn(String machine, long nowMicros) {
     return backoff.failedRecentlyOn(machine, nowMicros);
   }
 
   /** The machines on which its tasks have failed under this leader. */
-  public Set<String> failedOn() {
+  public Set<String> machinesFailedOn() {
     return backoff.machinesFailedOn();
   }
 
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -119,12 +119,12 @@
    * When a controller may last have answered its worker and so renewed the lease, as far as this
    * leader knows; initially when this leader learned of the machine.
    */
-  public long lastAnsweredMicros;
+  public long lastLeaseRenewalMicros;
 
   /**
    * When this leader last answered its newest heartbeat, directly or through another controller.
    */
-  public long lastHeardMicros;
+  public long lastHeartbeatAnsweredMicros;
 
   /** Whether it was silent for so long that its worker has stopped all tasks. */
   public boolean leaseExpired;
@@ -178,8 +178,8 @@
     this.rentedWallMicros = rentedWallMicros;
     images = new ImageCache(type.cacheGb());
     discoveredMicros = nowMicros;
-    lastAnsweredMicros = nowMicros;
-    lastHeardMicros = nowMicros;
+    lastLeaseRenewalMicros = nowMicros;
+    lastHeartbeatAnsweredMicros = nowMicros;
     idleSinceMicros = nowMicros;
   }
 
@@ -240,14 +240,14 @@
   }
 
   /** Whether tasks may be placed on it now, given the heartbeat interval. */
-  public boolean usable(long nowMicros, long reportMicros) {
+  public boolean usable(long nowMicros, long heartbeatIntervalMicros) {
     return reported
         && !unacknowledged()
         && !retiring
         && !failed
         && !leaseExpired
         && !failures.cordoned(nowMicros)
-        && !silent(nowMicros, reportMicros);
+        && !silent(nowMicros, heartbeatIntervalMicros);
   }
 
   /** Whether it reports, but its worker has not acknowledged an answer. */
@@ -302,18 +302,20 @@
    * Whether a heartbeat is late by more than the slack: the heartbeat interval may be exceeded by a
    * quarter.
    */
-  public boolean missedHeartbeat(long nowMicros, long reportMicros) {
-    return nowMicros - lastHeardMicros > reportMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS;
+  public boolean missedHeartbeat(long nowMicros, long heartbeatIntervalMicros) {
+    return nowMicros - lastHeartbeatAnsweredMicros
+        > heartbeatIntervalMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS;
   }
 
   /** The time without heartbeats after which a machine is silent, given their interval. */
-  public static long missedHeartbeatsMicros(long reportMicros) {
-    return 3 * reportMicros + HEARTBEAT_SLACK_MICROS;
+  public static long silenceLimitMicros(long heartbeatIntervalMicros) {
+    return 3 * heartbeatIntervalMicros + HEARTBEAT_SLACK_MICROS;
   }
 
   /** Whether several heartbeats are missing; its worker may still run its tasks. */
-  public boolean silent(long nowMicros, long reportMicros) {
-    return reported && nowMicros - lastHeardMicros >= missedHeartbeatsMicros(reportMicros);
+  public boolean silent(long nowMicros, long heartbeatIntervalMicros) {
+    return reported
+        && nowMicros - lastHeartbeatAnsweredMicros >= silenceLimitMicros(heartbeatIntervalMicros);
   }
 
   /**
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -117,8 +117,10 @@
         scheduler,
         httpCaller,
         settings.stateAddress(),
-        deployment.state().requestsPerSecond() * USER_REQUESTS_FRACTION / deployment.members(),
-        deployment.state().writesPerSecond() * USER_WRITES_FRACTION / deployment.members());
+        deployment.state().requestsPerSecond()
+            * USER_REQUESTS_FRACTION
+            / deployment.controllerCount(),
+        deployment.state().writesPerSecond() * USER_WRITES_FRACTION / deployment.controllerCount());
   }
 
   private LeaderDependencies createLeaderDependencies(HttpCaller httpCaller, CloudClient cloud) {
@@ -149,7 +151,7 @@
             new HeartbeatForwarder(scheduler, peerMessenger, settings.member()),
             settings.member(),
             store::isResponsive),
-        policy.delegation(),
+        policy.delegationEnabled(),
         MAX_LEADER_CHANGE_LEASES * policy.leaseMicros(),
         settings.maxSockets());
   }
@@ -158,7 +160,8 @@
     Deployment deployment = settings.deployment();
     WriteRateAllocator writeRateAllocator =
         new WriteRateAllocator(
-            deployment.state().writesPerSecond() * USER_WRITES_FRACTION, deployment.members());
+            deployment.state().writesPerSecond() * USER_WRITES_FRACTION,
+            deployment.controllerCount());
     return new PeerStatusExchange(
         new PeerStatusExchange.Dependencies(
             scheduler,
@@ -176,7 +179,7 @@
   private RequestRouter createRequestRouter() {
     HealthCheck healthCheck =
         new HealthCheck(
-            scheduler, catalog::known, store::isResponsive, peerStatusExchange.peerStatuses());
+            scheduler, catalog::hasTypes, store::isResponsive, peerStatusExchange.peerStatuses());
     DiagnosticsEndpoint diagnosticsEndpoint =
         new DiagnosticsEndpoint(
             settings.member(), election, localLeader, heartbeatEndpoint, healthCheck, metrics);
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -209,7 +209,7 @@
     Optional<String> leader = election.leader();
     if (!delegationEnabled) {
       redirect(received);
-    } else if (leader.isPresent() && delegate.hasHeardLately(leader.get())) {
+    } else if (leader.isPresent() && delegate.hasRecentContact(leader.get())) {
       forwardOrRedirect(leader.get(), received);
     } else if (mayRespondWithoutLeader(leader, received)) {
       respondAsDelegate(received);
@@ -255,7 +255,7 @@
   private void respondAsDelegate(ReceivedHeartbeat received) {
     if (received.heartbeat().tasks().isEmpty()
         || !delegate.mayAnswer(election.highestTerm())
-        || !delegate.recordAnswer(received.heartbeat())) {
+        || !delegate.tryRecordAnswer(received.heartbeat())) {
       redirect(received);
       return;
     }
@@ -264,7 +264,7 @@
       LOG.info("answering heartbeats on behalf of {}", election.leader().orElse("no known leader"));
     }
     delegatedResponses++;
-    long token = FencingToken.echo(received.heartbeat().token(), delegate.grantTerm());
+    long token = FencingToken.tokenForAnswer(received.heartbeat().token(), delegate.grantTerm());
     respond(received, WorkerCodec.heartbeatResponse(token, List.of()));
   }
 
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -118,7 +118,7 @@
   }
 
   private void admit(String id, JobSpec job, Consumer<HttpResponse> callback) {
-    if (!catalog.known()) {
+    if (!catalog.hasTypes()) {
       rejectUnlessStored(
           id, Responses.unavailable("the machine types are not known yet"), callback);
       return;
--- a/src/main/java/madderrudder/service/LocalLeader.java
+++ b/src/main/java/madderrudder/service/LocalLeader.java
@@ -72,7 +72,7 @@
    * false if this controller does not lead.
    */
   boolean answersHeartbeats() {
-    return leader != null && leader.decidesHeartbeats();
+    return leader != null && leader.repliesToHeartbeats();
   }
 
   /**
@@ -105,7 +105,7 @@
    * The progress of the next batch of jobs, for the other controllers. The leader must be ready.
    */
   ProgressUpdate progressUpdate() {
-    return new ProgressUpdate(leader.number(), leader.nextProgressBatch());
+    return new ProgressUpdate(leader.termNumber(), leader.nextProgressBatch());
   }
 
   /** The progress of a job; empty if this controller does not lead or the job is unknown. */
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -143,9 +143,9 @@
 
   private void sendMembershipStatus(long nowMicros) {
     long grantMicros = localLeader.delegationGrantMicros();
-    List<StampEcho> echoes = delegate.echoes();
+    List<StampEcho> echoes = delegate.peerEchoes();
     if (grantMicros > 0) {
-      delegate.renewalSafeUntil(nowMicros + grantMicros);
+      delegate.extendRenewalSafety(nowMicros + grantMicros);
       echoes = localLeader.grantDelegation(echoes, grantMicros);
     }
     delegate.statusMessages(election.highestTerm(), grantMicros, echoes).forEach(this::broadcast);
@@ -203,7 +203,7 @@
 
   private void receiveMembershipStatus(MembershipStatus status) {
     election.observeTerm(status.term());
-    delegate.recordStatus(status, election.highestTerm());
+    delegate.recordPeerStatus(status, election.highestTerm());
     localLeader.recordPeerStatus(status, delegate.echoOfThisProcess(status));
   }
 }
--- a/src/test/java/madderrudder/config/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -35,7 +35,7 @@
   void platformSettingsAreRead() throws InvalidSettingsException {
     PlatformSettings settings = parse(GOOD);
     assertEquals(14_000_000, settings.deployment().workers().leaseMicros());
-    assertEquals(2, settings.deployment().members());
+    assertEquals(2, settings.deployment().controllerCount());
     assertEquals(900, settings.maxSockets());
   }
 
@@ -111,7 +111,7 @@
     OperatorPolicy policy =
         OperatorSettings.parse(
             "; ours\n(madderrudder (threshold-s 2.5) (budget \"7\") (spot never))");
-    assertEquals(2_500_000, policy.thresholdMicros());
+    assertEquals(2_500_000, policy.rentalThresholdMicros());
     assertEquals(7, policy.budget());
     assertEquals(OperatorPolicy.SpotMode.NEVER, policy.spotMode());
     assertEquals(OperatorPolicy.defaults().idleMicros(), policy.idleMicros());
--- a/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
@@ -32,7 +32,7 @@
  */
 class CommandPlannerTest {
   private static final long GANG_PEER_MICROS = 4 * SECOND_MICROS;
-  private static final long FIRST_TOKEN = FencingToken.first(TERM);
+  private static final long FIRST_TOKEN = FencingToken.firstOfTerm(TERM);
   private static final WorkerCommand START = WorkerCommand.start(task(0), ATTEMPT);
   private static final WorkerCommand STOP = WorkerCommand.stop(task(0), ATTEMPT, 0);
   private static final WorkerCommand FORGET = WorkerCommand.reap(task(0), ATTEMPT);
@@ -201,7 +201,7 @@
   @Test
   void sendsNoDirectStartIfTokenCannotRise() {
     fixture.place(job(false), 0, false);
-    machine.issuedToken = FencingToken.first(TERM + 1) - 1;
+    machine.issuedToken = FencingToken.firstOfTerm(TERM + 1) - 1;
     assertEquals(List.of(), planDirect(0).commands());
   }
 
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -46,8 +46,8 @@
     machine.reported = true;
     machine.epoch = EPOCH;
     machine.sequence = SEQUENCE;
-    machine.seenToken = FencingToken.first(TERM);
-    machine.issuedToken = FencingToken.first(TERM);
+    machine.seenToken = FencingToken.firstOfTerm(TERM);
+    machine.issuedToken = FencingToken.firstOfTerm(TERM);
   }
 
   /**
--- a/src/test/java/madderrudder/coordination/heartbeat/SentCommandRecorderTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/SentCommandRecorderTest.java
@@ -20,7 +20,7 @@
  * be released and run twice, or a worker would receive a lower token than before and reject it.
  */
 class SentCommandRecorderTest {
-  private static final long FIRST_TOKEN = FencingToken.first(TERM);
+  private static final long FIRST_TOKEN = FencingToken.firstOfTerm(TERM);
 
   private final MachineFixture fixture = new MachineFixture();
   private final Machine machine = fixture.machine;
--- a/src/test/java/madderrudder/coordination/membership/DelegationTrackerTest.java
+++ b/src/test/java/madderrudder/coordination/membership/DelegationTrackerTest.java
@@ -42,11 +42,11 @@
   }
 
   private boolean grant(long incarnation, long untilMicros) {
-    return tracker.grant(new StampEcho("n-1", incarnation, 0), untilMicros);
+    return tracker.recordGrant(new StampEcho("n-1", incarnation, 0), untilMicros);
   }
 
   private void receiveOneOfTwoRenewalsMessages() {
-    tracker.recordRenewals(
+    tracker.recordRenewalsMessage(
         new DelegatedRenewals("n-1", FIRST_PROCESS, 5, List.of(new LeaseRenewal("m-1", 0))));
   }
 
@@ -90,7 +90,7 @@
     tracker.recordStatus(status(FIRST_PROCESS, 0), echo(0), 0);
     assertTrue(grant(FIRST_PROCESS, 8 * SECOND));
     tracker.recordStatus(statusOfOther(5), echo(8 * SECOND), 8 * SECOND);
-    assertTrue(tracker.grant(new StampEcho("n-2", 9, 0), 15 * SECOND));
+    assertTrue(tracker.recordGrant(new StampEcho("n-2", 9, 0), 15 * SECOND));
     assertFalse(
         tracker.leaseExpired(0, 18 * SECOND + 1), "the answers of n-2 are known only up to 10.5 s");
     assertTrue(tracker.leaseExpired(0, 25 * SECOND + 1));
--- a/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
+++ b/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
@@ -48,7 +48,7 @@
 
   private void answerHeartbeatsOf(int machines) {
     for (int i = 0; i < machines; i++) {
-      delegate.recordAnswer(heartbeat(String.format("m-%06d", i), 4));
+      delegate.tryRecordAnswer(heartbeat(String.format("m-%06d", i), 4));
     }
   }
 
@@ -66,7 +66,7 @@
 
   @Test
   void answersOnlyAfterTheLeaderIsSilent() {
-    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     assertFalse(delegate.mayAnswer(3), "the leader has just sent a status");
     passLeaderSilence();
     assertTrue(delegate.mayAnswer(3));
@@ -74,7 +74,7 @@
 
   @Test
   void doesNotAnswerWhenAHigherTermIsKnown() {
-    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     passLeaderSilence();
     assertTrue(delegate.mayAnswer(3));
     assertFalse(delegate.mayAnswer(4));
@@ -82,7 +82,7 @@
 
   @Test
   void grantIsShortenedByTheClockDrift() {
-    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     clock.set(100 * SECOND + 4_990_000);
     assertFalse(delegate.mayAnswer(3), "the grant is not shortened by the clock drift");
   }
@@ -93,18 +93,18 @@
    */
   @Test
   void grantCountsFromTheEchoedStamp() {
-    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
     clock.set(200 * SECOND);
-    delegate.recordStatus(grant(3, 5 * SECOND, INCARNATION, 104 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 5 * SECOND, INCARNATION, 104 * SECOND), 3);
     passLeaderSilence();
     assertFalse(delegate.mayAnswer(3));
   }
 
   @Test
   void ignoresGrantsToOtherProcessesAndOfEarlierTerms() {
-    delegate.recordStatus(grant(3, 5 * SECOND, OTHER_INCARNATION, 100 * SECOND), 3);
-    delegate.recordStatus(grant(2, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
-    delegate.recordStatus(grant(3, 0, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 5 * SECOND, OTHER_INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(2, 5 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(3, 0, INCARNATION, 100 * SECOND), 3);
     passLeaderSilence();
     assertFalse(delegate.mayAnswer(2) || delegate.mayAnswer(3));
   }
@@ -112,8 +112,8 @@
   @Test
   void grantOfALaterTermMayEndBeforeThatOfAnEarlierTerm() {
     passLeaderSilence();
-    delegate.recordStatus(grant(3, 50 * SECOND, INCARNATION, 100 * SECOND), 3);
-    delegate.recordStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
+    delegate.recordPeerStatus(grant(3, 50 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
     passLeaderSilence();
     assertFalse(delegate.mayAnswer(4));
   }
@@ -129,15 +129,15 @@
    */
   @Test
   void renewalsAreSafeUntilTheLatestGrantEnds() {
-    delegate.recordStatus(grant(3, 20 * SECOND, INCARNATION, 100 * SECOND), 3);
-    delegate.recordStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
-    delegate.recordStatus(grant(5, 0, INCARNATION, 140 * SECOND), 5);
-    delegate.recordStatus(grant(5, 50 * SECOND, OTHER_INCARNATION, 140 * SECOND), 5);
+    delegate.recordPeerStatus(grant(3, 20 * SECOND, INCARNATION, 100 * SECOND), 3);
+    delegate.recordPeerStatus(grant(4, SECOND, INCARNATION, 102 * SECOND), 4);
+    delegate.recordPeerStatus(grant(5, 0, INCARNATION, 140 * SECOND), 5);
+    delegate.recordPeerStatus(grant(5, 50 * SECOND, OTHER_INCARNATION, 140 * SECOND), 5);
     assertEquals(
-        100 * SECOND + SafetyBounds.minusClockDrift(20 * SECOND),
+        100 * SECOND + SafetyBounds.shortenByClockDrift(20 * SECOND),
         delegate.renewalSafeUntilMicros());
-    delegate.renewalSafeUntil(125 * SECOND);
-    delegate.renewalSafeUntil(110 * SECOND);
+    delegate.extendRenewalSafety(125 * SECOND);
+    delegate.extendRenewalSafety(110 * SECOND);
     assertEquals(125 * SECOND, delegate.renewalSafeUntilMicros());
   }
 
@@ -145,10 +145,10 @@
   void doesNotAnswerDuplicateOrEarlierHeartbeats() {
     answerHeartbeatsOf(3);
     clock.advance(SECOND);
-    assertFalse(delegate.recordAnswer(heartbeat("m-000001", 4)), "a duplicate was answered");
+    assertFalse(delegate.tryRecordAnswer(heartbeat("m-000001", 4)), "a duplicate was answered");
     assertFalse(
-        delegate.recordAnswer(heartbeat("m-000002", 3)), "an earlier heartbeat was answered");
-    assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
+        delegate.tryRecordAnswer(heartbeat("m-000002", 3)), "an earlier heartbeat was answered");
+    assertTrue(delegate.tryRecordAnswer(heartbeat("m-000000", 5)));
   }
 
   @Test
@@ -156,10 +156,10 @@
     answerHeartbeatsOf(9_000);
     clock.advance(SECOND);
     assertFalse(
-        delegate.recordAnswer(heartbeat("m-000001", 4))
-            || delegate.recordAnswer(heartbeat("m-000002", 3)),
+        delegate.tryRecordAnswer(heartbeat("m-000001", 4))
+            || delegate.tryRecordAnswer(heartbeat("m-000002", 3)),
         "a duplicate was answered");
-    assertTrue(delegate.recordAnswer(heartbeat("m-000000", 5)));
+    assertTrue(delegate.tryRecordAnswer(heartbeat("m-000000", 5)));
     List<String> reported = reportedRenewals();
     assertEquals(9_000, reported.size());
     assertTrue(reported.contains("m-000001 1000") && reported.contains("m-000000 0"));
--- a/src/test/java/madderrudder/coordination/membership/TermAcknowledgementsTest.java
+++ b/src/test/java/madderrudder/coordination/membership/TermAcknowledgementsTest.java
@@ -38,29 +38,29 @@
     MembershipStatus statusOfFirst = status("n-1", 7, TERM);
     MembershipStatus statusOfSecond = status("n-2", 1, TERM);
     MembershipStatus statusWithOldTerm = status("n-1", 8, TERM - 1);
-    assertFalse(acknowledgements.record(statusOfFirst, echo(9 * SECOND), 10 * SECOND));
+    assertFalse(acknowledgements.recordStatus(statusOfFirst, echo(9 * SECOND), 10 * SECOND));
     assertFalse(
-        acknowledgements.record(statusOfFirst, echo(11 * SECOND), 11 * SECOND),
+        acknowledgements.recordStatus(statusOfFirst, echo(11 * SECOND), 11 * SECOND),
         "n-2 has not acknowledged");
-    assertFalse(acknowledgements.record(statusOfSecond, echo(11 * SECOND), 12 * SECOND));
+    assertFalse(acknowledgements.recordStatus(statusOfSecond, echo(11 * SECOND), 12 * SECOND));
     assertFalse(
-        acknowledgements.record(statusOfFirst, echo(12 * SECOND), 13 * SECOND),
+        acknowledgements.recordStatus(statusOfFirst, echo(12 * SECOND), 13 * SECOND),
         "the status replies to one sent before the first round was complete");
-    assertFalse(acknowledgements.record(statusOfFirst, null, 13 * SECOND));
-    assertFalse(acknowledgements.record(statusOfSecond, echo(13 * SECOND), 14 * SECOND));
+    assertFalse(acknowledgements.recordStatus(statusOfFirst, null, 13 * SECOND));
+    assertFalse(acknowledgements.recordStatus(statusOfSecond, echo(13 * SECOND), 14 * SECOND));
     assertFalse(
-        acknowledgements.record(statusWithOldTerm, echo(13 * SECOND), 14 * SECOND),
+        acknowledgements.recordStatus(statusWithOldTerm, echo(13 * SECOND), 14 * SECOND),
         "the restarted process does not know the term");
-    assertFalse(acknowledgements.complete());
-    assertTrue(acknowledgements.record(statusOfFirst, echo(14 * SECOND), 15 * SECOND));
-    assertTrue(acknowledgements.complete());
+    assertFalse(acknowledgements.isComplete());
+    assertTrue(acknowledgements.recordStatus(statusOfFirst, echo(14 * SECOND), 15 * SECOND));
+    assertTrue(acknowledgements.isComplete());
     assertFalse(
-        acknowledgements.record(statusOfFirst, echo(15 * SECOND), 16 * SECOND),
+        acknowledgements.recordStatus(statusOfFirst, echo(15 * SECOND), 16 * SECOND),
         "completion is reported only once");
   }
 
   @Test
   void isCompleteWithoutOtherControllers() {
-    assertTrue(new TermAcknowledgements(TERM, Set.of()).complete());
+    assertTrue(new TermAcknowledgements(TERM, Set.of()).isComplete());
   }
 }
--- a/src/test/java/madderrudder/coordination/policy/SafetyBoundsTest.java
+++ b/src/test/java/madderrudder/coordination/policy/SafetyBoundsTest.java
@@ -13,8 +13,9 @@
     SafetyBounds bounds = SafetyBounds.of(workers);
     double maxClockRatio = 1.0005 / 0.9995;
     assertTrue(
-        (bounds.answerMicros() + workers.leaseMicros()) * maxClockRatio < workers.cancelMicros());
-    assertTrue(bounds.leaseMicros() > workers.leaseMicros() * maxClockRatio);
+        (bounds.maxAnswerWithoutStoreMicros() + workers.leaseMicros()) * maxClockRatio
+            < workers.cancelDeadlineMicros());
+    assertTrue(bounds.workerLeaseExpiryMicros() > workers.leaseMicros() * maxClockRatio);
     assertTrue(SafetyBounds.leaseEndMicros(0, 3 * SECOND) * maxClockRatio < 3 * SECOND);
   }
 }
--- a/src/test/java/madderrudder/coordination/reconciliation/ClusterCoverageTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ClusterCoverageTest.java
@@ -114,14 +114,14 @@
     ClusterCoverage beforeTimeout =
         ClusterCoverage.of(cluster, REPORT_TIMEOUT, REPORT_TIMEOUT, 100 * SECOND);
     assertTrue(
-        beforeTimeout.awaits(unreported)
-            && !beforeTimeout.misses(unreported)
+        beforeTimeout.mayStillReport(unreported)
+            && !beforeTimeout.isMissing(unreported)
             && !beforeTimeout.suffices());
     ClusterCoverage afterTimeout =
         ClusterCoverage.of(cluster, REPORT_TIMEOUT + 1, REPORT_TIMEOUT, 100 * SECOND);
     assertTrue(
-        !afterTimeout.awaits(unreported)
-            && afterTimeout.misses(unreported)
+        !afterTimeout.mayStillReport(unreported)
+            && afterTimeout.isMissing(unreported)
             && afterTimeout.suffices()
             && afterTimeout.suffices(job(null)));
   }
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -346,7 +346,7 @@
             || (record.inherited
                 && state.token[machine] < firstToken(state.term)
                 && fault != Fault.TOKEN_IGNORED);
-    return TaskReconciler.of(
+    return TaskReconciler.decide(
         new TaskFacts(
             record.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
             desiredState(record),
@@ -432,7 +432,7 @@
     TaskRecord record = state.records[task];
     boolean startMayArrive =
         record.inherited && state.token[record.machine] < firstToken(state.term);
-    return TaskReconciler.of(
+    return TaskReconciler.decide(
         new TaskFacts(
             record.inherited ? RecordOwner.EARLIER : RecordOwner.OWN,
             record.evicting ? DesiredState.REMOVE : DesiredState.RUN,
@@ -513,7 +513,7 @@
       boolean recorded = record.machine == machine && record.attempt == heartbeat.attempts()[task];
       if (heartbeat.states()[task] != NONE && !recorded) {
         TaskDecision.Verdict verdict =
-            TaskReconciler.of(
+            TaskReconciler.decide(
                     new TaskFacts(
                         RecordOwner.NONE,
                         DesiredState.REMOVE,
--- a/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/TaskReconcilerTest.java
@@ -197,7 +197,7 @@
                       (bits & 2) > 0,
                       (bits & 4) > 0,
                       gangState);
-              TaskDecision decision = TaskReconciler.of(facts);
+              TaskDecision decision = TaskReconciler.decide(facts);
               assertDocumented(
                   rows,
                   matchedRows,
@@ -236,7 +236,7 @@
                     worker,
                     (bits & 4) > 0,
                     (bits & 8) > 0);
-            MachineDecision decision = MachineReconciler.of(facts, (bits & 16) > 0);
+            MachineDecision decision = MachineReconciler.decide(facts, (bits & 16) > 0);
             assertDocumented(
                 rows,
                 matchedRows,
--- a/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
@@ -25,8 +25,8 @@
     Cluster clusterWithWaitObjective =
         cluster(new ServiceLevelObjectives(Map.of("class", SECOND), Map.of(), Map.of()));
     for (Cluster tested : List.of(cluster, clusterWithWaitObjective)) {
-      Job bulk = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 1, 4, false);
-      Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 3, 4, false);
+      Job bulk = addJob("req-1", "basso", JobKind.ARRAY, Priority.LOW, 1, 4, false);
+      Job gang = addJob("req-2", "alto", JobKind.GANG, Priority.HIGH, 3, 4, false);
       tested.jobs.put("req-1", bulk);
       tested.jobs.put("req-2", gang);
       assertEquals(Set.of(bulk), Demand.of(tested, 0).guaranteed());
@@ -48,7 +48,7 @@
     // Both jobs take 30 s and were accepted at 0 s and at 1 us. After 30 s, the first one can no
     // longer meet its deadline at 60 s.
     for (String id : List.of("req-1", "req-2")) {
-      Job job = job(id, "alto", JobKind.ARRAY, Priority.NORMAL, 40, 2, false);
+      Job job = addJob(id, "alto", JobKind.ARRAY, Priority.NORMAL, 40, 2, false);
       clusterWithDeadlines.jobs.put(id, job);
     }
     Job older = clusterWithDeadlines.jobs.get("req-1");
@@ -71,14 +71,14 @@
    */
   @Test
   void starvedJobMovesAheadUntilItsFirstTaskIsPlaced() {
-    Machine machine = machine("m-0", "east", true);
-    Job large = job("req-1", "alto", JobKind.ARRAY, Priority.LOW, 400, 1, false);
-    Job other = job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 100, 1, false);
-    Job guaranteed = job("req-3", "canto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
+    Machine machine = addMachine("m-0", "east", true);
+    Job large = addJob("req-1", "alto", JobKind.ARRAY, Priority.LOW, 400, 1, false);
+    Job other = addJob("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 100, 1, false);
+    Job guaranteed = addJob("req-3", "canto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
     assertEquals(List.of(guaranteed, other, large), Demand.of(cluster, 89 * SECOND).waiting());
     other.done.set(0);
     assertEquals(List.of(guaranteed, large, other), Demand.of(cluster, 91 * SECOND).waiting());
-    put(large, 0, machine);
+    addRunningTask(large, 0, machine);
     assertEquals(List.of(guaranteed, other, large), Demand.of(cluster, 91 * SECOND).waiting());
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
@@ -20,30 +20,30 @@
 class PlacerTest extends PlanningFixture {
   @Test
   void ownedMachinesAreUsedAtOnceAndRentedMachinesAfterTheThreshold() {
-    Machine owned = machine("m-0", "east", true);
-    Machine rented = machine("m-1", "east", false);
-    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
+    Machine owned = addMachine("m-0", "east", true);
+    Machine rented = addMachine("m-1", "east", false);
+    addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
     List<Placement> early = Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND);
     assertEquals(List.of(owned), early.stream().map(Placement::machine).toList());
-    rented.lastHeardMicros = 21 * SECOND;
-    owned.lastHeardMicros = 21 * SECOND;
+    rented.lastHeartbeatAnsweredMicros = 21 * SECOND;
+    owned.lastHeartbeatAnsweredMicros = 21 * SECOND;
     List<Placement> late = Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 21 * SECOND);
     assertEquals(Set.of(owned, rented), Set.copyOf(late.stream().map(Placement::machine).toList()));
   }
 
   @Test
   void teamLimitsAndZoneSpreadCountTasksThatMayBeRunning() {
-    Machine east = machine("m-0", "east", true);
-    machine("m-1", "east", true);
-    machine("m-2", "east", true);
-    Job service = job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 3, 1, true);
-    put(service, 0, east);
+    Machine east = addMachine("m-0", "east", true);
+    addMachine("m-1", "east", true);
+    addMachine("m-2", "east", true);
+    Job service = addJob("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 3, 1, true);
+    addRunningTask(service, 0, east);
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
     cluster.jobs.clear();
-    put(job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 3, false), 0, east);
-    job("req-3", "basso", JobKind.ARRAY, Priority.NORMAL, 9, 4, false);
-    machine("m-3", "east", true);
-    machine("m-4", "west", true);
+    addRunningTask(addJob("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 3, false), 0, east);
+    addJob("req-3", "basso", JobKind.ARRAY, Priority.NORMAL, 9, 4, false);
+    addMachine("m-3", "east", true);
+    addMachine("m-4", "west", true);
     // 3 of 16 processors are in use; three tasks of 4 still fit under the limit, a fourth does not.
     assertEquals(3, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
   }
@@ -60,9 +60,9 @@
         cluster(new ServiceLevelObjectives(Map.of("class", SECOND), Map.of(), Map.of()));
     clusterWithWaitObjective.types = cluster.types;
     for (String id : List.of("m-0", "m-1")) {
-      clusterWithWaitObjective.add(withHeartbeatAt70Seconds(machine(id, "east", true)));
+      clusterWithWaitObjective.add(withHeartbeatAt70Seconds(addMachine(id, "east", true)));
     }
-    Job normal = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 12, 2, false);
+    Job normal = addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 12, 2, false);
     clusterWithWaitObjective.jobs.put("req-1", normal);
     assertEquals(
         2,
@@ -71,7 +71,7 @@
             .size());
     assertEquals(4, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
     clusterWithWaitObjective.jobs.put(
-        "req-2", job("req-2", "basso", JobKind.ARRAY, Priority.HIGH, 4, 2, false));
+        "req-2", addJob("req-2", "basso", JobKind.ARRAY, Priority.HIGH, 4, 2, false));
     assertEquals(
         4,
         Placer.plan(
@@ -103,8 +103,8 @@
    */
   @Test
   void cordonedMachineReceivesNoTasksForOneMinute() {
-    Machine only = withHeartbeatAt70Seconds(machine("m-0", "east", true));
-    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
+    Machine only = withHeartbeatAt70Seconds(addMachine("m-0", "east", true));
+    addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false);
     only.recordFailure("req-7", SECOND, 120 * SECOND, 60 * SECOND);
     assertEquals(1, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 2 * SECOND).size());
     only.recordFailure("req-8", 2 * SECOND, 120 * SECOND, 60 * SECOND);
@@ -120,11 +120,12 @@
    */
   @Test
   void replicasAreSpreadOverMachines() {
-    Machine occupied = machine("m-0", "east", true);
-    Machine other = machine("m-1", "east", true);
-    put(job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, occupied);
-    put(job("req-2", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false), 0, other);
-    job("req-3", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
+    Machine occupied = addMachine("m-0", "east", true);
+    Machine other = addMachine("m-1", "east", true);
+    addRunningTask(
+        addJob("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, occupied);
+    addRunningTask(addJob("req-2", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false), 0, other);
+    addJob("req-3", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
         List.of(other),
         Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).stream()
@@ -134,10 +135,10 @@
 
   @Test
   void gangIsPlacedAsAWholeOrNotAtAll() {
-    machine("m-0", "east", true);
-    job("req-1", "alto", JobKind.GANG, Priority.NORMAL, 2, 3, false);
+    addMachine("m-0", "east", true);
+    addJob("req-1", "alto", JobKind.GANG, Priority.NORMAL, 2, 3, false);
     assertEquals(List.of(), Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND));
-    machine("m-1", "west", true);
+    addMachine("m-1", "west", true);
     assertEquals(2, Placer.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND).size());
   }
 
@@ -147,11 +148,11 @@
    */
   @Test
   void freeMachinesAreReservedForAGangUntilAllItsTasksFit() {
-    Machine free = machine("m-0", "east", true);
-    Machine partlyUsed = machine("m-1", "east", true);
-    Job small = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 1, false);
-    Assignment occupant = put(small, 0, partlyUsed);
-    Job gang = job("req-2", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
+    Machine free = addMachine("m-0", "east", true);
+    Machine partlyUsed = addMachine("m-1", "east", true);
+    Job small = addJob("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 1, false);
+    Assignment occupant = addRunningTask(small, 0, partlyUsed);
+    Job gang = addJob("req-2", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
     // The free machine is reserved for the gang. The other one is not reserved until the task on it
     // is being evicted.
     assertEquals(
@@ -179,14 +180,14 @@
     Set<Assignment> endingSoon = new HashSet<>();
     Cluster clusterWithEndingTasks =
         cluster(ServiceLevelObjectives.none(), new FixedRunTimes(endingSoon));
-    Machine free = machine("m-0", "east", true);
-    Machine freeing = machine("m-1", "east", true);
+    Machine free = addMachine("m-0", "east", true);
+    Machine freeing = addMachine("m-1", "east", true);
     clusterWithEndingTasks.add(free);
     clusterWithEndingTasks.add(freeing);
-    Job old = job("req-1", "alto", JobKind.ARRAY, Priority.LOW, 1, 3, false);
-    Assignment ending = put(old, 0, freeing);
-    Job gang = job("req-2", "canto", JobKind.GANG, Priority.HIGH, 2, 3, false);
-    Job small = job("req-3", "basso", JobKind.ARRAY, Priority.LOW, 1, 1, false);
+    Job old = addJob("req-1", "alto", JobKind.ARRAY, Priority.LOW, 1, 3, false);
+    Assignment ending = addRunningTask(old, 0, freeing);
+    Job gang = addJob("req-2", "canto", JobKind.GANG, Priority.HIGH, 2, 3, false);
+    Job small = addJob("req-3", "basso", JobKind.ARRAY, Priority.LOW, 1, 1, false);
     List.of(old, gang, small).forEach(job -> clusterWithEndingTasks.jobs.put(job.spec.id(), job));
     assertEquals(
         List.of(freeing),
@@ -203,9 +204,9 @@
   /** A gang that would not fit even on empty machines must not delay jobs that can run. */
   @Test
   void nothingIsReservedForAGangThatFitsOnNoMachines() {
-    machine("m-0", "east", true);
-    job("req-1", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
-    Job small = job("req-2", "basso", JobKind.ARRAY, Priority.LOW, 4, 1, false);
+    addMachine("m-0", "east", true);
+    addJob("req-1", "alto", JobKind.GANG, Priority.HIGH, 2, 4, false);
+    Job small = addJob("req-2", "basso", JobKind.ARRAY, Priority.LOW, 4, 1, false);
     assertTrue(
         Placer.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND).stream()
             .allMatch(placement -> placement.job() == small));
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
@@ -51,7 +51,7 @@
     }
     for (int i = 0; i < jobs; i++) {
       large.jobs.put(
-          "req-" + i, job("req-" + i, "alto", JobKind.ARRAY, Priority.NORMAL, 300, 0.01, false));
+          "req-" + i, addJob("req-" + i, "alto", JobKind.ARRAY, Priority.NORMAL, 300, 0.01, false));
     }
     assertTrue(Placer.plan(large, POLICY, Demand.of(large, 0), SECOND).size() > 300);
     assertTrue(large.checks <= (long) jobs * machines, large.checks + " checks for placement");
@@ -89,27 +89,30 @@
   @Test
   void jobThatFailsOnEveryMachineIsRetriedRarelyAndRentsNothing() {
     for (int i = 0; i < 4; i++) {
-      machine("m-" + i, "east", true);
+      addMachine("m-" + i, "east", true);
     }
-    Job failingJob = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 300, 1, false);
+    Job failingJob = addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 300, 1, false);
     for (int i = 0; i < 4; i++) {
-      failingJob.failed(i, "m-" + i, 0);
+      failingJob.recordFailure(i, "m-" + i, 0);
     }
     assertTrue(failingJob.failing());
     assertEquals(List.of(), scaleOut(100 * SECOND, 10));
     int attempts = 0;
     for (long nowMicros = 0; nowMicros < 600 * SECOND; nowMicros += SECOND) {
       for (Machine machine : cluster.machines.values()) {
-        machine.lastHeardMicros = nowMicros;
+        machine.lastHeartbeatAnsweredMicros = nowMicros;
       }
       for (Placement placement : Placer.plan(cluster, POLICY, Demand.of(cluster, 0), nowMicros)) {
-        failingJob.failed(placement.task(), placement.machine().id, nowMicros);
+        failingJob.recordFailure(placement.task(), placement.machine().id, nowMicros);
         attempts++;
       }
     }
     assertTrue(attempts > 8 && attempts < 20, attempts + " attempts in ten minutes");
-    failingJob.completed();
-    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 700 * SECOND);
+    failingJob.recordCompletion();
+    cluster
+        .machines
+        .values()
+        .forEach(machine -> machine.lastHeartbeatAnsweredMicros = 700 * SECOND);
     // Once a task has completed, the job may again use the machines on which it failed.
     assertTrue(
         Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 700 * SECOND).size() > 4,
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningFixture.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningFixture.java
@@ -110,7 +110,7 @@
   }
 
   /** Adds an empty machine that has sent a heartbeat at time 0. */
-  protected Machine machine(String id, String zone, boolean owned) {
+  protected Machine addMachine(String id, String zone, boolean owned) {
     Machine machine = new Machine(id, TYPE, zone, false, owned, 0, 0);
     machine.reported = true;
     cluster.add(machine);
@@ -118,7 +118,7 @@
   }
 
   /** Adds a job of the class "class" with an estimated run time of 30 s. */
-  protected Job job(
+  protected Job addJob(
       String id,
       String team,
       JobKind kind,
@@ -152,7 +152,7 @@
   }
 
   /** Records the task as running on the machine. */
-  protected Assignment put(Job job, int task, Machine machine) {
+  protected Assignment addRunningTask(Job job, int task, Machine machine) {
     Assignment assignment =
         new Assignment(
             new TaskId(job.spec.id(), task),
@@ -171,7 +171,7 @@
 
   /** Sets the last heartbeat of the machine to 70 s, so that it stays usable in later rounds. */
   protected static Machine withHeartbeatAt70Seconds(Machine machine) {
-    machine.lastHeardMicros = 70 * SECOND;
+    machine.lastHeartbeatAnsweredMicros = 70 * SECOND;
     return machine;
   }
 
--- a/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
@@ -18,16 +18,16 @@
 class PreemptionTest extends PlanningFixture {
   @Test
   void productionPreemptsTheLowerPriorityTaskOfLeastLoss() {
-    Machine first = machine("m-0", "east", true);
-    Machine second = machine("m-1", "east", true);
-    Job batch = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
-    Assignment older = put(batch, 0, first);
-    Assignment younger = put(batch, 1, second);
+    Machine first = addMachine("m-0", "east", true);
+    Machine second = addMachine("m-1", "east", true);
+    Job batch = addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 4, false);
+    Assignment older = addRunningTask(batch, 0, first);
+    Assignment younger = addRunningTask(batch, 1, second);
     older.runningMicros = 0;
     younger.runningMicros = 25 * SECOND;
-    first.lastHeardMicros = 30 * SECOND;
-    second.lastHeardMicros = 30 * SECOND;
-    job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
+    first.lastHeartbeatAnsweredMicros = 30 * SECOND;
+    second.lastHeartbeatAnsweredMicros = 30 * SECOND;
+    addJob("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
         Set.of(younger), Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 30 * SECOND));
   }
@@ -38,12 +38,12 @@
    */
   @Test
   void preemptedJobIsOrderedAfterTheJobItWasPreemptedFor() {
-    Machine only = machine("m-0", "east", true);
-    Job overGuarantee = job("req-1", "alto", JobKind.ARRAY, Priority.HIGH, 4, 4, false);
-    Assignment stopped = put(overGuarantee, 0, only);
-    put(overGuarantee, 1, machine("m-1", "east", true));
-    put(overGuarantee, 2, machine("m-2", "east", true));
-    Job guaranteed = job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 4, false);
+    Machine only = addMachine("m-0", "east", true);
+    Job overGuarantee = addJob("req-1", "alto", JobKind.ARRAY, Priority.HIGH, 4, 4, false);
+    Assignment stopped = addRunningTask(overGuarantee, 0, only);
+    addRunningTask(overGuarantee, 1, addMachine("m-1", "east", true));
+    addRunningTask(overGuarantee, 2, addMachine("m-2", "east", true));
+    Job guaranteed = addJob("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 4, false);
     Set<Assignment> victims = Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND);
     assertEquals(1, victims.size());
     assertEquals(overGuarantee, victims.iterator().next().job);
@@ -60,14 +60,14 @@
     Set<Assignment> endingSoon = new HashSet<>();
     Cluster clusterWithEndingTasks =
         cluster(ServiceLevelObjectives.none(), new FixedRunTimes(endingSoon));
-    Machine machine = machine("m-0", "east", true);
+    Machine machine = addMachine("m-0", "east", true);
     clusterWithEndingTasks.add(machine);
-    Job old = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
-    Job urgent = job("req-2", "basso", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false);
+    Job old = addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
+    Job urgent = addJob("req-2", "basso", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false);
     clusterWithEndingTasks.jobs.put("req-1", old);
     clusterWithEndingTasks.jobs.put("req-2", urgent);
-    Assignment first = put(old, 0, machine);
-    Assignment second = put(old, 1, machine);
+    Assignment first = addRunningTask(old, 0, machine);
+    Assignment second = addRunningTask(old, 1, machine);
     assertEquals(
         1,
         Preemption.plan(
@@ -80,7 +80,7 @@
             clusterWithEndingTasks, POLICY, Demand.of(clusterWithEndingTasks, 0), SECOND));
     // The ending task frees capacity for one of the two waiting jobs only.
     clusterWithEndingTasks.jobs.put(
-        "req-3", job("req-3", "canto", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false));
+        "req-3", addJob("req-3", "canto", JobKind.ARRAY, Priority.PRODUCTION, 1, 2, false));
     assertEquals(
         Set.of(second),
         Preemption.plan(
@@ -93,15 +93,15 @@
    */
   @Test
   void nothingIsPreemptedOnMachinesThatTheTaskMayNotUseYet() {
-    put(
-        job("req-1", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false),
+    addRunningTask(
+        addJob("req-1", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false),
         0,
-        machine("m-0", "east", true));
-    Machine rented = machine("m-1", "east", false);
-    put(job("req-2", "alto", JobKind.ARRAY, Priority.LOW, 3, 4, false), 0, rented);
-    job("req-3", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false);
+        addMachine("m-0", "east", true));
+    Machine rented = addMachine("m-1", "east", false);
+    addRunningTask(addJob("req-2", "alto", JobKind.ARRAY, Priority.LOW, 3, 4, false), 0, rented);
+    addJob("req-3", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, false);
     assertEquals(Set.of(), Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), SECOND));
-    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 21 * SECOND);
+    cluster.machines.values().forEach(machine -> machine.lastHeartbeatAnsweredMicros = 21 * SECOND);
     assertEquals(1, Preemption.plan(cluster, POLICY, Demand.of(cluster, 0), 21 * SECOND).size());
   }
 
@@ -111,23 +111,23 @@
    */
   @Test
   void preemptionForAGangFreesCapacityForAllTasksOrNone() {
-    Machine light = machine("m-0", "east", true);
-    Machine heavy = machine("m-1", "east", true);
-    Machine other = machine("m-2", "west", true);
-    Job batch = job("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 2, false);
-    Assignment cheap = put(batch, 0, light);
-    put(batch, 1, heavy);
-    put(batch, 2, heavy);
-    Assignment single = put(batch, 3, other);
-    Job runningGang = job("req-2", "alto", JobKind.GANG, Priority.LOW, 1, 2, false);
-    Assignment gangTask = put(runningGang, 0, other);
-    job("req-3", "alto", JobKind.GANG, Priority.HIGH, 1, 4, false);
+    Machine light = addMachine("m-0", "east", true);
+    Machine heavy = addMachine("m-1", "east", true);
+    Machine other = addMachine("m-2", "west", true);
+    Job batch = addJob("req-1", "basso", JobKind.ARRAY, Priority.LOW, 9, 2, false);
+    Assignment cheap = addRunningTask(batch, 0, light);
+    addRunningTask(batch, 1, heavy);
+    addRunningTask(batch, 2, heavy);
+    Assignment single = addRunningTask(batch, 3, other);
+    Job runningGang = addJob("req-2", "alto", JobKind.GANG, Priority.LOW, 1, 2, false);
+    Assignment gangTask = addRunningTask(runningGang, 0, other);
+    addJob("req-3", "alto", JobKind.GANG, Priority.HIGH, 1, 4, false);
     assertEquals(
         Set.of(cheap),
         Preemption.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND));
     cluster.jobs.remove("req-3");
     // A task of a gang is never preempted, so a gang of three finds only two machines.
-    Job gangOfThree = job("req-4", "canto", JobKind.GANG, Priority.HIGH, 3, 4, false);
+    Job gangOfThree = addJob("req-4", "canto", JobKind.GANG, Priority.HIGH, 3, 4, false);
     assertEquals(
         Set.of(), Preemption.plan(cluster, policyWithThreshold(0), Demand.of(cluster, 0), SECOND));
     cluster.release(gangTask, SECOND);
--- a/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
@@ -24,9 +24,9 @@
 class ScaleOutPlannerTest extends PlanningFixture {
   @Test
   void countedMachinesAreOnDemandAndRequestedAfterTheThresholdWithinTheBudget() {
-    Machine owned = machine("m-0", "east", true);
-    put(job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 4, false), 0, owned);
-    job("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 3, 4, false);
+    Machine owned = addMachine("m-0", "east", true);
+    addRunningTask(addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 4, false), 0, owned);
+    addJob("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 3, 4, false);
     assertEquals(List.of(), scaleOut(19 * SECOND, 10));
     assertEquals(List.of(), scaleOut(21 * SECOND, 0));
     List<ScaleOutRequest> requested = scaleOut(21 * SECOND, 2);
@@ -36,15 +36,15 @@
 
   @Test
   void bootingMachinesCountAsCapacity() {
-    Machine booting = machine("m-1", "east", false);
+    Machine booting = addMachine("m-1", "east", false);
     booting.reported = false;
-    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
+    addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
     assertEquals(List.of(), scaleOut(SECOND, 10));
   }
 
   @Test
   void machinesForTasksThatFitNoOwnedMachineAreRequestedAtOnceAndNotCounted() {
-    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
+    addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
     List<ScaleOutRequest> requested = scaleOut(0, 0);
     assertEquals(1, requested.size());
     assertFalse(requested.get(0).counted());
@@ -77,7 +77,7 @@
                 Map.of("desk", SECOND), Map.of("class", List.of(100 * SECOND)), Map.of()));
     clusterWithObjectives.types = cluster.types;
     clusterWithObjectives.jobs.put(
-        "req-1", job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 4, false));
+        "req-1", addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 4, false));
     assertTrue(
         ScaleOutPlanner.plan(
                 clusterWithObjectives,
@@ -153,15 +153,15 @@
    */
   @Test
   void replacementsForSilentMachinesWithProductionAreRequestedBeforeLeasesExpire() {
-    Job service = job("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 2, 4, false);
-    Machine silent = machine("m-0", "east", false);
-    put(service, 0, silent);
-    put(service, 1, machine("m-1", "east", false));
-    machine("m-2", "east", false);
+    Job service = addJob("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 2, 4, false);
+    Machine silent = addMachine("m-0", "east", false);
+    addRunningTask(service, 0, silent);
+    addRunningTask(service, 1, addMachine("m-1", "east", false));
+    addMachine("m-2", "east", false);
     long laterMicros = 10 * SECOND;
-    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = laterMicros);
+    cluster.machines.values().forEach(machine -> machine.lastHeartbeatAnsweredMicros = laterMicros);
     assertEquals(List.of(), scaleOut(laterMicros, 10));
-    silent.lastHeardMicros = 0;
+    silent.lastHeartbeatAnsweredMicros = 0;
     List<ScaleOutRequest> requested = scaleOut(laterMicros, 10);
     assertEquals(1, requested.stream().mapToInt(ScaleOutRequest::count).sum());
     // Pending requests count as capacity, so no replacement is requested twice.
@@ -170,7 +170,7 @@
         ScaleOutPlanner.plan(
             cluster, POLICY, Demand.of(cluster, 0), laterMicros, 10, pool -> 50, requested));
     // If most machines are silent, this controller is disconnected, and nothing is requested.
-    cluster.machines.values().forEach(machine -> machine.lastHeardMicros = 0);
+    cluster.machines.values().forEach(machine -> machine.lastHeartbeatAnsweredMicros = 0);
     assertEquals(List.of(), scaleOut(laterMicros, 10));
   }
 
@@ -180,7 +180,7 @@
    */
   @Test
   void machineThatBootsFarTooLongDoesNotCountAsCapacity() {
-    job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 3, false);
+    addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 3, false);
     Machine late = new Machine("m-0", TYPE, "east", false, false, 0, 0);
     cluster.add(late);
     assertEquals(List.of(), scaleOut(21 * SECOND, 10));
--- a/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
@@ -18,13 +18,16 @@
    */
   @Test
   void tasksThatCannotEndBeforeTheReclaimAreStopped() {
-    Machine reclaimed = machine("m-0", "east", false);
-    Job batch = job("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
-    Assignment younger = put(batch, 0, reclaimed);
-    Assignment nearlyDone = put(batch, 1, reclaimed);
+    Machine reclaimed = addMachine("m-0", "east", false);
+    Job batch = addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
+    Assignment younger = addRunningTask(batch, 0, reclaimed);
+    Assignment nearlyDone = addRunningTask(batch, 1, reclaimed);
     Assignment replica =
-        put(job("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, reclaimed);
-    Assignment elsewhere = put(batch, 2, machine("m-1", "east", false));
+        addRunningTask(
+            addJob("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false),
+            0,
+            reclaimed);
+    Assignment elsewhere = addRunningTask(batch, 2, addMachine("m-1", "east", false));
     younger.runningMicros = 10 * SECOND;
     nearlyDone.runningMicros = 0;
     elsewhere.runningMicros = 10 * SECOND;
--- a/src/test/java/madderrudder/coordination/state/ClusterTest.java
+++ b/src/test/java/madderrudder/coordination/state/ClusterTest.java
@@ -22,10 +22,10 @@
    */
   @Test
   void cancellationsAreSettledOnceNoTaskOfTheirJobsIsLeft() {
-    Machine machine = machine("m-0", "east", true);
-    Job job = job("req-1", "canto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
-    Assignment first = put(job, 0, machine);
-    Assignment second = put(job, 1, machine);
+    Machine machine = addMachine("m-0", "east", true);
+    Job job = addJob("req-1", "canto", JobKind.ARRAY, Priority.NORMAL, 3, 1, false);
+    Assignment first = addRunningTask(job, 0, machine);
+    Assignment second = addRunningTask(job, 1, machine);
     assertEquals(100, cluster.cancellationsSettledMicros(100));
     cluster.markCancelled(first, 40);
     cluster.markCancelled(second, 60);
@@ -33,7 +33,7 @@
     assertEquals(40, cluster.cancellationsSettledMicros(100));
     cluster.release(first, 0);
     assertEquals(60, cluster.cancellationsSettledMicros(100));
-    cluster.complete(second);
+    cluster.recordCompletion(second);
     assertEquals(100, cluster.cancellationsSettledMicros(100));
     cluster.replaceOrphanTasks(
         machine,
--- a/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
+++ b/src/test/java/madderrudder/sim/CancellationInStoreOutageTest.java
@@ -42,7 +42,7 @@
 
     /** The time for which heartbeats may be answered without a read of the store. */
     long answerWindowMicros() {
-      return workers.cancelMicros() - workers.leaseMicros() - 2 * SECOND;
+      return workers.cancelDeadlineMicros() - workers.leaseMicros() - 2 * SECOND;
     }
   }
 
@@ -97,7 +97,7 @@
             .forEach(
                 worker ->
                     cluster.network.partition(
-                        leader, worker.id, false, 2 * times.workers.cancelMicros()));
+                        leader, worker.id, false, 2 * times.workers.cancelDeadlineMicros()));
       }
 
       @Override
@@ -113,10 +113,10 @@
     SUCCESSOR_CANNOT_READ {
       @Override
       void beforeOutage(SimulatedCluster cluster, String leader, WorkerTimesCase times) {
-        cluster.store.refuse(leader, 2 * times.workers.cancelMicros());
-        cluster.store.failRangeReads(times.workers.cancelMicros() + 10 * SECOND);
+        cluster.store.refuse(leader, 2 * times.workers.cancelDeadlineMicros());
+        cluster.store.failRangeReads(times.workers.cancelDeadlineMicros() + 10 * SECOND);
         cluster.runUntil(
-            cluster.scheduler.nowMicros + 4 * SECOND + times.workers.cancelMicros() / 2);
+            cluster.scheduler.nowMicros + 4 * SECOND + times.workers.cancelDeadlineMicros() / 2);
       }
     },
     /**
@@ -130,7 +130,7 @@
         cluster
             .controllerNames()
             .forEach(name -> cluster.store.refuse(name, untilMicros - cluster.scheduler.nowMicros));
-        cluster.store.refuse(leader, 2 * times.workers.cancelMicros());
+        cluster.store.refuse(leader, 2 * times.workers.cancelDeadlineMicros());
         cluster.store.failRangeReads(times.answerWindowMicros() + 2 * SECOND);
         cluster.runUntil(untilMicros + 400_000);
       }
@@ -192,7 +192,7 @@
       int answeredBefore = answeredHeartbeats(cluster);
       scenario.leaderFate().beforeOutage(cluster, leader, scenario.times());
       long outageMicros =
-          (long) (workers.cancelMicros() * (cluster.scheduler.chance(0.2) ? 0.6 : 1.3));
+          (long) (workers.cancelDeadlineMicros() * (cluster.scheduler.chance(0.2) ? 0.6 : 1.3));
       cluster.store.outage(outageMicros);
       scenario.leaderFate().duringOutage(cluster, leader, scenario.times());
       cluster.runUntil(cluster.scheduler.nowMicros + outageMicros);
@@ -212,10 +212,10 @@
     assertTrue(
         scenario.leaderFate().tookEffect(cluster) || !scenario.delegation(),
         "the intended situation did not occur, " + scenario);
-    cluster.runUntil(cluster.scheduler.nowMicros + 2 * workers.cancelMicros());
+    cluster.runUntil(cluster.scheduler.nowMicros + 2 * workers.cancelDeadlineMicros());
     cluster.assertNoViolations(scenario);
     assertTrue(
-        cluster.invariants.slowestCancellationMicros <= workers.cancelMicros(),
+        cluster.invariants.slowestCancellationMicros <= workers.cancelDeadlineMicros(),
         cluster.invariants.slowestCancellationMicros / 1e6 + " s, " + scenario);
     cluster.users.pollAllJobs();
     cluster.runUntil(cluster.scheduler.nowMicros + 120 * SECOND);
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -176,7 +176,7 @@
     starts++;
     Long confirmedAtMicros = cancelConfirmedAtMicros.get(task.job());
     if (confirmedAtMicros != null
-        && scheduler.nowMicros - confirmedAtMicros > deployment.workers().cancelMicros()) {
+        && scheduler.nowMicros - confirmedAtMicros > deployment.workers().cancelDeadlineMicros()) {
       recordViolation("ran_cancelled", task + " starts on " + machine.id);
     }
     SimWorker other = runningOn.put(task, machine);
@@ -385,7 +385,7 @@
     if (cancelConfirmedAtMicros.putIfAbsent(job, scheduler.nowMicros) != null) {
       return false;
     }
-    long deadlineMicros = scheduler.nowMicros + deployment.workers().cancelMicros();
+    long deadlineMicros = scheduler.nowMicros + deployment.workers().cancelDeadlineMicros();
     for (int task = 0; task < submitted.get(job).tasks(); task++) {
       cancelDeadlines.addLast(new CancelDeadline(new TaskId(job, task), deadlineMicros));
     }
--- a/src/test/java/madderrudder/sim/InvariantCheckerTest.java
+++ b/src/test/java/madderrudder/sim/InvariantCheckerTest.java
@@ -28,10 +28,10 @@
   private static Deployment.WorkerTimes workerTimes(long leaseMicros, long cancelMicros) {
     Deployment.WorkerTimes real = SimulatedCluster.defaultWorkerTimes();
     return new Deployment.WorkerTimes(
-        real.reportMicros(),
+        real.heartbeatIntervalMicros(),
         leaseMicros,
-        real.gangWaitMicros(),
-        real.gangPeerMicros(),
+        real.gangAssemblyTimeoutMicros(),
+        real.gangLossDetectionMicros(),
         cancelMicros);
   }
 
@@ -52,7 +52,7 @@
   @Test
   void checkerReportsTasksThatRunTwice() {
     Deployment.WorkerTimes wrongTimes =
-        workerTimes(1_000_000, SimulatedCluster.defaultWorkerTimes().cancelMicros());
+        workerTimes(1_000_000, SimulatedCluster.defaultWorkerTimes().cancelDeadlineMicros());
     boolean found = false;
     for (long seed = 1; seed <= 16 && !found; seed++) {
       SimulatedCluster cluster = Scenarios.smallCluster(seed, wrongTimes);
--- a/src/test/java/madderrudder/sim/RandomFaults.java
+++ b/src/test/java/madderrudder/sim/RandomFaults.java
@@ -129,7 +129,7 @@
         () ->
             store.outage(
                 (long)
-                    (cluster.deployment.workers().cancelMicros()
+                    (cluster.deployment.workers().cancelDeadlineMicros()
                         * (0.5 + 0.7 * scheduler.random.nextDouble()))));
   }
 
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -104,7 +104,7 @@
     network.setZone(id, zone);
     network.serve(address, id, this);
     leaseStartMicros = clock.nowMicros();
-    scheduleHeartbeat(scheduler.random.nextLong(times.reportMicros()));
+    scheduleHeartbeat(scheduler.random.nextLong(times.heartbeatIntervalMicros()));
     checkLeasePeriodically();
   }
 
@@ -278,7 +278,8 @@
 
   private void onReply(HttpResponse response, long sentMicros, long sentEpoch) {
     heartbeatInFlight = false;
-    long nextMicros = (long) (times.reportMicros() * (0.75 + scheduler.random.nextDouble() / 2));
+    long nextMicros =
+        (long) (times.heartbeatIntervalMicros() * (0.75 + scheduler.random.nextDouble() / 2));
     try {
       boolean inTime = clock.nowMicros() - sentMicros <= REPLY_TIMEOUT_MICROS;
       assertTrue(
@@ -495,7 +496,7 @@
           @Override
           public void peerLost() {
             schedule(
-                scheduler.random.nextLong(times.gangPeerMicros()),
+                scheduler.random.nextLong(times.gangLossDetectionMicros()),
                 () -> {
                   if (task.active() && tasks.containsValue(task)) {
                     exit(task, "mates_gone");
@@ -510,7 +511,7 @@
           }
         };
     schedule(
-        times.gangWaitMicros(),
+        times.gangAssemblyTimeoutMicros(),
         () -> {
           if (isHeldInState(task, "gathering")) {
             exit(task, "alone");
