--- a/bench/Regress.java
+++ b/bench/Regress.java
@@ -673,7 +673,7 @@
                 broken.equals("{}") ? "" : broken,
                 day.text("fault", null),
                 Math.round(day.amount("restarts", 0)),
-                served(day.plain("served"))));
+                served(day.asPlainText("served"))));
       }
       return new Entry(
           in.text("id"),
--- a/src/main/java/madderrudder/coordination/cloud/CloudClient.java
+++ b/src/main/java/madderrudder/coordination/cloud/CloudClient.java
@@ -55,7 +55,7 @@
    */
   public void rent(String requestId, ScaleOutRequest request, Consumer<RentResult> onResult) {
     byte[] body =
-        CloudCodec.rent(
+        CloudCodec.rentRequest(
             requestId, request.type().name(), request.zone(), request.spot(), request.count());
     call(
         HttpRequest.post("/machines", body),
@@ -70,7 +70,7 @@
    */
   public void delete(List<String> machineIds, Consumer<DeleteResult> onResult) {
     call(
-        HttpRequest.post("/machines/delete", CloudCodec.delete(machineIds)),
+        HttpRequest.post("/machines/delete", CloudCodec.deleteRequest(machineIds)),
         response -> onResult.accept(CloudResponses.delete(response)));
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -143,7 +143,7 @@
    * the worker has, but not that a task it does not name is absent.
    */
   private void mergeReport(Machine machine, long epoch, List<Assignment> starts, Heartbeat report) {
-    if (machine.epoch != epoch || !report.newerThan(machine.epoch, machine.sequence)) {
+    if (machine.epoch != epoch || !report.isNewerThan(machine.epoch, machine.sequence)) {
       return;
     }
     machine.sequence = report.sequence();
--- a/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/Freshness.java
@@ -25,7 +25,7 @@
    * count as a renewal of its lease.
    */
   static Freshness of(Machine machine, Heartbeat heartbeat, long nowMicros) {
-    if (!machine.reported || heartbeat.newerThan(machine.epoch, machine.sequence)) {
+    if (!machine.reported || heartbeat.isNewerThan(machine.epoch, machine.sequence)) {
       return NEW;
     }
     if (heartbeat.epoch() != machine.epoch || heartbeat.sequence() < machine.heartbeatSequence) {
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
@@ -143,6 +143,6 @@
     Job job = term.cluster.jobs.get(attempt.task().job());
     return job == null
         ? new OrphanTask(attempt, "", Resources.NONE)
-        : new OrphanTask(attempt, job.spec.team(), job.spec.perTask());
+        : new OrphanTask(attempt, job.spec.team(), job.spec.resourcesPerTask());
   }
 }
--- a/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
+++ b/src/main/java/madderrudder/coordination/leader/CatalogPersister.java
@@ -37,7 +37,7 @@
   private void save() {
     byte[] json = catalog.latestJson();
     if (!term.isClosed() && json != null && json.length < term.deployment.state().valueBytes()) {
-      term.commitQueue.add(new CatalogChange(json), Urgency.LATER);
+      term.commitQueue.add(new CatalogChange(json), Urgency.DEFERRED);
     }
   }
 
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -68,10 +68,10 @@
   /** Records the lease renewals that another controller made on behalf of this leader. */
   void recordRenewals(DelegatedRenewals renewals) {
     long nowMicros = term.scheduler.nowMicros();
-    for (LeaseRenewal renewal : renewals.answers()) {
+    for (LeaseRenewal renewal : renewals.renewals()) {
       Machine machine = term.cluster.machines.get(renewal.machine());
       if (machine != null) {
-        long renewalAgeMicros = SafetyBounds.shortenByClockDrift(1000L * renewal.agoMillis());
+        long renewalAgeMicros = SafetyBounds.shortenByClockDrift(1000L * renewal.ageMillis());
         machine.lastLeaseRenewalMicros =
             Math.max(machine.lastLeaseRenewalMicros, nowMicros - renewalAgeMicros);
       }
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -132,7 +132,7 @@
 
   private void keepEarlyHeartbeat(Heartbeat heartbeat) {
     Heartbeat known = earlyHeartbeats.get(heartbeat.machine());
-    if (known == null || heartbeat.newerThan(known.epoch(), known.sequence())) {
+    if (known == null || heartbeat.isNewerThan(known.epoch(), known.sequence())) {
       earlyHeartbeats.put(heartbeat.machine(), heartbeat);
     }
   }
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -53,9 +53,9 @@
     }
 
     boolean allRenewalsReceived(MembershipStatus status) {
-      return status.answeredParts() == 0
+      return status.renewalMessageCount() == 0
           || (renewalsStampMicros == status.stampMicros()
-              && renewalsMessageCount == status.answeredParts());
+              && renewalsMessageCount == status.renewalMessageCount());
     }
   }
 
@@ -145,7 +145,7 @@
     if (echo == null || echo.stampMicros() < delegate.firstStatusMicros) {
       return false;
     }
-    long startedMicros = nowMicros - SafetyBounds.shortenByClockDrift(status.ageMicros());
+    long startedMicros = nowMicros - SafetyBounds.shortenByClockDrift(status.uptimeMicros());
     long lastAnswerMicros = Math.min(delegate.grantEndMicros, startedMicros);
     if (lastAnswerMicros > delegate.answersKnownUpToMicros) {
       delegate.predecessorsAnswerEndMicros =
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -174,7 +174,7 @@
    */
   public boolean tryRecordAnswer(Heartbeat heartbeat) {
     Answer last = lastAnswers.get(heartbeat.machine());
-    if (last != null && !heartbeat.newerThan(last.epoch(), last.sequence())) {
+    if (last != null && !heartbeat.isNewerThan(last.epoch(), last.sequence())) {
       return false;
     }
     lastAnswers.remove(heartbeat.machine());
--- a/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
@@ -49,7 +49,7 @@
   /** Reads the key, and then watches it for changes. */
   void start() {
     store.range(
-        Keys.LEAD_PREFIX,
+        Keys.LEADER_PREFIX,
         "",
         reply -> {
           if (!reply.is(Outcome.OK)) {
@@ -69,7 +69,7 @@
 
   private void watch(long revision) {
     store.watch(
-        Keys.LEAD_PREFIX,
+        Keys.LEADER_PREFIX,
         revision,
         MAX_WATCH_MICROS,
         reply -> {
@@ -95,7 +95,7 @@
    * unreadable value counts as existing, but is not reported.
    */
   private boolean reportIfLeader(KeyValue item) {
-    if (item.value() == null || !item.key().equals(Keys.LEAD)) {
+    if (item.value() == null || !item.key().equals(Keys.LEADER)) {
       return false;
     }
     LeaderRecord leader;
--- a/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
+++ b/src/main/java/madderrudder/coordination/membership/LeadershipCampaign.java
@@ -79,7 +79,7 @@
   }
 
   private void readTerm() {
-    store.getUrgent(
+    store.getUnthrottled(
         Keys.TERM,
         reply -> {
           switch (reply.outcome()) {
@@ -110,14 +110,14 @@
     long newTerm = Math.max(storedTerm, candidate.highestTerm()) + 1;
     List<Condition> conditions =
         List.of(
-            new Condition(Keys.LEAD, candidate.replaceableVersion()),
+            new Condition(Keys.LEADER, candidate.replaceableVersion()),
             new Condition(Keys.TERM, termVersion));
     List<Write> writes =
         List.of(
-            new Write(Keys.LEAD, new LeaderRecord(newTerm, member).encode(), lease.id()),
+            new Write(Keys.LEADER, new LeaderRecord(newTerm, member).encode(), lease.id()),
             Write.put(Keys.TERM, TermKey.encode(newTerm, member, 0)));
-    store.commitUrgent(
-        StoreCodec.commit(conditions, writes),
+    store.commitUnthrottled(
+        StoreCodec.commitRequest(conditions, writes),
         reply -> {
           // The watch may deliver this claim before the reply arrives, so only a term above the
           // claimed one is a loss.
--- a/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
@@ -196,7 +196,7 @@
   private boolean mayUse(JobSpec spec, ZonePool pool) {
     return !cutOffZones.contains(pool.zone())
         && (spec.zone() == null || spec.zone().equals(pool.zone()))
-        && (spec.types() == null || spec.types().contains(pool.type()));
+        && (spec.machineTypes() == null || spec.machineTypes().contains(pool.type()));
   }
 
   /** The share of all expected machines that has reported, from 0 to 1. */
--- a/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
+++ b/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
@@ -46,13 +46,13 @@
 
   /** Returns the number of the progress chunk that contains the bit of the assignment's task. */
   static int chunkOf(Assignment assignment) {
-    return assignment.task.index() / JobRecords.CHUNK;
+    return assignment.task.index() / JobRecords.TASKS_PER_CHUNK;
   }
 
   /** Returns the keys of all progress chunks that the job may have in the store. */
   static List<String> progressKeys(Job job) {
     List<String> keys = new ArrayList<>();
-    for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.CHUNK; chunk++) {
+    for (int chunk = 0; chunk <= job.spec.tasks() / JobRecords.TASKS_PER_CHUNK; chunk++) {
       keys.add(Keys.progress(job.spec.id(), chunk));
     }
     return keys;
@@ -85,7 +85,8 @@
     String id = job.spec.id();
     List<Write> writes = new ArrayList<>();
     writes.add(Write.delete(Keys.live(id)));
-    writes.add(Write.put(Keys.finished(id), JobRecords.finished(JobState.DONE, job.spec.tasks())));
+    writes.add(
+        Write.put(Keys.finished(id), JobRecords.encodeFinished(JobState.DONE, job.spec.tasks())));
     progressKeys(job).forEach(key -> writes.add(Write.delete(key)));
     return writes;
   }
@@ -98,7 +99,7 @@
                 writes.add(
                     Write.put(
                         Keys.progress(job.spec.id(), chunk),
-                        JobRecords.progress(job.done, chunk, job.failing()))));
+                        JobRecords.encodeProgress(job.done, chunk, job.failing()))));
     return writes;
   }
 
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -89,11 +89,11 @@
     int slash = jobAndChunk.lastIndexOf('/');
     Job job = slash < 0 ? null : term.cluster.jobs.get(jobAndChunk.substring(0, slash));
     if (job == null) {
-      term.commitQueue.add(new DeleteKeyChange(item.key()), Urgency.LATER);
+      term.commitQueue.add(new DeleteKeyChange(item.key()), Urgency.DEFERRED);
       return;
     }
     try {
-      JobRecords.readProgress(
+      JobRecords.decodeProgress(
           item.value(), Integer.parseInt(jobAndChunk.substring(slash + 1)), job.done);
       if (JobRecords.readFailing(item.value())) {
         job.markFailing(term.scheduler.nowMicros());
@@ -113,7 +113,7 @@
       return;
     }
     try {
-      JobRecords.Live stored = JobRecords.readLive(item.value());
+      JobRecords.Live stored = JobRecords.decodeLive(item.value());
       JobSpec spec = stored.spec();
       TeamQuota team = term.deployment.teams().get(spec.team());
       if (team == null) {
@@ -150,7 +150,7 @@
     endJob(job);
     if (!job.done.isEmpty() || job.failing()) {
       for (String key : JobProgressChange.progressKeys(job)) {
-        term.commitQueue.add(new DeleteKeyChange(key), Urgency.LATER);
+        term.commitQueue.add(new DeleteKeyChange(key), Urgency.DEFERRED);
       }
     }
   }
@@ -200,7 +200,7 @@
    * durable.
    */
   void queueProgress(Job job) {
-    Urgency urgency = job.complete() ? Urgency.SOON : Urgency.LATER;
+    Urgency urgency = job.complete() ? Urgency.NORMAL : Urgency.DEFERRED;
     term.commitQueue.add(new JobProgressChange(job, this, machines), urgency);
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -104,7 +104,7 @@
     int page = pages.nextChanged(nextPage);
     if (page >= 0) {
       nextPage = (page + 1) % PAGE_COUNT;
-      term.commitQueue.add(new PageChange(page), Urgency.LATER);
+      term.commitQueue.add(new PageChange(page), Urgency.DEFERRED);
     }
   }
 
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -52,20 +52,20 @@
   /** Queues the record of a new or changed machine for writing. */
   void queueMachine(Machine machine) {
     pending.machines.add(machine);
-    term.commitQueue.add(logChange, Urgency.SOON);
+    term.commitQueue.add(logChange, Urgency.NORMAL);
   }
 
   /** Queues the removal of a machine that no longer exists for writing. */
   void queueMachineRemoval(Machine machine) {
     pending.machines.remove(machine);
     pending.removedMachineIds.add(machine.id);
-    term.commitQueue.add(logChange, Urgency.SOON);
+    term.commitQueue.add(logChange, Urgency.NORMAL);
   }
 
   /** Queues an assignment for writing. Its task may be started once the assignment is durable. */
   void queueAssignment(Assignment assignment) {
     pending.assignments.add(assignment);
-    term.commitQueue.add(logChange, Urgency.FIRST);
+    term.commitQueue.add(logChange, Urgency.IMMEDIATE);
   }
 
   /**
@@ -74,7 +74,7 @@
    */
   void queueAttemptEnd(Assignment assignment) {
     if (pending.addEndedAttempt(assignment)) {
-      term.commitQueue.add(logChange, Urgency.LATER);
+      term.commitQueue.add(logChange, Urgency.DEFERRED);
     }
   }
 
@@ -85,7 +85,7 @@
    */
   void queueCachedImage(Machine machine, String image, double gb) {
     pending.images.add(new MachineImage(machine, image, gb));
-    term.commitQueue.add(logChange, Urgency.LATER);
+    term.commitQueue.add(logChange, Urgency.DEFERRED);
   }
 
   private void handleCommitted() {
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -99,7 +99,7 @@
             attempt,
             machine,
             job.spec.team(),
-            job.spec.perTask(),
+            job.spec.resourcesPerTask(),
             job,
             false,
             term.scheduler.nowMicros());
@@ -129,7 +129,7 @@
     segments.sort(Comparator.comparingLong(LogSegment::number));
     LogState state = LogState.of(segments);
     state.machines().forEach(this::restoreMachine);
-    state.placed().forEach(this::restoreAssignment);
+    state.placements().forEach(this::restoreAssignment);
     state.images().forEach(this::restoreImage);
     segments.forEach(segment -> log.load(slotBySequenceNumber.get(segment.number()), segment));
   }
--- a/src/main/java/madderrudder/coordination/registry/PendingEntries.java
+++ b/src/main/java/madderrudder/coordination/registry/PendingEntries.java
@@ -39,8 +39,8 @@
   /** Returns the urgency of the most urgent pending entry. */
   Urgency urgency() {
     if (!assignments.isEmpty()) {
-      return Urgency.FIRST;
+      return Urgency.IMMEDIATE;
     }
-    return machines.isEmpty() && removedMachineIds.isEmpty() ? Urgency.LATER : Urgency.SOON;
+    return machines.isEmpty() && removedMachineIds.isEmpty() ? Urgency.DEFERRED : Urgency.NORMAL;
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/SegmentWriter.java
+++ b/src/main/java/madderrudder/coordination/registry/SegmentWriter.java
@@ -67,7 +67,7 @@
   }
 
   private boolean addRemovedMachine(String machineId) {
-    return builder.addGone(machineId) && segment.removedMachineIds.add(machineId);
+    return builder.addRemovedMachine(machineId) && segment.removedMachineIds.add(machineId);
   }
 
   /**
@@ -75,7 +75,7 @@
    * assignments on them, and the ends of attempts before the assignments that take their place.
    */
   void appendPending(PendingEntries pending) {
-    builder.spare(RESERVED_BYTES);
+    builder.lowerMaxBytes(RESERVED_BYTES);
     boolean allFit =
         moveEntries(pending.machines, this::add)
             && moveEntries(pending.removedMachineIds, this::addRemovedMachine)
@@ -98,6 +98,6 @@
 
   /** Returns the write that stores the segment in its slot. */
   Write toWrite() {
-    return Write.put(Keys.logSegment(segment.slot), builder.render(segment.sequenceNumber));
+    return Write.put(Keys.logSegment(segment.slot), builder.encode(segment.sequenceNumber));
   }
 }
--- a/src/main/java/madderrudder/coordination/registry/SegmentedLog.java
+++ b/src/main/java/madderrudder/coordination/registry/SegmentedLog.java
@@ -82,7 +82,7 @@
   void load(int slot, LogSegment stored) {
     IndexedSegment segment = new IndexedSegment(slot, stored.number(), null);
     stored.machines().forEach(entry -> loadMachine(segment, entry));
-    stored.placed().forEach(entry -> loadAssignment(segment, entry));
+    stored.placements().forEach(entry -> loadAssignment(segment, entry));
     stored.images().forEach(entry -> loadImage(segment, entry));
     segments.addLast(segment);
     entryCount += segment.entryCount();
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -56,7 +56,7 @@
 
   /** Returns how many machines may still be rented against the budget at present. */
   int budgetLeft() {
-    return budget.left(term.scheduler.wallMicros());
+    return budget.remaining(term.scheduler.wallMicros());
   }
 
   /**
@@ -74,7 +74,7 @@
    * @param onDurable receives the intent when it is durable
    */
   void put(RentalRecord rental, Consumer<RentalRecord> onDurable) {
-    term.commitQueue.add(new PutRentalIntent(rental, onDurable), Urgency.FIRST);
+    term.commitQueue.add(new PutRentalIntent(rental, onDurable), Urgency.IMMEDIATE);
   }
 
   /**
@@ -82,7 +82,7 @@
    * changes of the same name.
    */
   void delete(RentalRecord rental) {
-    term.commitQueue.add(new DeleteRentalIntent(rental.request()), Urgency.SOON);
+    term.commitQueue.add(new DeleteRentalIntent(rental.requestId()), Urgency.NORMAL);
   }
 
   private byte[] renderOwnedMachines() {
@@ -114,15 +114,15 @@
 
     @Override
     public String name() {
-      return Keys.rental(rental.request());
+      return Keys.rental(rental.requestId());
     }
 
     @Override
     public List<Write> writes() {
       List<Write> writes = new ArrayList<>();
-      writes.add(Write.put(Keys.rental(rental.request()), rental.render()));
-      if (rental.counted()) {
-        writes.add(Write.put(Keys.BUDGET, budget.render()));
+      writes.add(Write.put(Keys.rental(rental.requestId()), rental.encode()));
+      if (rental.countsAgainstBudget()) {
+        writes.add(Write.put(Keys.BUDGET, budget.encode()));
       }
       writesOwnedMachines = !ownedMachinesRecorded;
       if (writesOwnedMachines) {
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -105,7 +105,7 @@
         rental.zone(),
         rental.spot(),
         rental.count(),
-        rental.counted());
+        rental.countsAgainstBudget());
   }
 
   /**
@@ -143,7 +143,7 @@
       return;
     }
     cloud.rent(
-        rental.request(),
+        rental.requestId(),
         scaleOutRequest(rental),
         result -> {
           if (!term.isClosed()) {
@@ -158,19 +158,19 @@
 
   private void handle(RentalRecord rental, RentResult result) {
     if (result instanceof RentResult.Rented rented) {
-      LOG.info("rented {} for request {}", rented.machineIds(), rental.request());
+      LOG.info("rented {} for request {}", rented.machineIds(), rental.requestId());
       complete(rental, rented.machineIds());
     } else if (result instanceof RentResult.NoCapacity) {
-      LOG.info("no capacity for request {}", rental.request());
+      LOG.info("no capacity for request {}", rental.requestId());
       complete(rental, List.of());
     } else if (result instanceof RentResult.Rejected) {
-      LOG.error("cloud rejected request {} as malformed", rental.request());
+      LOG.error("cloud rejected request {} as malformed", rental.requestId());
       complete(rental, List.of());
     } else {
       if (result instanceof RentResult.Malformed malformed) {
         LOG.info(
             "response to request {} is malformed, retrying the request: {}",
-            rental.request(),
+            rental.requestId(),
             malformed.reason());
       }
       retryLater(rental);
@@ -183,7 +183,7 @@
   private void complete(RentalRecord rental, List<String> machineIds) {
     poolLimits.recordAnswer(
         pool(rental), rental.count(), machineIds.size(), term.scheduler.nowMicros());
-    pendingRequests.remove(rental.request());
+    pendingRequests.remove(rental.requestId());
     for (String machineId : machineIds) {
       addIfNew(rental, machineId);
     }
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -70,8 +70,8 @@
   /** Returns, for each resource, the smallest amount that any waiting task requests. */
   Resources minTaskResources() {
     return waiting.stream()
-        .map(job -> job.spec.perTask())
-        .reduce(Resources::least)
+        .map(job -> job.spec.resourcesPerTask())
+        .reduce(Resources::min)
         .orElse(Resources.NONE);
   }
 
@@ -87,7 +87,9 @@
     for (Job job : oldestFirst) {
       Resources demandSoFar =
           demandByTeam.merge(
-              job.spec.team(), job.spec.perTask().times(job.remainingTasks()), Resources::plus);
+              job.spec.team(),
+              job.spec.resourcesPerTask().times(job.remainingTasks()),
+              Resources::plus);
       if (job.team.guarantees(demandSoFar)) {
         guaranteed.add(job);
       }
--- a/src/main/java/madderrudder/coordination/scheduling/Placer.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Placer.java
@@ -168,10 +168,10 @@
    * free capacity for as long as the cloud had no machines.
    */
   private boolean usesWithheldHeadroom(Job job, int task) {
-    return Priority.HIGH.above(job.spec.priority())
+    return Priority.HIGH.isHigherThan(job.spec.priority())
         && !round.guaranteed(job)
         && nowMicros - job.waitingSinceMicros(task) < MAX_HEADROOM_WITHHELD_MICROS
-        && freeMilliCpus - job.spec.perTask().milliCpus() < headroomMilliCpus;
+        && freeMilliCpus - job.spec.resourcesPerTask().milliCpus() < headroomMilliCpus;
   }
 
   /**
@@ -230,7 +230,7 @@
       if (missingTasks > 0
           && !usage.reserved(machine)
           && cluster.allowed(job, machine)
-          && job.spec.perTask().fits(cluster.freeSoon(machine, nowMicros))) {
+          && job.spec.resourcesPerTask().fits(cluster.freeSoon(machine, nowMicros))) {
         usage.reserve(machine);
         missingTasks--;
       }
@@ -252,7 +252,7 @@
   }
 
   private boolean fits(Job job, Machine machine) {
-    return job.spec.perTask().fits(usage.free(machine));
+    return job.spec.resourcesPerTask().fits(usage.free(machine));
   }
 
   /**
@@ -274,7 +274,7 @@
         continue;
       }
       usage.addTask(job, machine);
-      freeMilliCpus -= job.spec.perTask().milliCpus();
+      freeMilliCpus -= job.spec.resourcesPerTask().milliCpus();
       placements.add(new Placement(job, task, machine));
       if (fits(job, machine) && !machine.atTaskLimit(usage.addedTasks(job, machine))) {
         candidates.add(new Candidate(machine, cost(job, machine)));
@@ -292,9 +292,9 @@
     JobSpec spec = job.spec;
     double cost = machine.owned ? 0 : RENTED_MACHINE_COST_S;
     if (!machine.hasImage(spec.image())) {
-      cost += spec.imageGb() / machine.type.fetchGbPerS();
+      cost += spec.imageGb() / machine.type.fetchGbPerSecond();
     }
-    long milliCpusLeft = usage.free(machine).milliCpus() - spec.perTask().milliCpus();
+    long milliCpusLeft = usage.free(machine).milliCpus() - spec.resourcesPerTask().milliCpus();
     cost += (double) milliCpusLeft / Math.max(1, machine.type.capacity().milliCpus());
     if (spec.spotAllowed() && !machine.spot) {
       cost += NON_SPOT_MACHINE_COST_S;
--- a/src/main/java/madderrudder/coordination/scheduling/Preemption.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Preemption.java
@@ -94,11 +94,11 @@
         && other.spec.priority() == job.spec.priority()
         && round.guaranteed(other) == round.guaranteed(job)
         && other.spec.spotAllowed() == job.spec.spotAllowed()
-        && Objects.equals(other.spec.types(), job.spec.types())
+        && Objects.equals(other.spec.machineTypes(), job.spec.machineTypes())
         && other.spec.zone() == null
         && !other.spec.oneZone()
         && !other.spec.spread()
-        && other.spec.perTask().fits(job.spec.perTask());
+        && other.spec.resourcesPerTask().fits(job.spec.resourcesPerTask());
   }
 
   /**
@@ -139,7 +139,7 @@
       fitsOwned = round.ownedCouldFit(job);
       for (Machine machine : usableMachines) {
         if (round.cluster().allowed(job, machine)
-            && job.spec.perTask().fits(machine.type.capacity())) {
+            && job.spec.resourcesPerTask().fits(machine.type.capacity())) {
           addOption(machine, machine.owned ? ownedOptions : rentedOptions);
         }
       }
@@ -150,7 +150,7 @@
       long maxTasks = 0;
       for (PriorityQueue<Option> queue : List.of(ownedOptions, rentedOptions)) {
         for (Option option : queue) {
-          maxTasks += job.spec.perTask().timesIn(option.machine().type.capacity());
+          maxTasks += job.spec.resourcesPerTask().timesIn(option.machine().type.capacity());
         }
       }
       return (int) Math.min(Integer.MAX_VALUE, maxTasks);
@@ -210,7 +210,7 @@
           job.spec.priority() == Priority.PRODUCTION || job.spec.kind() == JobKind.GANG;
       return !urgent || machine.hasImage(job.spec.image())
           ? 0
-          : FETCH_SECOND_LOSS_CPU_S * job.spec.imageGb() / machine.type.fetchGbPerS();
+          : FETCH_SECOND_LOSS_CPU_S * job.spec.imageGb() / machine.type.fetchGbPerSecond();
     }
 
     /**
--- a/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
@@ -69,7 +69,7 @@
   /** Whether one more task of the job stays within the limit of its team. */
   boolean teamAllows(Job job) {
     Resources used = usageByTeam.getOrDefault(job.spec.team(), Resources.NONE);
-    return job.team.allows(used.plus(job.spec.perTask()));
+    return job.team.allows(used.plus(job.spec.resourcesPerTask()));
   }
 
   /** Whether one more task of the job may be placed in the zone. */
@@ -85,7 +85,7 @@
   boolean allows(Job job, MachineType type, String zone, boolean spot) {
     JobSpec spec = job.spec;
     return (!spot || spec.spotAllowed())
-        && (spec.types() == null || spec.types().contains(type.name()))
+        && (spec.machineTypes() == null || spec.machineTypes().contains(type.name()))
         && zoneAllows(job, zone);
   }
 
@@ -96,7 +96,7 @@
 
   /** Counts a task of the job against the machine, its team and the zone. */
   void addTask(Job job, Machine machine) {
-    Resources free = free(machine).minus(job.spec.perTask());
+    Resources free = free(machine).minus(job.spec.resourcesPerTask());
     usageByMachine.put(machine, new MachineUsage(free, job, addedTasks(job, machine) + 1));
     addTaskInZone(job, machine.zone);
   }
@@ -104,6 +104,6 @@
   /** Counts a task of the job against its team and the zone. */
   void addTaskInZone(Job job, String zone) {
     plannedByZone.computeIfAbsent(job, j -> new HashMap<>()).merge(zone, 1, Integer::sum);
-    usageByTeam.merge(job.spec.team(), job.spec.perTask(), Resources::plus);
+    usageByTeam.merge(job.spec.team(), job.spec.resourcesPerTask(), Resources::plus);
   }
 }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -136,7 +136,7 @@
   }
 
   private boolean fits(Job job, IncomingMachine machine) {
-    return job.spec.perTask().fits(machine.free)
+    return job.spec.resourcesPerTask().fits(machine.free)
         && usage.allows(job, machine.type, machine.zone, machine.spot);
   }
 
@@ -183,7 +183,7 @@
         return false;
       }
       IncomingMachine machine = fittingMachines.get(nextIndex);
-      machine.free = machine.free.minus(job.spec.perTask());
+      machine.free = machine.free.minus(job.spec.resourcesPerTask());
       usage.addTaskInZone(job, machine.zone);
       return true;
     }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
@@ -109,7 +109,7 @@
     ScaleOutRequest best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : round.cluster().types.values()) {
-      long tasksPerMachine = job.spec.perTask().timesIn(type.capacity());
+      long tasksPerMachine = job.spec.resourcesPerTask().timesIn(type.capacity());
       if (tasksPerMachine == 0) {
         continue;
       }
--- a/src/main/java/madderrudder/coordination/scheduling/VictimSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/VictimSelection.java
@@ -76,7 +76,7 @@
       free = free.plus(victim.resources);
       usageByTeam.merge(victim.team, victim.resources, Resources::minus);
     }
-    freeSoonByMachine.put(machine, free.minus(job.spec.perTask()));
+    freeSoonByMachine.put(machine, free.minus(job.spec.resourcesPerTask()));
   }
 
   /**
@@ -87,14 +87,14 @@
    */
   List<Assignment> victimsFor(Job job, Machine machine) {
     Resources free = free(machine);
-    if (job.spec.perTask().fits(free)) {
+    if (job.spec.resourcesPerTask().fits(free)) {
       return List.of();
     }
     List<Assignment> selected = new ArrayList<>();
     for (Assignment candidate : candidates(job, machine)) {
       selected.add(candidate);
       free = free.plus(candidate.resources);
-      if (job.spec.perTask().fits(free)) {
+      if (job.spec.resourcesPerTask().fits(free)) {
         return selected;
       }
     }
@@ -132,7 +132,7 @@
    */
   boolean mayPreempt(Job job, Assignment victim) {
     boolean guaranteed = round.guaranteed(job);
-    if (job.spec.priority().above(victim.job.spec.priority())) {
+    if (job.spec.priority().isHigherThan(victim.job.spec.priority())) {
       return job.spec.priority() == Priority.PRODUCTION || guaranteed;
     }
     Resources usageOfTeam = usageByTeam.getOrDefault(victim.team, Resources.NONE);
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -210,7 +210,7 @@
           && !machine.failed
           && !machine.cordoned(nowMicros)
           && allowed(job, machine)
-          && job.spec.perTask().fits(machine.type.capacity())) {
+          && job.spec.resourcesPerTask().fits(machine.type.capacity())) {
         return true;
       }
     }
@@ -225,7 +225,7 @@
         break;
       }
       if (allowed(gang, machine)) {
-        missing -= gang.spec.perTask().timesIn(machine.type.capacity());
+        missing -= gang.spec.resourcesPerTask().timesIn(machine.type.capacity());
       }
     }
     return missing <= 0;
@@ -238,7 +238,7 @@
   public boolean allowed(Job job, Machine machine) {
     JobSpec spec = job.spec;
     return (!machine.spot || spec.spotAllowed())
-        && (spec.types() == null || spec.types().contains(machine.type.name()))
+        && (spec.machineTypes() == null || spec.machineTypes().contains(machine.type.name()))
         && zoneAllowed(job, machine.zone, 0);
   }
 
@@ -252,7 +252,7 @@
     if (spec.zone() != null && !spec.zone().equals(zone)) {
       return false;
     }
-    if (spec.spread() && job.assignmentsInZone(zone) + planned >= spec.mostPerZone()) {
+    if (spec.spread() && job.assignmentsInZone(zone) + planned >= spec.maxTasksPerZone()) {
       return false;
     }
     if (spec.oneZone()) {
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -89,7 +89,8 @@
     this.acceptedWallMicros = acceptedWallMicros;
     this.firstSeenMicros = nowMicros;
     profile =
-        new TaskProfile(spec.id(), spec.jobClass(), spec.team(), spec.image(), spec.perTask());
+        new TaskProfile(
+            spec.id(), spec.jobClass(), spec.team(), spec.image(), spec.resourcesPerTask());
   }
 
   /** Adds an assignment; called only by {@link Cluster}, which updates its own totals as well. */
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -89,7 +89,7 @@
     TaskRun run =
         new TaskRun(
             profile,
-            in.smallCount("task"),
+            in.intCount("task"),
             in.count("attempt", 0),
             in.text("type", ""),
             in.text("machine", ""),
--- a/src/main/java/madderrudder/persistence/CommitQueue.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -19,8 +19,8 @@
 public final class CommitQueue {
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
 
-  /** The delay after which a {@link Urgency#LATER} change triggers a transaction. */
-  private static final long LATER_FLUSH_DELAY_MICROS = 4_000_000;
+  /** The delay after which a {@link Urgency#DEFERRED} change triggers a transaction. */
+  private static final long DEFERRED_FLUSH_DELAY_MICROS = 4_000_000;
 
   /**
    * Every transaction rewrites the term key. The spacing of transactions limits these rewrites to
@@ -32,10 +32,10 @@
   private static final int LOW_TOKENS_SPACING_FACTOR = 2;
 
   /**
-   * {@link Urgency#LATER} changes may always use the maximum number of writes divided by this, so
-   * that more urgent changes cannot starve them.
+   * {@link Urgency#DEFERRED} changes may always use the maximum number of writes divided by this,
+   * so that more urgent changes cannot starve them.
    */
-  private static final int LATER_MIN_WRITES_DIVISOR = 8;
+  private static final int DEFERRED_MIN_WRITES_DIVISOR = 8;
 
   /** The weight of the newest interval in the smoothed rate of the leader's own writes. */
   private static final double SMOOTHING_WEIGHT = 0.3;
@@ -60,7 +60,7 @@
   private long nextFlushMicros;
   private boolean inFlight;
   private boolean flushScheduled;
-  private boolean laterFlushScheduled;
+  private boolean deferredFlushScheduled;
   private boolean closed;
 
   /**
@@ -69,14 +69,14 @@
    */
   public enum Urgency {
     /** Blocks another operation, such as the start of a task or a rental. */
-    FIRST,
+    IMMEDIATE,
     /** Written in the next transaction that has room. */
-    SOON,
+    NORMAL,
     /**
      * Needed only after a failover: written while there are few other changes, or after some
      * seconds.
      */
-    LATER
+    DEFERRED
   }
 
   /**
@@ -131,14 +131,14 @@
     if (!queues.add(change, urgency)) {
       return;
     }
-    if (urgency != Urgency.LATER) {
+    if (urgency != Urgency.DEFERRED) {
       scheduleFlush();
-    } else if (!laterFlushScheduled) {
-      laterFlushScheduled = true;
+    } else if (!deferredFlushScheduled) {
+      deferredFlushScheduled = true;
       scheduler.after(
-          LATER_FLUSH_DELAY_MICROS,
+          DEFERRED_FLUSH_DELAY_MICROS,
           () -> {
-            laterFlushScheduled = false;
+            deferredFlushScheduled = false;
             scheduleFlush();
           });
     }
@@ -169,9 +169,9 @@
   }
 
   private boolean nothingToFlush() {
-    return queues.isEmpty(Urgency.FIRST)
-        && queues.isEmpty(Urgency.SOON)
-        && (laterFlushScheduled || queues.isEmpty(Urgency.LATER));
+    return queues.isEmpty(Urgency.IMMEDIATE)
+        && queues.isEmpty(Urgency.NORMAL)
+        && (deferredFlushScheduled || queues.isEmpty(Urgency.DEFERRED));
   }
 
   private void scheduleFlush() {
@@ -204,16 +204,16 @@
 
   private Transaction buildTransaction() {
     TransactionBuilder builder = committer.begin();
-    if (builder.takeFrom(queues.get(Urgency.FIRST), maxWrites)
-        && builder.takeFrom(queues.get(Urgency.SOON), maxWrites)) {
-      // LATER changes use the remaining write tokens, and always a minimum share of the
+    if (builder.takeFrom(queues.get(Urgency.IMMEDIATE), maxWrites)
+        && builder.takeFrom(queues.get(Urgency.NORMAL), maxWrites)) {
+      // DEFERRED changes use the remaining write tokens, and always a minimum share of the
       // transaction, so that they are written eventually.
-      int laterLimit =
+      int deferredLimit =
           (int)
               Math.max(
-                  builder.writes() + maxWrites / LATER_MIN_WRITES_DIVISOR,
+                  builder.writes() + maxWrites / DEFERRED_MIN_WRITES_DIVISOR,
                   writeLimiter.availableTokens());
-      builder.takeFrom(queues.get(Urgency.LATER), Math.min(maxWrites, laterLimit));
+      builder.takeFrom(queues.get(Urgency.DEFERRED), Math.min(maxWrites, deferredLimit));
     }
     return builder.build();
   }
@@ -235,7 +235,7 @@
             .anyMatch(condition -> failedKeys.contains(condition.key()))) {
           change.rejected();
         } else {
-          add(change, Urgency.FIRST);
+          add(change, Urgency.IMMEDIATE);
         }
       }
       scheduleFlush();
--- a/src/main/java/madderrudder/persistence/FencedCommitter.java
+++ b/src/main/java/madderrudder/persistence/FencedCommitter.java
@@ -90,7 +90,7 @@
    *     so
    */
   private void send(Transaction transaction, boolean maybeApplied) {
-    store.commitUrgent(
+    store.commitUnthrottled(
         transaction.body(),
         reply -> {
           if (!closed) {
@@ -103,8 +103,8 @@
     switch (reply.outcome()) {
       case OK -> committed(transaction, reply.value());
       case CONFLICT -> {
-        if (!reply.failed().contains(Keys.TERM)) {
-          listener.conflicted(transaction, new HashSet<>(reply.failed()));
+        if (!reply.failedKeys().contains(Keys.TERM)) {
+          listener.conflicted(transaction, new HashSet<>(reply.failedKeys()));
         } else if (maybeApplied) {
           checkEarlierCopy(transaction);
         } else {
@@ -130,7 +130,7 @@
    * changed it.
    */
   private void checkEarlierCopy(Transaction transaction) {
-    store.getUrgent(
+    store.getUnthrottled(
         Keys.TERM,
         reply -> {
           if (closed) {
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -15,7 +15,7 @@
  */
 public final class JobRecords {
   /** The number of tasks in a chunk of progress: 4 KiB of bits, less than 6 KiB as base64. */
-  public static final int CHUNK = 32_768;
+  public static final int TASKS_PER_CHUNK = 32_768;
 
   /**
    * An unfinished job.
@@ -36,7 +36,7 @@
   private JobRecords() {}
 
   /** Encodes an unfinished job and the wall-clock time of its acceptance, in microseconds. */
-  public static byte[] live(JobSpec spec, long acceptedWallMicros) {
+  public static byte[] encodeLive(JobSpec spec, long acceptedWallMicros) {
     return Json.object(
         out -> {
           JobCodec.write(out, spec);
@@ -49,12 +49,12 @@
    *
    * @throws MalformedMessageException if the record is not valid
    */
-  public static Live readLive(JsonFields in) throws MalformedMessageException {
+  public static Live decodeLive(JsonFields in) throws MalformedMessageException {
     return new Live(JobCodec.read(in), in.count("accepted_us"));
   }
 
   /** Encodes the final state of a job and the number of its tasks that had completed. */
-  public static byte[] finished(JobState state, int done) {
+  public static byte[] encodeFinished(JobState state, int done) {
     return Json.object(
         out -> {
           out.writeStringField("state", JobCodec.nameOf(state));
@@ -67,12 +67,12 @@
    *
    * @throws MalformedMessageException if a field is missing or has the wrong type
    */
-  public static Finished readFinished(JsonFields in) throws MalformedMessageException {
+  public static Finished decodeFinished(JsonFields in) throws MalformedMessageException {
     JobState state =
         in.text("state").equals(JobCodec.nameOf(JobState.DONE))
             ? JobState.DONE
             : JobState.CANCELLED;
-    return new Finished(state, in.smallCount("done"));
+    return new Finished(state, in.intCount("done"));
   }
 
   /**
@@ -82,8 +82,8 @@
    * @param chunk the number of the chunk, from 0
    * @param failing whether the job's tasks fail on every machine
    */
-  public static byte[] progress(BitSet done, int chunk, boolean failing) {
-    byte[] bits = done.get(chunk * CHUNK, (chunk + 1) * CHUNK).toByteArray();
+  public static byte[] encodeProgress(BitSet done, int chunk, boolean failing) {
+    byte[] bits = done.get(chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK).toByteArray();
     return Json.object(
         out -> {
           out.writeStringField("done", Base64.getEncoder().encodeToString(bits));
@@ -110,7 +110,7 @@
    * @param done the indexes of completed tasks, to which those of the chunk are added
    * @throws MalformedMessageException if the chunk is not valid; the set is not changed
    */
-  public static void readProgress(JsonFields in, int chunk, BitSet done)
+  public static void decodeProgress(JsonFields in, int chunk, BitSet done)
       throws MalformedMessageException {
     byte[] bits;
     try {
@@ -118,6 +118,6 @@
     } catch (IllegalArgumentException e) {
       throw new MalformedMessageException("progress is not base64");
     }
-    BitSet.valueOf(bits).stream().forEach(bit -> done.set(chunk * CHUNK + bit));
+    BitSet.valueOf(bits).stream().forEach(bit -> done.set(chunk * TASKS_PER_CHUNK + bit));
   }
 }
--- a/src/main/java/madderrudder/persistence/Keys.java
+++ b/src/main/java/madderrudder/persistence/Keys.java
@@ -11,10 +11,10 @@
    * The name and term of the current leader. The key is attached to the leader's lease and exists
    * only as long as the lease does.
    */
-  public static final String LEAD = "lead/now";
+  public static final String LEADER = "lead/now";
 
   /** The prefix that the other controllers watch for a change of leader. */
-  public static final String LEAD_PREFIX = "lead/";
+  public static final String LEADER_PREFIX = "lead/";
 
   /**
    * The term key: the current term and a serial number that each commit of the leader increments.
--- a/src/main/java/madderrudder/persistence/LiveJobChecker.java
+++ b/src/main/java/madderrudder/persistence/LiveJobChecker.java
@@ -30,7 +30,7 @@
     /** The record is unchanged, so the job is unfinished. */
     LIVE,
     /** The record was changed or deleted and has to be read again. */
-    MOVED,
+    CHANGED,
     /** The store did not return a result. */
     UNKNOWN
   }
@@ -54,7 +54,7 @@
    * @param version the version of the job's record as last read
    * @param callback receives the result once, on the event loop
    */
-  public void ask(String job, long version, Consumer<Answer> callback) {
+  public void check(String job, long version, Consumer<Answer> callback) {
     if (inFlight && !store.isResponsive()) {
       callback.accept(Answer.UNKNOWN);
       return;
@@ -95,7 +95,8 @@
     if (!known) {
       pending.clear();
     }
-    Set<String> failedKeys = new HashSet<>(reply.is(Outcome.CONFLICT) ? reply.failed() : List.of());
+    Set<String> failedKeys =
+        new HashSet<>(reply.is(Outcome.CONFLICT) ? reply.failedKeys() : List.of());
     batch.forEach(
         (condition, callbacks) -> {
           Answer result = known ? resultOf(condition, failedKeys) : Answer.UNKNOWN;
@@ -107,6 +108,6 @@
   }
 
   private static Answer resultOf(Condition condition, Set<String> failedKeys) {
-    return failedKeys.contains(condition.key()) ? Answer.MOVED : Answer.LIVE;
+    return failedKeys.contains(condition.key()) ? Answer.CHANGED : Answer.LIVE;
   }
 }
--- a/src/main/java/madderrudder/persistence/LogSegment.java
+++ b/src/main/java/madderrudder/persistence/LogSegment.java
@@ -15,17 +15,17 @@
  *
  * @param number the sequence number of the segment; a higher one is later
  * @param machines machines that exist
- * @param gone ids of machines that no longer exist
- * @param placed attempts that may be running on a machine
- * @param ended attempts that no longer run on their machine
+ * @param removedMachines ids of machines that no longer exist
+ * @param placements attempts that may be running on a machine
+ * @param endedAttempts attempts that no longer run on their machine
  * @param images container images cached on machines
  */
 public record LogSegment(
     long number,
     List<MachineEntry> machines,
-    List<String> gone,
-    List<Placement> placed,
-    List<EndedAttempt> ended,
+    List<String> removedMachines,
+    List<Placement> placements,
+    List<EndedAttempt> endedAttempts,
     List<CachedImage> images) {
 
   /**
--- a/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
+++ b/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
@@ -35,9 +35,9 @@
   private int maxBytes;
   private int usedBytes = BASE_BYTES;
   private final Map<MachineKind, List<String>> machines = new LinkedHashMap<>();
-  private final List<String> gone = new ArrayList<>();
-  private final Map<JobGroup, List<String>> placed = new LinkedHashMap<>();
-  private final Map<String, List<String>> ended = new LinkedHashMap<>();
+  private final List<String> removedMachines = new ArrayList<>();
+  private final Map<JobGroup, List<String>> placements = new LinkedHashMap<>();
+  private final Map<String, List<String>> endedAttempts = new LinkedHashMap<>();
   private final Map<ImageGroup, List<String>> images = new LinkedHashMap<>();
 
   /** The group of placed attempts of one job with the same resource usage. */
@@ -56,7 +56,7 @@
   }
 
   /** Lowers the size limit for the entries added from now on by this many bytes. */
-  public void spare(int bytes) {
+  public void lowerMaxBytes(int bytes) {
     maxBytes -= bytes;
   }
 
@@ -71,15 +71,16 @@
   }
 
   /** Adds the id of a machine that no longer exists; returns false if it does not fit. */
-  public boolean addGone(String machine) {
-    return reserveBytes(encodedBytes(machine) + ITEM_OVERHEAD_BYTES) && gone.add(machine);
+  public boolean addRemovedMachine(String machine) {
+    return reserveBytes(encodedBytes(machine) + ITEM_OVERHEAD_BYTES)
+        && removedMachines.add(machine);
   }
 
   /** Adds an attempt that may be on a machine; returns false if it does not fit. */
   public boolean add(Placement placement) {
     String job = placement.task().job();
     return addToGroup(
-        placed,
+        placements,
         new JobGroup(job, placement.usage()),
         encodedBytes(job) + encodedBytes(placement.usage().team()),
         placement.task().index() + " " + placement.attempt() + " " + placement.machine());
@@ -88,7 +89,7 @@
   /** Adds an attempt that has ended; returns false if it does not fit. */
   public boolean add(EndedAttempt end) {
     return addToGroup(
-        ended,
+        endedAttempts,
         end.task().job(),
         encodedBytes(end.task().job()),
         end.task().index() + " " + end.attempt() + " " + end.machine());
@@ -106,15 +107,15 @@
   /**
    * Encodes the segment with its sequence number. The JSON layout is stored and must not change.
    */
-  public byte[] render(long number) {
+  public byte[] encode(long number) {
     return Json.object(
         out -> {
           out.writeNumberField("n", number);
           writeGroups(out, "machines", machines, kind -> writeKind(out, kind));
           out.writeFieldName("gone");
-          writeTexts(out, gone);
-          writeGroups(out, "placed", placed, job -> writeJobGroup(out, job));
-          writeGroups(out, "ended", ended, job -> out.writeStringField("j", job));
+          writeTexts(out, removedMachines);
+          writeGroups(out, "placed", placements, job -> writeJobGroup(out, job));
+          writeGroups(out, "ended", endedAttempts, job -> out.writeStringField("j", job));
           writeGroups(out, "images", images, image -> writeImage(out, image));
         });
   }
--- a/src/main/java/madderrudder/persistence/LogState.java
+++ b/src/main/java/madderrudder/persistence/LogState.java
@@ -14,7 +14,7 @@
  */
 public final class LogState {
   private final Map<String, LogSegment.MachineEntry> machines = new LinkedHashMap<>();
-  private final Map<PlacedAttempt, LogSegment.Placement> placed = new LinkedHashMap<>();
+  private final Map<PlacedAttempt, LogSegment.Placement> placements = new LinkedHashMap<>();
   private final List<LogSegment.CachedImage> images = new ArrayList<>();
 
   private record PlacedAttempt(TaskId task, long number, String machine) {}
@@ -29,18 +29,18 @@
   public static LogState of(Collection<LogSegment> segments) {
     LogState state = new LogState();
     segments.stream().sorted(Comparator.comparingLong(LogSegment::number)).forEach(state::apply);
-    state.placed.values().removeIf(entry -> !state.machines.containsKey(entry.machine()));
+    state.placements.values().removeIf(entry -> !state.machines.containsKey(entry.machine()));
     return state;
   }
 
   private void apply(LogSegment segment) {
     segment.machines().forEach(machine -> machines.put(machine.id(), machine));
-    segment.gone().forEach(machines::remove);
-    for (LogSegment.EndedAttempt end : segment.ended()) {
-      placed.remove(new PlacedAttempt(end.task(), end.attempt(), end.machine()));
+    segment.removedMachines().forEach(machines::remove);
+    for (LogSegment.EndedAttempt end : segment.endedAttempts()) {
+      placements.remove(new PlacedAttempt(end.task(), end.attempt(), end.machine()));
     }
-    for (LogSegment.Placement entry : segment.placed()) {
-      placed.put(new PlacedAttempt(entry.task(), entry.attempt(), entry.machine()), entry);
+    for (LogSegment.Placement entry : segment.placements()) {
+      placements.put(new PlacedAttempt(entry.task(), entry.attempt(), entry.machine()), entry);
     }
     images.addAll(segment.images());
   }
@@ -51,8 +51,8 @@
   }
 
   /** Returns the attempts that may be running; those on removed machines are left out. */
-  public Collection<LogSegment.Placement> placed() {
-    return placed.values();
+  public Collection<LogSegment.Placement> placements() {
+    return placements.values();
   }
 
   /**
--- a/src/main/java/madderrudder/persistence/RentalBudget.java
+++ b/src/main/java/madderrudder/persistence/RentalBudget.java
@@ -46,7 +46,7 @@
   }
 
   /** Returns the number of machines that may still be rented at this wall-clock time. */
-  public int left(long wallMicros) {
+  public int remaining(long wallMicros) {
     while (!reservations.isEmpty()
         && reservations.peekFirst().lastWallMicros() <= wallMicros - windowMicros) {
       reservations.pollFirst();
@@ -62,7 +62,7 @@
    * Reserves rentals; returns false, and reserves nothing, if fewer than {@code count} are left.
    */
   public boolean reserve(int count, long wallMicros) {
-    if (left(wallMicros) < count) {
+    if (remaining(wallMicros) < count) {
       return false;
     }
     add(new Reservation(wallMicros, wallMicros, count));
@@ -85,7 +85,7 @@
   }
 
   /** Encodes the reservations. The JSON layout is stored and must not change. */
-  public byte[] render() {
+  public byte[] encode() {
     List<Reservation> all = List.copyOf(reservations);
     return Json.object(
         out -> {
@@ -109,7 +109,7 @@
     List<Reservation> all = new ArrayList<>();
     for (JsonFields entry : in.objects("spent")) {
       long wallMicros = entry.count("us");
-      all.add(new Reservation(wallMicros, wallMicros, entry.smallCount("n")));
+      all.add(new Reservation(wallMicros, wallMicros, entry.intCount("n")));
     }
     all.sort(Comparator.comparingLong(Reservation::lastWallMicros));
     reservations.clear();
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -8,27 +8,32 @@
  * A pending rental. It is committed before the cloud is called and deleted once the cloud's
  * response is recorded.
  *
- * @param request the request id, the idempotency key of calls to the cloud
+ * @param requestId the request id, the idempotency key of calls to the cloud
  * @param type the name of the machine type
  * @param zone the zone
  * @param spot whether spot machines are requested
  * @param count the number of machines
- * @param counted whether they count against the rental budget
+ * @param countsAgainstBudget whether they count against the rental budget
  */
 public record RentalRecord(
-    String request, String type, String zone, boolean spot, int count, boolean counted) {
+    String requestId,
+    String type,
+    String zone,
+    boolean spot,
+    int count,
+    boolean countsAgainstBudget) {
   /**
    * Encodes the record without the request id, which is part of its key. The JSON layout is stored
    * and must not change.
    */
-  public byte[] render() {
+  public byte[] encode() {
     return Json.object(
         out -> {
           out.writeStringField("type", type);
           out.writeStringField("zone", zone);
           out.writeBooleanField("spot", spot);
           out.writeNumberField("count", count);
-          out.writeBooleanField("counted", counted);
+          out.writeBooleanField("counted", countsAgainstBudget);
         });
   }
 
@@ -43,7 +48,7 @@
         in.text("type"),
         in.text("zone"),
         in.flag("spot"),
-        in.smallCount("count"),
+        in.intCount("count"),
         in.flag("counted"));
   }
 }
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -122,7 +122,7 @@
   }
 
   /** Reads a key for the leader or a leader election, without a rate limit. */
-  public void getUrgent(String key, Consumer<StoreReply<KeyValue>> callback) {
+  public void getUnthrottled(String key, Consumer<StoreReply<KeyValue>> callback) {
     call(HttpRequest.get("/store/" + key), REQUEST_TIMEOUT_MICROS, StoreCodec::readItem, callback);
   }
 
@@ -169,7 +169,7 @@
    */
   public void commit(
       List<Condition> conditions, List<Write> writes, Consumer<StoreReply<Long>> callback) {
-    HttpRequest request = HttpRequest.post("/commit", StoreCodec.commit(conditions, writes));
+    HttpRequest request = HttpRequest.post("/commit", StoreCodec.commitRequest(conditions, writes));
     requestedUserWrites += writes.size();
     callForUser(request, userWriteLimiter, writes.size(), StoreCodec::readRevision, callback);
   }
@@ -182,7 +182,7 @@
    */
   public void compare(List<Condition> conditions, Consumer<StoreReply<Long>> callback) {
     callForUser(
-        HttpRequest.post("/commit", StoreCodec.commit(conditions, List.of())),
+        HttpRequest.post("/commit", StoreCodec.commitRequest(conditions, List.of())),
         userRequestLimiter,
         1,
         StoreCodec::readRevision,
@@ -195,7 +195,7 @@
    * @param body the encoded transaction
    * @param callback receives the revision of the commit
    */
-  public void commitUrgent(byte[] body, Consumer<StoreReply<Long>> callback) {
+  public void commitUnthrottled(byte[] body, Consumer<StoreReply<Long>> callback) {
     call(
         HttpRequest.post("/commit", body),
         REQUEST_TIMEOUT_MICROS,
@@ -291,7 +291,8 @@
         }
         case 409 -> {
           lastProcessedMicros = scheduler.nowMicros();
-          return new StoreReply<>(Outcome.CONFLICT, null, StoreCodec.readFailed(response.body()));
+          return new StoreReply<>(
+              Outcome.CONFLICT, null, StoreCodec.readFailedKeys(response.body()));
         }
         case 400 -> {
           LOG.info(
--- a/src/main/java/madderrudder/persistence/StoreReply.java
+++ b/src/main/java/madderrudder/persistence/StoreReply.java
@@ -7,10 +7,10 @@
  *
  * @param outcome the outcome of the call
  * @param value the result; null unless the outcome is {@link Outcome#OK}
- * @param failed the keys whose conditions did not hold; empty unless the outcome is {@link
+ * @param failedKeys the keys whose conditions did not hold; empty unless the outcome is {@link
  *     Outcome#CONFLICT}
  */
-public record StoreReply<T>(Outcome outcome, T value, List<String> failed) {
+public record StoreReply<T>(Outcome outcome, T value, List<String> failedKeys) {
   /** The outcome of a call, as far as it is known. */
   public enum Outcome {
     /** Executed; the reply has a value. */
--- a/src/main/java/madderrudder/persistence/TransactionBuilder.java
+++ b/src/main/java/madderrudder/persistence/TransactionBuilder.java
@@ -78,7 +78,7 @@
 
   /** Encodes the transaction. */
   Transaction build() {
-    byte[] body = StoreCodec.commit(conditions, writes);
+    byte[] body = StoreCodec.commitRequest(conditions, writes);
     return new Transaction(changes, body, writes.size(), serial);
   }
 }
--- a/src/main/java/madderrudder/protocol/CloudCodec.java
+++ b/src/main/java/madderrudder/protocol/CloudCodec.java
@@ -85,7 +85,7 @@
    * @param idempotencyKey the key of the request; the cloud rents no further machines when a
    *     request with the same key is repeated
    */
-  public static byte[] rent(
+  public static byte[] rentRequest(
       String idempotencyKey, String type, String zone, boolean spot, int count) {
     return Json.object(
         out -> {
@@ -111,7 +111,7 @@
    *
    * @param machines the ids of the machines
    */
-  public static byte[] delete(List<String> machines) {
+  public static byte[] deleteRequest(List<String> machines) {
     return Json.object(
         out -> {
           out.writeArrayFieldStart(CloudFields.MACHINES);
--- a/src/main/java/madderrudder/protocol/CloudFields.java
+++ b/src/main/java/madderrudder/protocol/CloudFields.java
@@ -25,7 +25,7 @@
 
   /**
    * The rate at which a machine fetches images, in GB per second: {@link
-   * MachineType#fetchGbPerS()}.
+   * MachineType#fetchGbPerSecond()}.
    */
   static final String FETCH_GB_PER_SECOND = "fetch_gb_per_s";
 
--- a/src/main/java/madderrudder/protocol/Heartbeat.java
+++ b/src/main/java/madderrudder/protocol/Heartbeat.java
@@ -32,7 +32,7 @@
     List<TaskStatus> tasks) {
 
   /** Whether this heartbeat is newer than another: a later epoch, or a later number within it. */
-  public boolean newerThan(long otherEpoch, long otherSequence) {
+  public boolean isNewerThan(long otherEpoch, long otherSequence) {
     return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
 }
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -40,7 +40,7 @@
   private JobCodec() {}
 
   /** Whether the text is a well-formed job id: {@code req-} and 1 to 18 digits. */
-  public static boolean validId(String id) {
+  public static boolean isValidId(String id) {
     return ID_PATTERN.matcher(id).matches();
   }
 
@@ -52,7 +52,7 @@
    */
   public static String readId(JsonFields in) throws MalformedMessageException {
     String id = in.text(JobFields.ID);
-    if (!validId(id)) {
+    if (!isValidId(id)) {
       throw MalformedMessageException.missingOrInvalid(JobFields.ID, id);
     }
     return id;
@@ -68,7 +68,7 @@
     JobKind kind = KINDS.read(in, JobFields.KIND);
     Priority priority = PRIORITIES.read(in, JobFields.PRIORITY);
     int tasks = readTaskCount(in);
-    Resources perTask = readResources(in);
+    Resources resourcesPerTask = readResources(in);
     Set<String> types = readMachineTypes(in);
     long deadlineMicros = in.secondsAsMicros(JobFields.DEADLINE_SECONDS, 0);
     return new JobSpec(
@@ -78,7 +78,7 @@
         kind,
         priority,
         tasks,
-        perTask,
+        resourcesPerTask,
         readName(in, JobFields.IMAGE),
         in.amount(JobFields.IMAGE_GB),
         types,
@@ -101,14 +101,14 @@
   }
 
   private static Resources readResources(JsonFields in) throws MalformedMessageException {
-    Resources perTask =
+    Resources resourcesPerTask =
         Resources.of(
             in.amount(JobFields.CPUS), in.amount(JobFields.GPUS), in.amount(JobFields.MEMORY_GB));
-    if (perTask.milliCpus() == 0 && perTask.milliGpus() == 0) {
+    if (resourcesPerTask.milliCpus() == 0 && resourcesPerTask.milliGpus() == 0) {
       throw MalformedMessageException.ofField(
           JobFields.CPUS, "is out of range", in.amount(JobFields.CPUS));
     }
-    return perTask;
+    return resourcesPerTask;
   }
 
   /** Reads the allowed machine types; null if the job may use any type. */
@@ -139,9 +139,9 @@
     out.writeStringField(JobFields.KIND, KINDS.nameOf(job.kind()));
     out.writeStringField(JobFields.PRIORITY, PRIORITIES.nameOf(job.priority()));
     out.writeNumberField(JobFields.TASK_COUNT, job.tasks());
-    out.writeNumberField(JobFields.CPUS, job.perTask().milliCpus() / 1000.0);
-    out.writeNumberField(JobFields.GPUS, job.perTask().milliGpus() / 1000.0);
-    out.writeNumberField(JobFields.MEMORY_GB, job.perTask().memoryMb() / 1000.0);
+    out.writeNumberField(JobFields.CPUS, job.resourcesPerTask().milliCpus() / 1000.0);
+    out.writeNumberField(JobFields.GPUS, job.resourcesPerTask().milliGpus() / 1000.0);
+    out.writeNumberField(JobFields.MEMORY_GB, job.resourcesPerTask().memoryMb() / 1000.0);
     out.writeStringField(JobFields.IMAGE, job.image());
     out.writeNumberField(JobFields.IMAGE_GB, job.imageGb());
     writePlacement(out, job);
@@ -155,9 +155,9 @@
   }
 
   private static void writePlacement(JsonGenerator out, JobSpec job) throws IOException {
-    if (job.types() != null) {
+    if (job.machineTypes() != null) {
       out.writeArrayFieldStart(JobFields.MACHINE_TYPES);
-      for (String type : job.types()) {
+      for (String type : job.machineTypes()) {
         out.writeString(type);
       }
       out.writeEndArray();
@@ -171,7 +171,7 @@
   }
 
   /** Encodes the response to a submission or a cancellation. */
-  public static byte[] state(String id, JobState state) {
+  public static byte[] stateResponse(String id, JobState state) {
     return Json.object(
         out -> {
           out.writeStringField(JobFields.ID, id);
@@ -185,7 +185,7 @@
    * @param done the number of completed tasks
    * @param running the number of running tasks
    */
-  public static byte[] status(String id, JobState state, int done, int running) {
+  public static byte[] statusResponse(String id, JobState state, int done, int running) {
     return Json.object(
         out -> {
           out.writeStringField(JobFields.ID, id);
--- a/src/main/java/madderrudder/protocol/JobFields.java
+++ b/src/main/java/madderrudder/protocol/JobFields.java
@@ -38,7 +38,7 @@
   /** The size of the image in GB: {@link JobSpec#imageGb()}. */
   static final String IMAGE_GB = "image_gb";
 
-  /** The machine types that the job may use: {@link JobSpec#types()}. */
+  /** The machine types that the job may use: {@link JobSpec#machineTypes()}. */
   static final String MACHINE_TYPES = "builds";
 
   /** The only zone that the job may use: {@link JobSpec#zone()}. */
--- a/src/main/java/madderrudder/protocol/JobSpec.java
+++ b/src/main/java/madderrudder/protocol/JobSpec.java
@@ -11,13 +11,13 @@
  * @param kind whether it is an array, a gang or a service
  * @param priority its priority
  * @param tasks the number of tasks
- * @param perTask the resources that each task needs
+ * @param resourcesPerTask the resources that each task needs
  * @param image the container image
  * @param imageGb the size of the image in GB
- * @param types the allowed machine types; null if all are
+ * @param machineTypes the allowed machine types; null if all are
  * @param zone the only allowed zone; null if all are
  * @param oneZone whether all tasks must run in the same zone
- * @param spread whether the tasks must be spread over zones; see {@link #mostPerZone()}
+ * @param spread whether the tasks must be spread over zones; see {@link #maxTasksPerZone()}
  * @param spotAllowed whether the job may use spot machines
  * @param estimateMicros the owner's estimate of a task's run time; 0 for services
  * @param checkpointIntervalMicros the progress of a task between two checkpoints; 0 if tasks save
@@ -33,10 +33,10 @@
     JobKind kind,
     Priority priority,
     int tasks,
-    Resources perTask,
+    Resources resourcesPerTask,
     String image,
     double imageGb,
-    Set<String> types,
+    Set<String> machineTypes,
     String zone,
     boolean oneZone,
     boolean spread,
@@ -50,7 +50,7 @@
    * The largest number of the job's tasks that may run in the same zone: half of them, rounded up,
    * if the tasks must be spread over zones.
    */
-  public int mostPerZone() {
+  public int maxTasksPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/madderrudder/protocol/JsonFields.java
+++ b/src/main/java/madderrudder/protocol/JsonFields.java
@@ -60,7 +60,7 @@
   }
 
   /** Returns an integer field from 0 to 2^31 - 1. */
-  public int smallCount(String name) throws MalformedMessageException {
+  public int intCount(String name) throws MalformedMessageException {
     long value = count(name);
     if (value > Integer.MAX_VALUE) {
       throw invalid(name);
@@ -186,7 +186,7 @@
   }
 
   /** Returns the field's string or number as text for a table cell; empty if it is absent. */
-  public String plain(String name) {
+  public String asPlainText(String name) {
     Object value = fields.get(name);
     return value == null ? "" : value.toString();
   }
--- a/src/main/java/madderrudder/protocol/MachineType.java
+++ b/src/main/java/madderrudder/protocol/MachineType.java
@@ -8,7 +8,7 @@
  * @param name the type's name
  * @param capacity the resources of a machine of the type
  * @param cacheGb the size of a machine's image cache in GB
- * @param fetchGbPerS the rate at which a machine fetches images, in GB per second
+ * @param fetchGbPerSecond the rate at which a machine fetches images, in GB per second
  * @param price the price per hour of an ordinary machine
  * @param spotPrice the current price per hour of a spot machine
  * @param bootMicros the usual time from the rental request until the machine's worker runs
@@ -18,7 +18,7 @@
     String name,
     Resources capacity,
     double cacheGb,
-    double fetchGbPerS,
+    double fetchGbPerSecond,
     double price,
     double spotPrice,
     long bootMicros,
--- a/src/main/java/madderrudder/protocol/PeerMessage.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -13,7 +13,7 @@
    * @param member the sender's name
    * @param term the highest term that the sender knows of
    * @param leader the name of the leader of that term; empty if the sender knows none
-   * @param storeAnswers whether the state service responds to the sender
+   * @param storeReachable whether the state service responds to the sender
    * @param spareMilliWrites if the sender leads, the write rate that it leaves to the controllers
    *     for their users' requests, in thousandths of writes per second
    * @param wantedMilliWrites the write rate that the sender's own users request, in thousandths of
@@ -23,7 +23,7 @@
       String member,
       long term,
       String leader,
-      boolean storeAnswers,
+      boolean storeReachable,
       int spareMilliWrites,
       int wantedMilliWrites)
       implements PeerMessage {}
@@ -52,22 +52,22 @@
    * @param member the sender's name
    * @param incarnation the incarnation of the sending process
    * @param stampMicros the sender's monotonic clock at the time of sending, which peers echo
-   * @param ageMicros the uptime of the sending process
+   * @param uptimeMicros the uptime of the sending process
    * @param term the highest term that the sender knows of
    * @param grantMicros if the sender leads in the term, how long a peer may answer workers on its
    *     behalf, counted from the peer's stamp in {@code echoes}; otherwise 0
-   * @param answeredParts the number of {@link DelegatedRenewals} messages with the same stamp that
-   *     precede this message
+   * @param renewalMessageCount the number of {@link DelegatedRenewals} messages with the same stamp
+   *     that precede this message
    * @param echoes the stamp that the sender last received from each peer
    */
   record MembershipStatus(
       String member,
       long incarnation,
       long stampMicros,
-      long ageMicros,
+      long uptimeMicros,
       long term,
       long grantMicros,
-      int answeredParts,
+      int renewalMessageCount,
       List<StampEcho> echoes)
       implements PeerMessage {}
 
@@ -86,34 +86,35 @@
    * @param member the sender's name
    * @param incarnation the incarnation of the sending process
    * @param stampMicros the stamp of the {@link MembershipStatus} that follows
-   * @param answers the renewals, one per machine
+   * @param renewals the renewals, one per machine
    */
   record DelegatedRenewals(
-      String member, long incarnation, long stampMicros, List<LeaseRenewal> answers)
+      String member, long incarnation, long stampMicros, List<LeaseRenewal> renewals)
       implements PeerMessage {}
 
   /**
    * The renewal of one machine's lease.
    *
    * @param machine the machine's id
-   * @param agoMillis the time between the renewal and the sending of the message
+   * @param ageMillis the time between the renewal and the sending of the message
    */
-  record LeaseRenewal(String machine, int agoMillis) {}
+  record LeaseRenewal(String machine, int ageMillis) {}
 
   /**
    * A heartbeat that a controller forwards to the leader because the worker can't reach the leader.
    *
    * @param member the name of the forwarding controller
    * @param number the number that the forwarding controller assigns; the response repeats it
-   * @param report the body of the heartbeat as the worker sent it
+   * @param heartbeatBody the body of the heartbeat as the worker sent it
    */
-  record ForwardedHeartbeat(String member, long number, String report) implements PeerMessage {}
+  record ForwardedHeartbeat(String member, long number, String heartbeatBody)
+      implements PeerMessage {}
 
   /**
    * The leader's response to a forwarded heartbeat.
    *
    * @param number the number of the forwarded heartbeat
-   * @param answer the body of the response to the worker
+   * @param responseBody the body of the response to the worker
    */
-  record ForwardedResponse(long number, String answer) implements PeerMessage {}
+  record ForwardedResponse(long number, String responseBody) implements PeerMessage {}
 }
--- a/src/main/java/madderrudder/protocol/PeerMessageCodec.java
+++ b/src/main/java/madderrudder/protocol/PeerMessageCodec.java
@@ -146,7 +146,7 @@
     writeText(out, status.member());
     out.putLong(status.term());
     writeText(out, status.leader());
-    out.put((byte) (status.storeAnswers() ? 1 : 0));
+    out.put((byte) (status.storeReachable() ? 1 : 0));
     out.putInt(status.spareMilliWrites());
     out.putInt(status.wantedMilliWrites());
   }
@@ -179,10 +179,10 @@
     writeText(out, status.member());
     out.putLong(status.incarnation());
     out.putLong(status.stampMicros());
-    out.putLong(status.ageMicros());
+    out.putLong(status.uptimeMicros());
     out.putLong(status.term());
     out.putLong(status.grantMicros());
-    out.putInt(status.answeredParts());
+    out.putInt(status.renewalMessageCount());
     out.putInt(status.echoes().size());
     for (StampEcho echo : status.echoes()) {
       writeText(out, echo.member());
@@ -211,10 +211,10 @@
     writeText(out, renewals.member());
     out.putLong(renewals.incarnation());
     out.putLong(renewals.stampMicros());
-    out.putInt(renewals.answers().size());
-    for (LeaseRenewal renewal : renewals.answers()) {
+    out.putInt(renewals.renewals().size());
+    for (LeaseRenewal renewal : renewals.renewals()) {
       writeText(out, renewal.machine());
-      out.putInt(renewal.agoMillis());
+      out.putInt(renewal.ageMillis());
     }
   }
 
@@ -230,7 +230,7 @@
   private static void writeForwardedHeartbeat(ByteBuffer out, ForwardedHeartbeat heartbeat) {
     writeText(out, heartbeat.member());
     out.putLong(heartbeat.number());
-    writeText(out, heartbeat.report());
+    writeText(out, heartbeat.heartbeatBody());
   }
 
   private static ForwardedHeartbeat readForwardedHeartbeat(ByteBuffer in) {
@@ -239,7 +239,7 @@
 
   private static void writeForwardedResponse(ByteBuffer out, ForwardedResponse response) {
     out.putLong(response.number());
-    writeText(out, response.answer());
+    writeText(out, response.responseBody());
   }
 
   private static ForwardedResponse readForwardedResponse(ByteBuffer in) {
--- a/src/main/java/madderrudder/protocol/Priority.java
+++ b/src/main/java/madderrudder/protocol/Priority.java
@@ -12,7 +12,7 @@
   LOW;
 
   /** Whether this priority is higher than the other. */
-  public boolean above(Priority other) {
+  public boolean isHigherThan(Priority other) {
     return compareTo(other) < 0;
   }
 }
--- a/src/main/java/madderrudder/protocol/Resources.java
+++ b/src/main/java/madderrudder/protocol/Resources.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the minimum of both amounts, taken for each resource separately. */
-  public static Resources least(Resources a, Resources b) {
+  public static Resources min(Resources a, Resources b) {
     return new Resources(
         Math.min(a.milliCpus, b.milliCpus),
         Math.min(a.milliGpus, b.milliGpus),
--- a/src/main/java/madderrudder/protocol/StoreCodec.java
+++ b/src/main/java/madderrudder/protocol/StoreCodec.java
@@ -56,7 +56,7 @@
   private StoreCodec() {}
 
   /** Encodes the body of a transaction: the store applies the writes if all conditions hold. */
-  public static byte[] commit(List<Condition> conditions, List<Write> writes) {
+  public static byte[] commitRequest(List<Condition> conditions, List<Write> writes) {
     return Json.object(
         out -> {
           out.writeArrayFieldStart(StoreFields.CONDITIONS);
@@ -126,7 +126,7 @@
    *
    * @throws MalformedMessageException if the list is missing or invalid
    */
-  public static List<String> readFailed(byte[] body) throws MalformedMessageException {
+  public static List<String> readFailedKeys(byte[] body) throws MalformedMessageException {
     return Json.readObject(body).texts(StoreFields.FAILED_KEYS);
   }
 
--- a/src/main/java/madderrudder/protocol/package-info.java
+++ b/src/main/java/madderrudder/protocol/package-info.java
@@ -65,7 +65,7 @@
  * <tr><td>harbor</td><td>the leader, in a redirect</td>
  *     <td>{@link madderrudder.protocol.WorkerCodec#redirect}</td></tr>
  * <tr><td>charter</td><td>idempotency key of a rental request</td>
- *     <td>{@link madderrudder.protocol.CloudCodec#rent}</td></tr>
+ *     <td>{@link madderrudder.protocol.CloudCodec#rentRequest}</td></tr>
  * <tr><td>fleet</td><td>machines</td>
  *     <td>{@link madderrudder.protocol.CloudCodec.Page#machines()}</td></tr>
  * <tr><td>trim (of a machine): booting, running, failed</td><td>machine state</td>
--- a/src/main/java/madderrudder/replay/HistoryWriter.java
+++ b/src/main/java/madderrudder/replay/HistoryWriter.java
@@ -79,10 +79,10 @@
     try {
       JsonFields fields = Json.readObject(json);
       for (String name : RunHistoryCodec.FIELDS) {
-        table.print(fields.plain(name));
+        table.print(fields.asPlainText(name));
       }
       if (withOracle) {
-        table.print(fields.plain(HistoryReader.ORACLE_FIELD));
+        table.print(fields.asPlainText(HistoryReader.ORACLE_FIELD));
       }
       table.println();
     } catch (MalformedMessageException e) {
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -294,7 +294,7 @@
   void receive(ForwardedHeartbeat forwarded) {
     Heartbeat heartbeat;
     try {
-      heartbeat = decode(forwarded.report().getBytes(StandardCharsets.UTF_8));
+      heartbeat = decode(forwarded.heartbeatBody().getBytes(StandardCharsets.UTF_8));
     } catch (MalformedMessageException e) {
       malformedLog.log(e);
       return;
--- a/src/main/java/madderrudder/service/HeartbeatForwarder.java
+++ b/src/main/java/madderrudder/service/HeartbeatForwarder.java
@@ -71,7 +71,7 @@
     Callback callback = inFlight.remove(response.number());
     if (callback != null) {
       callback.onResponse(
-          Optional.of(response.answer())
+          Optional.of(response.responseBody())
               .filter(text -> !text.isEmpty())
               .map(text -> text.getBytes(StandardCharsets.UTF_8)));
     }
--- a/src/main/java/madderrudder/service/JobAdmission.java
+++ b/src/main/java/madderrudder/service/JobAdmission.java
@@ -35,13 +35,15 @@
   }
 
   private static boolean canRunTaskOn(JobSpec job, MachineType type) {
-    return (job.types() == null || job.types().contains(type.name()))
+    return (job.machineTypes() == null || job.machineTypes().contains(type.name()))
         && (job.zone() == null || type.zones().contains(job.zone()))
-        && job.perTask().fits(type.capacity());
+        && job.resourcesPerTask().fits(type.capacity());
   }
 
   /** The resources of one task for an array, whose tasks may run in sequence, else of all tasks. */
   private static Resources concurrentResources(JobSpec job) {
-    return job.kind() == JobKind.ARRAY ? job.perTask() : job.perTask().times(job.tasks());
+    return job.kind() == JobKind.ARRAY
+        ? job.resourcesPerTask()
+        : job.resourcesPerTask().times(job.tasks());
   }
 }
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -129,7 +129,7 @@
       rejectUnlessStored(id, Responses.error(422, reason.get().text()), callback);
       return;
     }
-    byte[] record = JobRecords.live(job, scheduler.wallMicros());
+    byte[] record = JobRecords.encodeLive(job, scheduler.wallMicros());
     if (record.length > maxRecordBytes) {
       rejectUnlessStored(id, Responses.error(400, "the job is too large to be kept"), callback);
       return;
@@ -165,7 +165,7 @@
         List.of(Write.put(Keys.live(id), record)),
         reply -> {
           if (reply.is(Outcome.OK)) {
-            callback.accept(HttpResponse.of(201, JobCodec.state(id, JobState.PENDING)));
+            callback.accept(HttpResponse.of(201, JobCodec.stateResponse(id, JobState.PENDING)));
           } else if (reply.is(Outcome.CONFLICT)) {
             rejectUnlessStored(id, Responses.unavailable("the job's state is changing"), callback);
           } else {
@@ -179,7 +179,7 @@
    * job, 503 if the store does not respond.
    */
   void status(String id, Consumer<HttpResponse> callback) {
-    if (!JobCodec.validId(id)) {
+    if (!JobCodec.isValidId(id)) {
       callback.accept(Responses.error(404, NO_SUCH_JOB));
       return;
     }
@@ -189,14 +189,14 @@
   private HttpResponse statusResponse(String id, JobLookup lookup) {
     if (lookup instanceof JobLookup.Finished finished) {
       JobRecords.Finished result = finished.result();
-      return HttpResponse.of(200, JobCodec.status(id, result.state(), result.done(), 0));
+      return HttpResponse.of(200, JobCodec.statusResponse(id, result.state(), result.done(), 0));
     }
     if (lookup instanceof JobLookup.Live live) {
       Optional<JobProgress> progress = jobProgress.apply(id);
       int tasks = live.job().spec().tasks();
       int done = Math.min(progress.map(JobProgress::done).orElse(0), tasks);
       int running = progress.map(JobProgress::running).orElse(0);
-      return HttpResponse.of(200, JobCodec.status(id, stateOfLiveJob(id), done, running));
+      return HttpResponse.of(200, JobCodec.statusResponse(id, stateOfLiveJob(id), done, running));
     }
     return notFoundOrUnavailable(lookup);
   }
@@ -207,7 +207,7 @@
    * not respond, does not confirm the write, or reports a conflict at each attempt.
    */
   void cancel(String id, Consumer<HttpResponse> callback) {
-    if (!JobCodec.validId(id)) {
+    if (!JobCodec.isValidId(id)) {
       callback.accept(Responses.error(404, NO_SUCH_JOB));
       return;
     }
@@ -241,14 +241,14 @@
     List<Write> writes =
         List.of(
             Write.delete(Keys.live(id)),
-            Write.put(Keys.finished(id), JobRecords.finished(result.state(), result.done())));
+            Write.put(Keys.finished(id), JobRecords.encodeFinished(result.state(), result.done())));
     store.commit(
         List.of(new Condition(Keys.live(id), live.version())),
         writes,
         reply -> {
           if (reply.is(Outcome.OK)) {
             jobReader.cacheFinished(id, result);
-            callback.accept(HttpResponse.of(200, JobCodec.state(id, JobState.CANCELLED)));
+            callback.accept(HttpResponse.of(200, JobCodec.stateResponse(id, JobState.CANCELLED)));
           } else if (reply.is(Outcome.CONFLICT)) {
             cancel(id, attemptsLeft - 1, callback);
           } else {
@@ -263,7 +263,7 @@
         lookup instanceof JobLookup.Finished finished
             ? finished.result().state()
             : stateOfLiveJob(id);
-    return HttpResponse.of(200, JobCodec.state(id, state));
+    return HttpResponse.of(200, JobCodec.stateResponse(id, state));
   }
 
   private JobState stateOfLiveJob(String id) {
--- a/src/main/java/madderrudder/service/JobReader.java
+++ b/src/main/java/madderrudder/service/JobReader.java
@@ -61,13 +61,13 @@
   }
 
   private void checkStillLive(String id, JobLookup.Live cached, Consumer<JobLookup> callback) {
-    liveJobChecker.ask(
+    liveJobChecker.check(
         id,
         cached.version(),
         answer -> {
           switch (answer) {
             case LIVE -> callback.accept(cached);
-            case MOVED -> readFinished(id, callback);
+            case CHANGED -> readFinished(id, callback);
             default -> callback.accept(new JobLookup.Unknown());
           }
         });
@@ -93,7 +93,7 @@
   private JobLookup decodeAndCacheLive(String id, KeyValue keyValue) {
     try {
       JobLookup.Live live =
-          new JobLookup.Live(JobRecords.readLive(keyValue.value()), keyValue.version());
+          new JobLookup.Live(JobRecords.decodeLive(keyValue.value()), keyValue.version());
       liveCache.put(id, live);
       return live;
     } catch (MalformedMessageException e) {
@@ -109,7 +109,7 @@
       return new JobLookup.Unknown();
     }
     try {
-      JobRecords.Finished result = JobRecords.readFinished(reply.value().value());
+      JobRecords.Finished result = JobRecords.decodeFinished(reply.value().value());
       JobLookup.Finished finished = new JobLookup.Finished(result);
       finishedCache.put(id, finished);
       return finished;
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -185,7 +185,7 @@
 
   private void receiveNodeStatus(NodeStatus status) {
     long nowMicros = scheduler.nowMicros();
-    peerStatuses.put(status.member(), new PeerStatus(status.storeAnswers(), nowMicros));
+    peerStatuses.put(status.member(), new PeerStatus(status.storeReachable(), nowMicros));
     election.observeLeader(status.term(), status.leader());
     writeRateAllocator.recordPeerDemand(
         status.member(), status.wantedMilliWrites() / 1000.0, nowMicros);
--- a/src/test/java/madderrudder/config/SettingsPropertiesTest.java
+++ b/src/test/java/madderrudder/config/SettingsPropertiesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import madderrudder.config.SExpression.Atom;
 import madderrudder.config.SExpression.Items;
-import madderrudder.protocol.Documents;
+import madderrudder.protocol.MutatedDocuments;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
@@ -135,7 +135,7 @@
 
   @Provide
   Arbitrary<byte[]> platformSettings() {
-    return Documents.nearly(SettingsTest.GOOD);
+    return MutatedDocuments.mutationsOf(SettingsTest.GOOD);
   }
 
   @Property(seed = "43", tries = 2000)
--- a/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/MachineFixture.java
@@ -81,7 +81,14 @@
   Assignment place(Job job, int index, boolean inherited) {
     Assignment assignment =
         new Assignment(
-            task(index), ATTEMPT, machine, job.spec.team(), job.spec.perTask(), job, inherited, 0);
+            task(index),
+            ATTEMPT,
+            machine,
+            job.spec.team(),
+            job.spec.resourcesPerTask(),
+            job,
+            inherited,
+            0);
     assignment.durable = true;
     machine.assignments.put(assignment.key(), assignment);
     return assignment;
--- a/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
+++ b/src/test/java/madderrudder/coordination/membership/HeartbeatDelegateTest.java
@@ -57,8 +57,8 @@
     for (PeerMessage message : delegate.statusMessages(3, 0, List.of())) {
       if (message instanceof DelegatedRenewals renewals) {
         renewals
-            .answers()
-            .forEach(renewal -> reported.add(renewal.machine() + " " + renewal.agoMillis()));
+            .renewals()
+            .forEach(renewal -> reported.add(renewal.machine() + " " + renewal.ageMillis()));
       }
     }
     return reported;
@@ -175,6 +175,6 @@
       assertTrue(PeerMessageCodec.encode(message).remaining() < PeerMessageCodec.MAX_BYTES);
     }
     MembershipStatus last = (MembershipStatus) messages.get(messages.size() - 1);
-    assertEquals(messages.size() - 1, last.answeredParts());
+    assertEquals(messages.size() - 1, last.renewalMessageCount());
   }
 }
--- a/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
+++ b/src/test/java/madderrudder/coordination/registry/SegmentedLogTest.java
@@ -89,7 +89,7 @@
 
   /** The tasks that the stored segments place on machines. */
   private Set<String> storedAssignments() {
-    return LogState.of(segmentsByKey.values()).placed().stream()
+    return LogState.of(segmentsByKey.values()).placements().stream()
         .map(entry -> entry.task().index() + " on " + entry.machine())
         .collect(Collectors.toSet());
   }
@@ -125,8 +125,8 @@
     release(place(addMachine("m-1")));
     commitAll();
     LogSegment onlySegment = segmentsByKey.get(Keys.logSegment(0));
-    assertEquals(List.of(), onlySegment.placed());
-    assertEquals(List.of(), onlySegment.ended());
+    assertEquals(List.of(), onlySegment.placements());
+    assertEquals(List.of(), onlySegment.endedAttempts());
   }
 
   @Test
@@ -153,7 +153,7 @@
     assertEquals(Set.of("m-1"), storedMachines());
     assertEquals(Set.of(live.task.index() + " on m-1"), storedAssignments());
     int entries =
-        segmentsByKey.values().stream().mapToInt(segment -> segment.placed().size()).sum();
+        segmentsByKey.values().stream().mapToInt(segment -> segment.placements().size()).sum();
     assertTrue(entries <= 210, entries + " stored entries for two live ones");
   }
 
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
@@ -69,7 +69,7 @@
               task + 1,
               large.machines.get("m-" + task),
               "alto",
-              first.spec.perTask(),
+              first.spec.resourcesPerTask(),
               first,
               false,
               0);
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningFixture.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningFixture.java
@@ -159,7 +159,7 @@
             ++lastAttempt,
             machine,
             job.spec.team(),
-            job.spec.perTask(),
+            job.spec.resourcesPerTask(),
             job,
             false,
             0);
--- a/src/test/java/madderrudder/persistence/JobRecordsTest.java
+++ b/src/test/java/madderrudder/persistence/JobRecordsTest.java
@@ -22,10 +22,10 @@
       done.set(i, random.nextBoolean());
     }
     BitSet decoded = new BitSet();
-    for (int chunk = 0; chunk <= 100_000 / JobRecords.CHUNK; chunk++) {
-      byte[] encoded = JobRecords.progress(done, chunk, false);
+    for (int chunk = 0; chunk <= 100_000 / JobRecords.TASKS_PER_CHUNK; chunk++) {
+      byte[] encoded = JobRecords.encodeProgress(done, chunk, false);
       assertTrue(encoded.length < 8 * 1024);
-      JobRecords.readProgress(Json.readObject(encoded), chunk, decoded);
+      JobRecords.decodeProgress(Json.readObject(encoded), chunk, decoded);
     }
     assertEquals(done, decoded);
   }
--- a/src/test/java/madderrudder/persistence/LogSegmentTest.java
+++ b/src/test/java/madderrudder/persistence/LogSegmentTest.java
@@ -61,18 +61,18 @@
               && ended.add(end)
               && builder.add(image)
               && images.add(image)
-              && builder.addGone("n-" + i)
+              && builder.addRemovedMachine("n-" + i)
               && gone.add("n-" + i);
     }
-    byte[] encoded = builder.render(77);
+    byte[] encoded = builder.encode(77);
     assertTrue(encoded.length <= maxBytes, encoded.length + " bytes of " + maxBytes);
     LogSegment decoded = LogSegment.read(Json.readObject(encoded));
     assertEquals(77, decoded.number());
     assertEquals(machines, Set.copyOf(decoded.machines()));
-    assertEquals(placed, Set.copyOf(decoded.placed()));
-    assertEquals(ended, Set.copyOf(decoded.ended()));
+    assertEquals(placed, Set.copyOf(decoded.placements()));
+    assertEquals(ended, Set.copyOf(decoded.endedAttempts()));
     assertEquals(images, Set.copyOf(decoded.images()));
-    assertEquals(gone, Set.copyOf(decoded.gone()));
+    assertEquals(gone, Set.copyOf(decoded.removedMachines()));
     assertTrue(
         placed.size() > maxBytes / 1024, "only " + placed.size() + " placements in " + maxBytes);
   }
@@ -92,7 +92,7 @@
             character.repeat(200 / character.length() - 8) + count, 1.5, "m-000001"))) {
       count++;
     }
-    byte[] encoded = builder.render(1);
+    byte[] encoded = builder.encode(1);
     assertTrue(encoded.length <= 15 * 1024, encoded.length + " bytes");
     assertEquals(count, LogSegment.read(Json.readObject(encoded)).images().size());
     assertTrue(count > 8, "only " + count + " images");
--- a/src/test/java/madderrudder/persistence/LogStateTest.java
+++ b/src/test/java/madderrudder/persistence/LogStateTest.java
@@ -52,7 +52,7 @@
                 new LogSegment.Placement(second, 3, USAGE, "m-3")),
             List.of());
     LogState state = LogState.of(List.of(later, earlier));
-    assertEquals(List.of(retried), List.copyOf(state.placed()));
+    assertEquals(List.of(retried), List.copyOf(state.placements()));
     assertEquals(
         List.of("m-1", "m-2"), state.machines().stream().map(LogSegment.MachineEntry::id).toList());
   }
@@ -81,6 +81,6 @@
                     List.of(),
                     List.of(replaced),
                     List.of(new LogSegment.EndedAttempt(task, 5, "m-1")))));
-    assertEquals(List.of(replaced), List.copyOf(state.placed()));
+    assertEquals(List.of(replaced), List.copyOf(state.placements()));
   }
 }
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -13,9 +13,9 @@
 import madderrudder.persistence.LogSegment.MachineKind;
 import madderrudder.persistence.LogSegment.Placement;
 import madderrudder.persistence.LogSegment.Usage;
-import madderrudder.protocol.Documents;
 import madderrudder.protocol.Json;
 import madderrudder.protocol.MalformedMessageException;
+import madderrudder.protocol.MutatedDocuments;
 import madderrudder.protocol.Resources;
 import madderrudder.protocol.TaskId;
 import net.jqwik.api.Arbitraries;
@@ -110,12 +110,12 @@
         added.add(entry);
       }
     }
-    byte[] segment = builder.render(7);
+    byte[] segment = builder.encode(7);
     assertTrue(segment.length <= maxBytes, segment.length + " bytes of " + maxBytes);
     LogSegment decoded = LogSegment.read(Json.readObject(segment));
     List<Record> decodedEntries = new ArrayList<>(decoded.machines());
-    decodedEntries.addAll(decoded.placed());
-    decodedEntries.addAll(decoded.ended());
+    decodedEntries.addAll(decoded.placements());
+    decodedEntries.addAll(decoded.endedAttempts());
     decodedEntries.addAll(decoded.images());
     assertEquals(added.size(), decodedEntries.size());
     assertEquals(new HashSet<>(added), new HashSet<>(decodedEntries));
@@ -123,7 +123,7 @@
 
   @Provide
   Arbitrary<byte[]> segments() {
-    return Documents.nearly(SEGMENT);
+    return MutatedDocuments.mutationsOf(SEGMENT);
   }
 
   @Property(seed = "32", tries = 3000)
@@ -143,13 +143,13 @@
   @Property(seed = "33")
   void progressDecodesUnchanged(
       @ForAll @IntRange(min = 0, max = 3) int chunk,
-      @ForAll List<@IntRange(min = 0, max = JobRecords.CHUNK - 1) Integer> tasks)
+      @ForAll List<@IntRange(min = 0, max = JobRecords.TASKS_PER_CHUNK - 1) Integer> tasks)
       throws MalformedMessageException {
     BitSet done = new BitSet();
-    tasks.forEach(task -> done.set(chunk * JobRecords.CHUNK + task));
+    tasks.forEach(task -> done.set(chunk * JobRecords.TASKS_PER_CHUNK + task));
     BitSet decoded = new BitSet();
-    JobRecords.readProgress(
-        Json.readObject(JobRecords.progress(done, chunk, false)), chunk, decoded);
+    JobRecords.decodeProgress(
+        Json.readObject(JobRecords.encodeProgress(done, chunk, false)), chunk, decoded);
     assertEquals(done, decoded);
   }
 }
--- a/src/test/java/madderrudder/persistence/RentalBudgetTest.java
+++ b/src/test/java/madderrudder/persistence/RentalBudgetTest.java
@@ -23,8 +23,8 @@
     assertTrue(first.reserve(3, 1_000_000_000));
     assertFalse(first.reserve(1, 1_000_000_000 + WINDOW_MICROS));
     RentalBudget second = new RentalBudget(3, WINDOW_MICROS, 1_000_000);
-    second.load(Json.readObject(first.render()));
-    assertEquals(0, second.left(1_000_000_000 + WINDOW_MICROS + 1_999_999));
-    assertEquals(3, second.left(1_000_000_000 + WINDOW_MICROS + 2_000_000));
+    second.load(Json.readObject(first.encode()));
+    assertEquals(0, second.remaining(1_000_000_000 + WINDOW_MICROS + 1_999_999));
+    assertEquals(3, second.remaining(1_000_000_000 + WINDOW_MICROS + 2_000_000));
   }
 }
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -61,26 +61,29 @@
 
   @Test
   void finishedJobEncodesToStoredForm() {
-    assertEquals(FINISHED, text(JobRecords.finished(JobState.DONE, 12)));
+    assertEquals(FINISHED, text(JobRecords.encodeFinished(JobState.DONE, 12)));
   }
 
   @Test
   void finishedJobDecodesFromStoredForm() throws MalformedMessageException {
     assertEquals(
         new JobRecords.Finished(JobState.DONE, 12),
-        JobRecords.readFinished(Json.readObject(bytes(FINISHED))));
+        JobRecords.decodeFinished(Json.readObject(bytes(FINISHED))));
   }
 
   @Test
   void progressEncodesToStoredForm() {
-    assertEquals(PROGRESS, text(JobRecords.progress(BitSet.valueOf(new long[] {5}), 0, true)));
+    assertEquals(
+        PROGRESS, text(JobRecords.encodeProgress(BitSet.valueOf(new long[] {5}), 0, true)));
   }
 
   @Test
   void progressDecodesFromStoredForm() throws MalformedMessageException {
     BitSet done = new BitSet();
-    JobRecords.readProgress(Json.readObject(bytes(PROGRESS)), 1, done);
-    assertEquals(BitSet.valueOf(new long[] {5}), done.get(JobRecords.CHUNK, 2 * JobRecords.CHUNK));
+    JobRecords.decodeProgress(Json.readObject(bytes(PROGRESS)), 1, done);
+    assertEquals(
+        BitSet.valueOf(new long[] {5}),
+        done.get(JobRecords.TASKS_PER_CHUNK, 2 * JobRecords.TASKS_PER_CHUNK));
     assertEquals(2, done.cardinality());
     assertTrue(JobRecords.readFailing(Json.readObject(bytes(PROGRESS))));
   }
@@ -88,7 +91,7 @@
   @Test
   void rentalEncodesToStoredForm() {
     assertEquals(
-        RENTAL, text(new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false).render()));
+        RENTAL, text(new RentalRecord("req-1", "m5.large", "zone-a", true, 4, false).encode()));
   }
 
   @Test
@@ -102,25 +105,25 @@
   void rentalBudgetEncodesToStoredForm() {
     RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
     assertTrue(budget.reserve(2, 1_000_000));
-    assertEquals(BUDGET, text(budget.render()));
+    assertEquals(BUDGET, text(budget.encode()));
   }
 
   @Test
   void rentalBudgetDecodesFromStoredForm() throws MalformedMessageException {
     RentalBudget budget = new RentalBudget(3, 300_000_000, 0);
     budget.load(Json.readObject(bytes(BUDGET)));
-    assertEquals(1, budget.left(2_000_000));
+    assertEquals(1, budget.remaining(2_000_000));
   }
 
   @Test
   void logSegmentEncodesToStoredForm() {
     LogSegmentBuilder builder = new LogSegmentBuilder(10_000);
     assertTrue(builder.add(MACHINE));
-    assertTrue(builder.addGone("m0"));
+    assertTrue(builder.addRemovedMachine("m0"));
     assertTrue(builder.add(PLACED));
     assertTrue(builder.add(ENDED));
     assertTrue(builder.add(IMAGE));
-    assertEquals(SEGMENT, text(builder.render(9)));
+    assertEquals(SEGMENT, text(builder.encode(9)));
   }
 
   @Test
--- a/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
+++ b/src/test/java/madderrudder/protocol/CodecPropertiesTest.java
@@ -73,7 +73,7 @@
 
   @Provide
   Arbitrary<byte[]> jobs() {
-    return Documents.nearly(JOB);
+    return MutatedDocuments.mutationsOf(JOB);
   }
 
   @Property(seed = "21", tries = 4000)
@@ -93,7 +93,7 @@
 
   @Provide
   Arbitrary<byte[]> heartbeats() {
-    return Documents.nearly(HEARTBEAT);
+    return MutatedDocuments.mutationsOf(HEARTBEAT);
   }
 
   @Property(seed = "22", tries = 2000)
@@ -105,7 +105,7 @@
 
   @Provide
   Arbitrary<byte[]> storeResponses() {
-    return Documents.nearly(STORE_RESPONSE);
+    return MutatedDocuments.mutationsOf(STORE_RESPONSE);
   }
 
   @Property(seed = "23", tries = 2000)
@@ -117,7 +117,7 @@
             () -> StoreCodec.readRange(json),
             () -> StoreCodec.readEvents(json),
             () -> StoreCodec.readLease(json),
-            () -> StoreCodec.readFailed(json),
+            () -> StoreCodec.readFailedKeys(json),
             () -> StoreCodec.readRevision(json))) {
       acceptedCount += accepts(decoding) ? 1 : 0;
     }
@@ -143,7 +143,7 @@
 
   @Provide
   Arbitrary<byte[]> cloudResponses() {
-    return Documents.nearly(CLOUD_RESPONSE);
+    return MutatedDocuments.mutationsOf(CLOUD_RESPONSE);
   }
 
   @Property(seed = "25", tries = 2000)
--- a/src/test/java/madderrudder/protocol/JobCodecTest.java
+++ b/src/test/java/madderrudder/protocol/JobCodecTest.java
@@ -35,7 +35,7 @@
     JobSpec job = job(JOB);
     assertEquals(JobKind.GANG, job.kind());
     assertEquals(Priority.HIGH, job.priority());
-    assertEquals(new Resources(8000, 1000, 64000), job.perTask());
+    assertEquals(new Resources(8000, 1000, 64000), job.resourcesPerTask());
     assertEquals(240_000_000, job.estimateMicros());
   }
 
@@ -159,6 +159,6 @@
   @Test
   void fractionalResourcesAddUpExactly() throws MalformedMessageException {
     JobSpec job = job(JOB.replace("8.0", "0.1").replace("64.0", "0.7"));
-    assertEquals(job.perTask().times(30), Resources.of(3, 30, 21));
+    assertEquals(job.resourcesPerTask().times(30), Resources.of(3, 30, 21));
   }
 }
--- a/src/test/java/madderrudder/protocol/Documents.java
+++ b/src/test/java/madderrudder/protocol/MutatedDocuments.java
@@ -12,7 +12,7 @@
  * Generates random mutations of a valid JSON document: a few of its values or pieces of its text
  * are replaced.
  */
-public final class Documents {
+public final class MutatedDocuments {
   /** A string, number or literal; group 1 holds the colon if the string is a field name. */
   private static final Pattern TOKEN =
       Pattern.compile("\"(?:[^\"\\\\]|\\\\.)*\"(\\s*:)?|-?[0-9][0-9.eE+-]*|true|false|null");
@@ -71,7 +71,7 @@
     "{\"a\":".repeat(70)
   };
 
-  private Documents() {}
+  private MutatedDocuments() {}
 
   /**
    * One replacement in a document.
@@ -118,7 +118,7 @@
    * Generates documents that result from up to three edits of the valid document, in UTF-8. One
    * edit in six replaces text, which mostly breaks the JSON syntax; the others replace a value.
    */
-  public static Arbitrary<byte[]> nearly(String valid) {
+  public static Arbitrary<byte[]> mutationsOf(String valid) {
     Arbitrary<Edit> edit =
         Combinators.combine(uniform(6), uniform(10_000), uniform(10_000))
             .as((kind, position, replacement) -> new Edit(kind > 0, position, replacement));
--- a/src/test/java/madderrudder/protocol/WorkerCodecTest.java
+++ b/src/test/java/madderrudder/protocol/WorkerCodecTest.java
@@ -50,9 +50,9 @@
   @Test
   void heartbeatWithLargerEpochOrSequenceIsNewer() throws MalformedMessageException {
     Heartbeat heartbeat = read(HEARTBEAT);
-    assertTrue(heartbeat.newerThan(2, 87));
-    assertTrue(heartbeat.newerThan(1, 99));
-    assertTrue(!heartbeat.newerThan(2, 88));
+    assertTrue(heartbeat.isNewerThan(2, 87));
+    assertTrue(heartbeat.isNewerThan(1, 99));
+    assertTrue(!heartbeat.isNewerThan(2, 88));
   }
 
   @ParameterizedTest
--- a/src/test/java/madderrudder/sim/FreeCapacity.java
+++ b/src/test/java/madderrudder/sim/FreeCapacity.java
@@ -31,11 +31,12 @@
       if (isSuitable(job, machine)
           && (!job.oneZone() || tasksByZone.isEmpty() || tasksByZone.containsKey(machine.zone))) {
         fittingByZone.merge(
-            machine.zone, (int) job.perTask().timesIn(machine.free()), Integer::sum);
+            machine.zone, (int) job.resourcesPerTask().timesIn(machine.free()), Integer::sum);
       }
     }
     fittingByZone.replaceAll(
-        (zone, tasks) -> Math.min(tasks, job.mostPerZone() - tasksByZone.getOrDefault(zone, 0)));
+        (zone, tasks) ->
+            Math.min(tasks, job.maxTasksPerZone() - tasksByZone.getOrDefault(zone, 0)));
     return job.oneZone()
         ? fittingByZone.values().stream().max(Integer::compare).orElse(0)
         : fittingByZone.values().stream().mapToInt(Integer::intValue).sum();
@@ -43,7 +44,7 @@
 
   /** Whether the job may run on the machine, by type, zone and purchase kind. */
   static boolean isSuitable(JobSpec job, SimWorker machine) {
-    return (job.types() == null || job.types().contains(machine.type))
+    return (job.machineTypes() == null || job.machineTypes().contains(machine.type))
         && (job.zone() == null || job.zone().equals(machine.zone))
         && (!machine.spot || job.spotAllowed());
   }
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -218,7 +218,7 @@
         }
       }
     }
-    if (sameZone > job.mostPerZone()) {
+    if (sameZone > job.maxTasksPerZone()) {
       recordViolation("wrong_place", task + " exceeds the job's limit in zone " + machine.zone);
     }
   }
@@ -421,7 +421,8 @@
   }
 
   private boolean hasCapacity(JobSpec job, int tasksNeeded, List<SimWorker> machines) {
-    Resources usage = usage(job.team(), holders.keySet()).plus(job.perTask().times(tasksNeeded));
+    Resources usage =
+        usage(job.team(), holders.keySet()).plus(job.resourcesPerTask().times(tasksNeeded));
     return FreeCapacity.tasksThatFit(job, holders, machines) >= tasksNeeded
         && deployment.teams().get(job.team()).allows(usage);
   }
@@ -462,7 +463,7 @@
     return tasks.stream()
         .map(task -> submitted.get(task.job()))
         .filter(job -> job.team().equals(team))
-        .map(JobSpec::perTask)
+        .map(JobSpec::resourcesPerTask)
         .reduce(Resources.NONE, Resources::plus);
   }
 
@@ -517,7 +518,8 @@
         (name, jobs) -> {
           if (name.startsWith("class ")) {
             List<JobSpec> bySize = new ArrayList<>(jobs);
-            bySize.sort(Comparator.comparingLong(job -> -job.perTask().milliCpus() * job.tasks()));
+            bySize.sort(
+                Comparator.comparingLong(job -> -job.resourcesPerTask().milliCpus() * job.tasks()));
             checkHalfServed(
                 "largest of " + name,
                 bySize.subList(0, Math.min(jobs.size(), Math.max(3, jobs.size() / 10))),
--- a/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
+++ b/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
@@ -39,13 +39,13 @@
 
   @BeforeEach
   void makeStoreReachable() {
-    store.getUrgent("helm", reply -> {});
+    store.getUnthrottled("helm", reply -> {});
     respond(404, "{\"logline\":1}");
     requests.clear();
   }
 
   private void ask(int from, int to) {
-    IntStream.range(from, to).forEach(i -> checker.ask("req-" + i, i + 1, answers::add));
+    IntStream.range(from, to).forEach(i -> checker.check("req-" + i, i + 1, answers::add));
   }
 
   private void respond(int status, String body) {
@@ -68,8 +68,8 @@
     assertEquals(2, requests.size());
     respond(409, "{\"failed\":[\"l/req-3\",\"l/req-5\"],\"logline\":9}");
     assertEquals(63, answers.stream().filter(Answer.LIVE::equals).count());
-    assertEquals(Answer.MOVED, answers.get(3));
-    assertEquals(Answer.MOVED, answers.get(5));
+    assertEquals(Answer.CHANGED, answers.get(3));
+    assertEquals(Answer.CHANGED, answers.get(5));
     respond(503, "{}");
     assertEquals(36, answers.stream().filter(Answer.UNKNOWN::equals).count());
     assertEquals(3, requests.size());
@@ -102,6 +102,6 @@
     respond(200, "{\"logline\":9}");
     assertEquals(1, answers.size());
     respond(409, "{\"failed\":[\"l/req-0\"],\"logline\":10}");
-    assertEquals(List.of(Answer.LIVE, Answer.MOVED), answers);
+    assertEquals(List.of(Answer.LIVE, Answer.CHANGED), answers);
   }
 }
--- a/src/test/java/madderrudder/sim/PlacementLog.java
+++ b/src/test/java/madderrudder/sim/PlacementLog.java
@@ -50,7 +50,7 @@
   private void replay() {
     Map<TaskId, String> previous = Map.copyOf(placements);
     placements.clear();
-    for (LogSegment.Placement entry : LogState.of(segments.values()).placed()) {
+    for (LogSegment.Placement entry : LogState.of(segments.values()).placements()) {
       String otherMachine = placements.put(entry.task(), entry.machine());
       if (otherMachine != null) {
         violations.add(
--- a/src/test/java/madderrudder/sim/SimStore.java
+++ b/src/test/java/madderrudder/sim/SimStore.java
@@ -335,12 +335,12 @@
    * since the tasks of an ended job need none.
    */
   boolean recordsDone(TaskId task) {
-    int chunk = task.index() / JobRecords.CHUNK;
+    int chunk = task.index() / JobRecords.TASKS_PER_CHUNK;
     Entry progress = entries.get("p/" + task.job() + "/" + chunk);
     BitSet completed = new BitSet();
     try {
       if (progress != null) {
-        JobRecords.readProgress(Json.readObject(progress.data()), chunk, completed);
+        JobRecords.decodeProgress(Json.readObject(progress.data()), chunk, completed);
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -396,7 +396,7 @@
 
   private void start(String attemptKey, TaskId id, long attempt) {
     JobSpec job = invariants.specOf(id.job());
-    SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.perTask());
+    SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.resourcesPerTask());
     if (job == null) {
       // No user has submitted this job, so that its image is unknown.
       task.state = "ended";
