--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -61,7 +61,7 @@
             Addresses.parse(settings.peerListen()),
             settings.peers(),
             PeerMessageCodec.MAX_BYTES,
-            message -> node.receive(message));
+            message -> node.handlePeerMessage(message));
     node = new ControllerNode(loop, client, peers, new SplittableRandom(), settings, policy);
     HttpServer server =
         new HttpServer(
--- a/src/main/java/madderrudder/config/SettingsProblems.java
+++ b/src/main/java/madderrudder/config/SettingsProblems.java
@@ -52,7 +52,7 @@
   /** An address with a port; empty if it is wrong. */
   String address(String path, JsonFields in, String name) {
     String address = read(path + name, "", () -> in.text(name));
-    if (!address.isEmpty() && !Addresses.valid(address)) {
+    if (!address.isEmpty() && !Addresses.isValid(address)) {
       add(path + name, "\"" + address + "\" is not an address like 10.0.0.1:8080");
     }
     return address;
--- a/src/main/java/madderrudder/coordination/cloud/CloudResponses.java
+++ b/src/main/java/madderrudder/coordination/cloud/CloudResponses.java
@@ -27,7 +27,7 @@
 
   /** Returns the outcome of a rental request. */
   static RentResult rent(HttpResponse response) {
-    if (response.ok()) {
+    if (response.isOk()) {
       return readRented(response.body());
     }
     if (response.status() == SERVICE_UNAVAILABLE && saysNoCapacity(response)) {
@@ -53,7 +53,7 @@
 
   /** Returns the outcome of a deletion; the body of the response is not read. */
   static DeleteResult delete(HttpResponse response) {
-    return response.ok() ? DeleteResult.DELETED : DeleteResult.UNKNOWN;
+    return response.isOk() ? DeleteResult.DELETED : DeleteResult.UNKNOWN;
   }
 
   /** Returns a page of the machine list. */
@@ -67,7 +67,7 @@
   }
 
   private static <T> CloudResult<T> read(HttpResponse response, BodyReader<T> reader) {
-    if (!response.ok()) {
+    if (!response.isOk()) {
       return new CloudResult.Unavailable<>(response.status());
     }
     try {
--- a/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
+++ b/src/main/java/madderrudder/coordination/cloud/MachineTypeCatalog.java
@@ -90,7 +90,7 @@
     cloud.catalog(
         result -> {
           long delayMicros = refresh(result) ? REFRESH_MICROS : RETRY_MICROS;
-          scheduler.after(delayMicros, hasTypes() ? this::readFromCloud : this::readFromStore);
+          scheduler.runAfter(delayMicros, hasTypes() ? this::readFromCloud : this::readFromStore);
         });
   }
 
--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -68,7 +68,7 @@
     }
     CommandPlan plan = planner.planDirect(machine, nowMicros, term.election.holdsLease());
     SentCommandRecorder.recordDirectStops(plan, nowMicros);
-    if (plan.commands().isEmpty() || !Addresses.valid(machine.address)) {
+    if (plan.commands().isEmpty() || !Addresses.isValid(machine.address)) {
       return false;
     }
     long token = commandRecorder.issueToken(machine, machine.seenToken);
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -90,7 +90,7 @@
             heartbeat.zone(),
             heartbeat.spot(),
             scaleOut.noMachineRentedYet(),
-            term.scheduler.wallMicros());
+            term.scheduler.wallClockMicros());
     LOG.info(
         "first heartbeat from unknown machine {} ({} {}{}), {}",
         machine.id,
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskExitHandler.java
@@ -141,6 +141,6 @@
             nowMicros - assignment.runningMicros,
             complete);
     term.cluster.runTimes.observe(run);
-    term.runHistory.add(term.scheduler.wallMicros(), run);
+    term.runHistory.add(term.scheduler.wallClockMicros(), run);
   }
 }
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -56,7 +56,8 @@
         term.cluster.jobs.size(),
         term.cluster.machines.size());
     coverage = assess();
-    guaranteedJobs = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage).guaranteed();
+    guaranteedJobs =
+        Demand.of(term.cluster, term.scheduler.wallClockMicros(), coverage).guaranteed();
     acceptEarlyHeartbeats.run();
     coverage = assess();
     LOG.info(
@@ -105,7 +106,7 @@
         term.cluster,
         term.scheduler.nowMicros() - stateLoadedMicros,
         reportTimeoutMicros,
-        term.scheduler.wallMicros());
+        term.scheduler.wallClockMicros());
   }
 
   private static String percent(double share) {
--- a/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
+++ b/src/main/java/madderrudder/coordination/leader/PlanningLoop.java
@@ -92,7 +92,7 @@
     SpotReclaimDrain.plan(term.cluster, nowMicros).forEach(machines::markForEviction);
     evictBrokenGangs();
     coverage.refresh();
-    Demand demand = Demand.of(term.cluster, term.scheduler.wallMicros(), coverage.coverage());
+    Demand demand = Demand.of(term.cluster, term.scheduler.wallClockMicros(), coverage.coverage());
     jobsHeldBack = countHeldBack(demand, coverage.coverage());
     if (!demand.waiting().isEmpty()) {
       placeAndPreempt(demand, nowMicros);
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -127,7 +127,7 @@
   /** Starts to watch the leader key, and to campaign whenever it is absent. */
   public void start() {
     leaderKeyWatch.start();
-    scheduler.every(CAMPAIGN_CHECK_INTERVAL_MICROS, this::campaignIfPossible);
+    scheduler.runEvery(CAMPAIGN_CHECK_INTERVAL_MICROS, this::campaignIfPossible);
   }
 
   /** Returns the name of the known leader; empty if none is known. */
@@ -252,7 +252,7 @@
     predecessorVersion = 0;
     if (state != State.LEADING) {
       leader = null;
-      scheduler.after(random.nextLong(MAX_CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
+      scheduler.runAfter(random.nextLong(MAX_CAMPAIGN_JITTER_MICROS), this::campaignIfPossible);
     }
   }
 
--- a/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
@@ -53,7 +53,7 @@
         "",
         reply -> {
           if (!reply.is(Outcome.OK)) {
-            scheduler.after(RETRY_MICROS, this::start);
+            scheduler.runAfter(RETRY_MICROS, this::start);
             return;
           }
           boolean found = false;
@@ -79,7 +79,7 @@
           } else if (reply.is(Outcome.GONE)) {
             start();
           } else {
-            scheduler.after(RETRY_MICROS, () -> watch(revision));
+            scheduler.runAfter(RETRY_MICROS, () -> watch(revision));
           }
         });
   }
--- a/src/main/java/madderrudder/coordination/membership/LeaderLease.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderLease.java
@@ -66,7 +66,7 @@
   }
 
   private void renewAfter(long delayMicros) {
-    scheduler.after(
+    scheduler.runAfter(
         delayMicros,
         () -> {
           if (!released) {
--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -149,7 +149,7 @@
 
   /** Runs the action once after the delay, unless the term has ended by then. */
   public void runAfter(long delayMicros, Runnable action) {
-    scheduler.after(
+    scheduler.runAfter(
         delayMicros,
         () -> {
           if (!closed) {
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
@@ -126,7 +126,7 @@
             entry.zone(),
             entry.spot(),
             owned,
-            term.scheduler.wallMicros() - entry.ageMicros());
+            term.scheduler.wallClockMicros() - entry.ageMicros());
     machine.address = entry.address();
     return machine;
   }
@@ -142,7 +142,7 @@
     unknownSinceMicros.keySet().retainAll(listedIds);
     missingIds.clear();
     long minAgeMicros = maxLagMicros() + 2 * term.deployment.maxClockErrorMicros();
-    long wallMicros = term.scheduler.wallMicros();
+    long wallMicros = term.scheduler.wallClockMicros();
     for (Machine machine : term.cluster.machines.values()) {
       long ageMicros = wallMicros - machine.rentedWallMicros;
       if (!listedIds.contains(machine.id) && ageMicros > minAgeMicros) {
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -166,7 +166,7 @@
    */
   private boolean isBootOverdue(Machine machine, long nowMicros) {
     long knownForMicros = nowMicros - machine.discoveredMicros;
-    long ageMicros = term.scheduler.wallMicros() - machine.rentedWallMicros;
+    long ageMicros = term.scheduler.wallClockMicros() - machine.rentedWallMicros;
     long bootLimitMicros =
         Math.max(OVERDUE_BOOT_FACTOR * machine.type.bootMicros(), term.policy.idleMicros());
     return knownForMicros > 2 * term.safetyBounds.workerLeaseExpiryMicros()
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -56,7 +56,7 @@
 
   /** Returns how many machines may still be rented against the budget at present. */
   int budgetLeft() {
-    return budget.remaining(term.scheduler.wallMicros());
+    return budget.remaining(term.scheduler.wallClockMicros());
   }
 
   /**
@@ -64,7 +64,7 @@
    * left.
    */
   boolean reserve(int count) {
-    return budget.reserve(count, term.scheduler.wallMicros());
+    return budget.reserve(count, term.scheduler.wallClockMicros());
   }
 
   /**
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -204,7 +204,7 @@
             rental.zone(),
             rental.spot(),
             false,
-            term.scheduler.wallMicros());
+            term.scheduler.wallClockMicros());
     machines.queueRecord(machine);
   }
 }
--- a/src/main/java/madderrudder/persistence/CommitQueue.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -135,7 +135,7 @@
       scheduleFlush();
     } else if (!deferredFlushScheduled) {
       deferredFlushScheduled = true;
-      scheduler.after(
+      scheduler.runAfter(
           DEFERRED_FLUSH_DELAY_MICROS,
           () -> {
             deferredFlushScheduled = false;
@@ -179,7 +179,7 @@
       return;
     }
     flushScheduled = true;
-    scheduler.after(
+    scheduler.runAfter(
         Math.max(0, nextFlushMicros - scheduler.nowMicros()),
         () -> {
           flushScheduled = false;
--- a/src/main/java/madderrudder/persistence/FencedCommitter.java
+++ b/src/main/java/madderrudder/persistence/FencedCommitter.java
@@ -163,7 +163,7 @@
   }
 
   private void retryLater(Runnable retry) {
-    scheduler.after(
+    scheduler.runAfter(
         RETRY_DELAY_MICROS,
         () -> {
           if (!closed) {
--- a/src/main/java/madderrudder/persistence/RateLimiter.java
+++ b/src/main/java/madderrudder/persistence/RateLimiter.java
@@ -109,7 +109,7 @@
       runningOrScheduled = true;
       long waitMicros =
           MIN_WAIT_MICROS + (long) ((queue.peekFirst().cost() - tokens) / tokensPerMicro);
-      scheduler.after(
+      scheduler.runAfter(
           waitMicros,
           () -> {
             runningOrScheduled = false;
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -198,7 +198,7 @@
   }
 
   /** Whether this controller leads and its lease has not expired on its own clock. */
-  public boolean leads() {
+  public boolean holdsLeaderLease() {
     return election.holdsLease();
   }
 
@@ -207,7 +207,7 @@
    *
    * @param message the message without its length prefix
    */
-  public void receive(ByteBuffer message) {
+  public void handlePeerMessage(ByteBuffer message) {
     peerStatusExchange.receive(message);
   }
 
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -128,7 +128,7 @@
 
   /** Starts the periodic dispatch of pending heartbeats. */
   void start() {
-    scheduler.every(PENDING_CHECK_PERIOD_MICROS, this::dispatchPendingHeartbeats);
+    scheduler.runEvery(PENDING_CHECK_PERIOD_MICROS, this::dispatchPendingHeartbeats);
   }
 
   /** Handles a worker's heartbeat; a malformed one gets status 400. */
@@ -169,7 +169,7 @@
    */
   private void hold(ReceivedHeartbeat received) {
     pendingHeartbeats.add(received);
-    scheduler.after(
+    scheduler.runAfter(
         MAX_PENDING_MICROS,
         () -> {
           if (pendingHeartbeats.remove(received)) {
--- a/src/main/java/madderrudder/service/HeartbeatForwarder.java
+++ b/src/main/java/madderrudder/service/HeartbeatForwarder.java
@@ -57,7 +57,7 @@
     String text = new String(body, StandardCharsets.UTF_8);
     peerMessenger.send(
         leader, PeerMessageCodec.encode(new ForwardedHeartbeat(member, requestNumber, text)));
-    scheduler.after(
+    scheduler.runAfter(
         RESPONSE_TIMEOUT_MICROS,
         () -> {
           if (inFlight.remove(requestNumber) != null) {
--- a/src/main/java/madderrudder/service/JobEndpoint.java
+++ b/src/main/java/madderrudder/service/JobEndpoint.java
@@ -129,7 +129,7 @@
       rejectUnlessStored(id, Responses.error(422, reason.get().text()), callback);
       return;
     }
-    byte[] record = JobRecords.encodeLive(job, scheduler.wallMicros());
+    byte[] record = JobRecords.encodeLive(job, scheduler.wallClockMicros());
     if (record.length > maxRecordBytes) {
       rejectUnlessStored(id, Responses.error(400, "the job is too large to be kept"), callback);
       return;
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -87,7 +87,7 @@
 
   /** Starts to send status messages periodically. */
   void start() {
-    scheduler.every(STATUS_PERIOD_MICROS, this::sendStatus);
+    scheduler.runEvery(STATUS_PERIOD_MICROS, this::sendStatus);
   }
 
   /** The latest status of each peer that has sent one since the start; a live view. */
--- a/src/main/java/madderrudder/transport/Addresses.java
+++ b/src/main/java/madderrudder/transport/Addresses.java
@@ -17,7 +17,7 @@
   private Addresses() {}
 
   /** Returns whether the text is an IPv4 address with a port. */
-  public static boolean valid(String address) {
+  public static boolean isValid(String address) {
     try {
       parse(address);
       return true;
--- a/src/main/java/madderrudder/transport/EventLoop.java
+++ b/src/main/java/madderrudder/transport/EventLoop.java
@@ -127,7 +127,7 @@
    * Must be called on the event loop thread, or before {@link #run()}.
    */
   @Override
-  public Timer after(long delayMicros, Runnable action) {
+  public Timer runAfter(long delayMicros, Runnable action) {
     PendingTimer timer =
         new PendingTimer(nowMicros() + Math.max(0, delayMicros), nextSequence++, action);
     timers.add(timer);
@@ -140,7 +140,7 @@
   }
 
   @Override
-  public long wallMicros() {
+  public long wallClockMicros() {
     return System.currentTimeMillis() * 1000;
   }
 
--- a/src/main/java/madderrudder/transport/HttpClient.java
+++ b/src/main/java/madderrudder/transport/HttpClient.java
@@ -35,7 +35,7 @@
     this.scheduler = scheduler;
     this.group = group;
     this.maxConnections = maxConnections;
-    scheduler.every(MAX_IDLE_MICROS / 2, this::closeExpired);
+    scheduler.runEvery(MAX_IDLE_MICROS / 2, this::closeExpired);
   }
 
   @Override
--- a/src/main/java/madderrudder/transport/HttpClientConnection.java
+++ b/src/main/java/madderrudder/transport/HttpClientConnection.java
@@ -81,7 +81,7 @@
   void send(HttpRequest request, long timeoutMicros, Consumer<HttpResponse> onResponse) {
     this.onResponse = onResponse;
     requestSent = false;
-    timeout = scheduler.after(timeoutMicros, this::fail);
+    timeout = scheduler.runAfter(timeoutMicros, this::fail);
     ByteBuffer requestBytes = HttpMessageWriter.encodeRequest(address, request);
     if (connected) {
       write(requestBytes);
--- a/src/main/java/madderrudder/transport/HttpResponse.java
+++ b/src/main/java/madderrudder/transport/HttpResponse.java
@@ -36,7 +36,7 @@
   }
 
   /** Returns whether the status is 200. */
-  public boolean ok() {
+  public boolean isOk() {
     return status == 200;
   }
 }
--- a/src/main/java/madderrudder/transport/HttpServer.java
+++ b/src/main/java/madderrudder/transport/HttpServer.java
@@ -70,7 +70,7 @@
             LOG.info(
                 "failed to accept a client connection, retrying after a pause: {}",
                 cause.toString()));
-    scheduler.every(TIMEOUT_CHECK_INTERVAL_MICROS, this::closeTimedOut);
+    scheduler.runEvery(TIMEOUT_CHECK_INTERVAL_MICROS, this::closeTimedOut);
   }
 
   private void onAccepted(AsynchronousSocketChannel channel) {
--- a/src/main/java/madderrudder/transport/Scheduler.java
+++ b/src/main/java/madderrudder/transport/Scheduler.java
@@ -18,21 +18,21 @@
    * Returns the wall clock in microseconds since 1970. Its error is within the bound given in the
    * settings.
    */
-  long wallMicros();
+  long wallClockMicros();
 
   /** Runs the action once, after the delay, on the thread of the scheduler. */
-  Timer after(long delayMicros, Runnable action);
+  Timer runAfter(long delayMicros, Runnable action);
 
   /**
    * Runs the action repeatedly. The period is the time before the first run, and from the end of
    * each run to the start of the next.
    */
-  default void every(long periodMicros, Runnable action) {
-    after(
+  default void runEvery(long periodMicros, Runnable action) {
+    runAfter(
         periodMicros,
         () -> {
           action.run();
-          every(periodMicros, action);
+          runEvery(periodMicros, action);
         });
   }
 
--- a/src/main/java/madderrudder/transport/SocketListener.java
+++ b/src/main/java/madderrudder/transport/SocketListener.java
@@ -70,7 +70,7 @@
           @Override
           public void failed(Throwable cause, Void unused) {
             onFailure.accept(cause);
-            scheduler.after(retryDelayMicros, () -> channel.accept(null, this));
+            scheduler.runAfter(retryDelayMicros, () -> channel.accept(null, this));
           }
         });
   }
--- a/src/test/java/madderrudder/cli/PackagedProgramIT.java
+++ b/src/test/java/madderrudder/cli/PackagedProgramIT.java
@@ -151,8 +151,8 @@
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
     LoopbackServices services = new LoopbackServices(loop);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    HttpServer store = new HttpServer(loop, group, any, 64, services.store());
-    HttpServer cloud = new HttpServer(loop, group, any, 64, services.cloud());
+    HttpServer store = new HttpServer(loop, group, any, 64, services.storeHandler());
+    HttpServer cloud = new HttpServer(loop, group, any, 64, services.cloudHandler());
     loop.execute(
         () -> {
           store.start();
--- a/src/test/java/madderrudder/coordination/cloud/CloudClientTest.java
+++ b/src/test/java/madderrudder/coordination/cloud/CloudClientTest.java
@@ -24,12 +24,12 @@
     }
 
     @Override
-    public long wallMicros() {
+    public long wallClockMicros() {
       return 0;
     }
 
     @Override
-    public Timer after(long delayMicros, Runnable action) {
+    public Timer runAfter(long delayMicros, Runnable action) {
       return () -> {};
     }
 
--- a/src/test/java/madderrudder/sim/LoopbackServices.java
+++ b/src/test/java/madderrudder/sim/LoopbackServices.java
@@ -51,18 +51,18 @@
     cloud.start(0);
     store.expireLeasesPeriodically();
     long startMicros = realClock.nowMicros();
-    realClock.every(
+    realClock.runEvery(
         STEP_MICROS, () -> scheduler.runUntil(realClock.nowMicros() - startMicros, () -> {}));
   }
 
   /** The handler of the store's requests; to be called on the scheduler's thread. */
-  public HttpHandler store() {
+  public HttpHandler storeHandler() {
     HttpHandler endpoint = store.endpointFor("n-0");
     return (HttpRequest request, Consumer<HttpResponse> answer) -> endpoint.handle(request, answer);
   }
 
   /** The handler of the cloud's requests; to be called on the scheduler's thread. */
-  public HttpHandler cloud() {
+  public HttpHandler cloudHandler() {
     return cloud;
   }
 }
--- a/src/test/java/madderrudder/sim/SimNetwork.java
+++ b/src/test/java/madderrudder/sim/SimNetwork.java
@@ -239,16 +239,16 @@
           };
       Endpoint target = endpoints.get(address);
       if (target == null) {
-        clock.after(
+        clock.runAfter(
             scheduler.chance(0.5) ? LATENCY_MICROS : timeoutMicros,
             () -> once.accept(HttpResponse.notSent()));
         return;
       }
       if (outboundBlocked.contains(from)) {
-        clock.after(timeoutMicros, () -> once.accept(HttpResponse.notSent()));
+        clock.runAfter(timeoutMicros, () -> once.accept(HttpResponse.notSent()));
         return;
       }
-      clock.after(timeoutMicros, () -> once.accept(HttpResponse.noResponse()));
+      clock.runAfter(timeoutMicros, () -> once.accept(HttpResponse.noResponse()));
       transmit(
           from,
           target.host(),
--- a/src/test/java/madderrudder/sim/SimScheduler.java
+++ b/src/test/java/madderrudder/sim/SimScheduler.java
@@ -116,12 +116,12 @@
     }
 
     @Override
-    public long wallMicros() {
+    public long wallClockMicros() {
       return 1_790_000_000_000_000L + nowMicros + wallOffsetMicros;
     }
 
     @Override
-    public Timer after(long delayMicros, Runnable action) {
+    public Timer runAfter(long delayMicros, Runnable action) {
       boolean[] cancelled = new boolean[1];
       SimScheduler.this.after(
           (long) Math.ceil(delayMicros / rate),
@@ -138,7 +138,7 @@
 
     @Override
     public void execute(Runnable action) {
-      after(0, action);
+      runAfter(0, action);
     }
   }
 }
--- a/src/test/java/madderrudder/sim/SimUsers.java
+++ b/src/test/java/madderrudder/sim/SimUsers.java
@@ -93,7 +93,7 @@
    * cancels some of them.
    */
   void submitRandomJobs(long everyMicros, long untilMicros) {
-    clock.after(
+    clock.runAfter(
         scheduler.random.nextLong(2 * everyMicros),
         () -> {
           if (scheduler.nowMicros < untilMicros) {
@@ -101,7 +101,7 @@
             invariants.jobSubmitted(job);
             if (guestAndFailingJobsEnabled && scheduler.chance(0.06)) {
               invariants.failingJobs.add(job.id());
-              clock.after(
+              clock.runAfter(
                   30_000_000 + scheduler.random.nextLong(90_000_000), () -> cancel(job.id()));
             }
             submitted.add(job.id());
@@ -109,7 +109,7 @@
             // Cancels every service at some time, since services don't end by themselves and would
             // fill the limit of each team, so that no further job could be served.
             if (job.kind() == JobKind.SERVICE || scheduler.chance(0.3)) {
-              clock.after(
+              clock.runAfter(
                   scheduler.random.nextLong(
                       job.kind() == JobKind.SERVICE ? 120_000_000 : 60_000_000),
                   () -> cancel(job.id()));
@@ -143,7 +143,7 @@
    */
   List<String> cancelRunningStaggered(int max) {
     List<String> cancelled = runningJobs(max);
-    cancelled.forEach(job -> clock.after(scheduler.random.nextLong(200_000), () -> cancel(job)));
+    cancelled.forEach(job -> clock.runAfter(scheduler.random.nextLong(200_000), () -> cancel(job)));
     return cancelled;
   }
 
@@ -171,7 +171,7 @@
    */
   void cancelAtCompletion(double share, long durationMicros) {
     cancelAtCompletionRate = share;
-    clock.after(durationMicros, () -> cancelAtCompletionRate = 0);
+    clock.runAfter(durationMicros, () -> cancelAtCompletionRate = 0);
   }
 
   private void onCompletion(String job) {
@@ -179,9 +179,9 @@
       cancelledAtCompletion++;
       for (String address : controllerAddresses) {
         long delayMicros = scheduler.random.nextLong(700_000);
-        clock.after(delayMicros, () -> cancel(job, address));
-        clock.after(delayMicros + scheduler.random.nextLong(60_000), () -> query(job, address));
-        clock.after(scheduler.random.nextLong(700_000), () -> resubmit(job, address));
+        clock.runAfter(delayMicros, () -> cancel(job, address));
+        clock.runAfter(delayMicros + scheduler.random.nextLong(60_000), () -> query(job, address));
+        clock.runAfter(scheduler.random.nextLong(700_000), () -> resubmit(job, address));
       }
     }
   }
@@ -201,12 +201,12 @@
     for (String address : controllerAddresses) {
       for (int i = 0; i < 3; i++) {
         immediatePolls++;
-        clock.after(scheduler.random.nextLong(40_000), () -> query(job, address));
+        clock.runAfter(scheduler.random.nextLong(40_000), () -> query(job, address));
       }
-      clock.after(scheduler.random.nextLong(40_000), () -> resubmit(job, address));
+      clock.runAfter(scheduler.random.nextLong(40_000), () -> resubmit(job, address));
     }
     if (scheduler.chance(0.15)) {
-      clock.after(scheduler.random.nextLong(40_000), () -> cancel(job));
+      clock.runAfter(scheduler.random.nextLong(40_000), () -> cancel(job));
     }
   }
 
@@ -216,7 +216,7 @@
    */
   void sendInvalidRequests(long durationMicros) {
     long untilMicros = scheduler.nowMicros + durationMicros;
-    clock.after(
+    clock.runAfter(
         200_000,
         () -> {
           String job = submitted.get(scheduler.random.nextInt(submitted.size()));
@@ -267,13 +267,13 @@
   /** Divides the polling interval of all users by the factor for the given time. */
   void pollMoreOften(int factor, long durationMicros) {
     pollIntervalMicros = POLL_INTERVAL_MICROS / factor;
-    clock.after(durationMicros, () -> pollIntervalMicros = POLL_INTERVAL_MICROS);
+    clock.runAfter(durationMicros, () -> pollIntervalMicros = POLL_INTERVAL_MICROS);
   }
 
   /** Polls all submitted jobs every ten seconds from now on, also those that have ended. */
   void pollAllJobs() {
     submitted.forEach(this::query);
-    clock.after(POLL_ALL_INTERVAL_MICROS, this::pollAllJobs);
+    clock.runAfter(POLL_ALL_INTERVAL_MICROS, this::pollAllJobs);
   }
 
   /** Submits the given job, in addition to the random ones. */
@@ -363,12 +363,12 @@
               job.id(), response.status(), stateIn(response), true, requestedAtMicros);
           if (response.status() == 200 || response.status() == 201) {
             if (scheduler.chance(0.2)) {
-              clock.after(scheduler.random.nextLong(90_000_000), () -> submit(job));
+              clock.runAfter(scheduler.random.nextLong(90_000_000), () -> submit(job));
             } else {
               poll(job.id());
             }
           } else {
-            clock.after(RETRY_DELAY_MICROS, () -> submit(job));
+            clock.runAfter(RETRY_DELAY_MICROS, () -> submit(job));
           }
         });
   }
@@ -378,7 +378,7 @@
     // Some polling continues after the job has ended, to check that its final state does not
     // change.
     if (!invariants.isFinished(job) || scheduler.chance(0.7)) {
-      clock.after(pollIntervalMicros, () -> poll(job));
+      clock.runAfter(pollIntervalMicros, () -> poll(job));
     }
   }
 
@@ -414,7 +414,7 @@
           if (response.status() == 200) {
             invariants.jobAnswered(job, 200, stateIn(response), false, requestedAtMicros);
           } else if (response.status() != 404 || retriesUnknownCancellations) {
-            clock.after(RETRY_DELAY_MICROS, () -> cancel(job));
+            clock.runAfter(RETRY_DELAY_MICROS, () -> cancel(job));
           }
         });
   }
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -109,7 +109,7 @@
   }
 
   private void checkLeasePeriodically() {
-    clock.after(
+    clock.runAfter(
         100_000,
         () -> {
           expireLease();
@@ -188,7 +188,7 @@
   }
 
   private Scheduler.Timer schedule(long delayMicros, Runnable action) {
-    return clock.after(delayMicros, () -> runOrDefer(action));
+    return clock.runAfter(delayMicros, () -> runOrDefer(action));
   }
 
   /** Runs the action now, after the hang if the machine hangs, or not at all if it has ended. */
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -287,13 +287,13 @@
     if (target != null) {
       // The transport has already read the 4-byte length prefix.
       ByteBuffer body = ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice();
-      target.clock().runOrDefer(() -> target.node().receive(body));
+      target.clock().runOrDefer(() -> target.node().handlePeerMessage(body));
     }
   }
 
   /** Whether the controller is running and considers itself the leader. */
   boolean isLeader(String name) {
-    return processes.containsKey(name) && processes.get(name).node().leads();
+    return processes.containsKey(name) && processes.get(name).node().holdsLeaderLease();
   }
 
   /** The JSON answer of a running controller to an operator's GET request. */
--- a/src/test/java/madderrudder/transport/HttpOverLoopbackTest.java
+++ b/src/test/java/madderrudder/transport/HttpOverLoopbackTest.java
@@ -75,7 +75,7 @@
     for (int round = 0; round < 3; round++) {
       HttpResponse response =
           call(server.port(), HttpRequest.post("/echo", body), RESPONSE_TIMEOUT_MICROS);
-      assertTrue(response.ok());
+      assertTrue(response.isOk());
       assertEquals(
           new String(body, StandardCharsets.UTF_8),
           new String(response.body(), StandardCharsets.UTF_8));
--- a/src/test/java/madderrudder/transport/ManualClock.java
+++ b/src/test/java/madderrudder/transport/ManualClock.java
@@ -28,12 +28,12 @@
   }
 
   @Override
-  public long wallMicros() {
+  public long wallClockMicros() {
     return nowMicros;
   }
 
   @Override
-  public Timer after(long delayMicros, Runnable action) {
+  public Timer runAfter(long delayMicros, Runnable action) {
     throw new UnsupportedOperationException();
   }
 
