--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -78,7 +78,8 @@
     Machine machine = findMachine(heartbeat);
     return machine != null
         && !machine.empty()
-        && machine.unacknowledgedFor(term.scheduler.nowMicros(), term.safetyBounds.workerLeaseExpiryMicros());
+        && machine.unacknowledgedFor(
+            term.scheduler.nowMicros(), term.safetyBounds.workerLeaseExpiryMicros());
   }
 
   /** Returns whether the machine has a task that waits only for its record to become durable. */
--- a/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
+++ b/src/main/java/madderrudder/coordination/leader/CoverageTracker.java
@@ -56,7 +56,8 @@
         term.cluster.jobs.size(),
         term.cluster.machines.size());
     coverage = assess();
-    guaranteedJobs = Demand.of(term.cluster, term.scheduler.wallClockMicros(), coverage).guaranteed();
+    guaranteedJobs =
+        Demand.of(term.cluster, term.scheduler.wallClockMicros(), coverage).guaranteed();
     acceptEarlyHeartbeats.run();
     coverage = assess();
     LOG.info(
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -44,7 +44,11 @@
     long cancellationsSettledMicros =
         term.cluster.cancellationsSettledMicros(jobs.knownUpToMicros());
     long knownUpToMicros = Math.min(cancellationsSettledMicros, term.election.leaseEndMicros());
-    return Math.max(0, knownUpToMicros + term.safetyBounds.maxAnswerWithoutStoreMicros() - term.scheduler.nowMicros());
+    return Math.max(
+        0,
+        knownUpToMicros
+            + term.safetyBounds.maxAnswerWithoutStoreMicros()
+            - term.scheduler.nowMicros());
   }
 
   /**
@@ -56,7 +60,9 @@
    */
   List<StampEcho> recordGrant(List<StampEcho> processes, long grantMicros) {
     long untilMicros = term.scheduler.nowMicros() + grantMicros;
-    return processes.stream().filter(echo -> term.delegation.recordGrant(echo, untilMicros)).toList();
+    return processes.stream()
+        .filter(echo -> term.delegation.recordGrant(echo, untilMicros))
+        .toList();
   }
 
   /** Records the lease renewals that another controller made on behalf of this leader. */
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -229,7 +229,8 @@
    */
   private boolean mostMachinesSilent() {
     long nowMicros = term.scheduler.nowMicros();
-    long silenceLimitMicros = 2 * term.deployment.workers().heartbeatIntervalMicros() + SILENCE_SLACK_MICROS;
+    long silenceLimitMicros =
+        2 * term.deployment.workers().heartbeatIntervalMicros() + SILENCE_SLACK_MICROS;
     int reported = 0;
     int silent = 0;
     for (Machine machine : term.cluster.machines.values()) {
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -161,12 +161,14 @@
    * it until its grant ended. The lease may then end later, and the answers of the other delegates
    * have to be known up to that later end.
    *
-   * @param lastAnsweredMicros the time of the last known answer to the worker
+   * @param lastLeaseRenewalMicros the time of the last known answer to the worker
    */
-  public boolean leaseExpired(long lastAnsweredMicros, long nowMicros) {
-    long endMicros = lastAnsweredMicros + safety.workerLeaseExpiryMicros();
+  public boolean leaseExpired(long lastLeaseRenewalMicros, long nowMicros) {
+    long endMicros = lastLeaseRenewalMicros + safety.workerLeaseExpiryMicros();
     for (Delegate delegate : delegates.values()) {
-      endMicros = Math.max(endMicros, delegate.predecessorsAnswerEndMicros + safety.workerLeaseExpiryMicros());
+      endMicros =
+          Math.max(
+              endMicros, delegate.predecessorsAnswerEndMicros + safety.workerLeaseExpiryMicros());
     }
     boolean recheck = nowMicros > endMicros;
     while (recheck) {
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -190,8 +190,8 @@
    *
    * @param highestTerm the highest known term
    * @param grantMicros for how long peers may answer, if this controller leads; else 0
-   * @param echoes the stamps to send back; those of {@link #peerEchoes} that the leader grants, if this
-   *     controller leads
+   * @param echoes the stamps to send back; those of {@link #peerEchoes} that the leader grants, if
+   *     this controller leads
    */
   public List<PeerMessage> statusMessages(
       long highestTerm, long grantMicros, List<StampEcho> echoes) {
--- a/src/main/java/madderrudder/coordination/policy/Deployment.java
+++ b/src/main/java/madderrudder/coordination/policy/Deployment.java
@@ -30,9 +30,10 @@
    *
    * @param heartbeatIntervalMicros the interval between heartbeats
    * @param leaseMicros how long a worker keeps its tasks after its last answered heartbeat
-   * @param gangAssemblyTimeoutMicros how long a task of a gang waits until all tasks of the gang are present
-   * @param gangLossDetectionMicros the time within which the other tasks of a gang detect the loss of one
-   *     task
+   * @param gangAssemblyTimeoutMicros how long a task of a gang waits until all tasks of the gang
+   *     are present
+   * @param gangLossDetectionMicros the time within which the other tasks of a gang detect the loss
+   *     of one task
    * @param cancelDeadlineMicros the time within which all tasks of a cancelled job must have ended
    */
   public record WorkerTimes(
--- a/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
+++ b/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
@@ -4,11 +4,12 @@
  * The time bounds on which the safety rules rely. Intervals measured on two monotonic clocks may
  * differ by twice the drift of one clock, so each bound is extended or reduced by more than that.
  *
- * @param workerLeaseExpiryMicros the time without contact after which a worker's lease has certainly expired
- *     and the worker has dropped its tasks, in microseconds
- * @param maxAnswerWithoutStoreMicros how long heartbeats may be answered without updates from the store, in
- *     microseconds: a worker that receives the last answer still drops a job that was cancelled in
- *     the meantime before the cancellation deadline; 0 if the settings leave no such time
+ * @param workerLeaseExpiryMicros the time without contact after which a worker's lease has
+ *     certainly expired and the worker has dropped its tasks, in microseconds
+ * @param maxAnswerWithoutStoreMicros how long heartbeats may be answered without updates from the
+ *     store, in microseconds: a worker that receives the last answer still drops a job that was
+ *     cancelled in the meantime before the cancellation deadline; 0 if the settings leave no such
+ *     time
  */
 public record SafetyBounds(long workerLeaseExpiryMicros, long maxAnswerWithoutStoreMicros) {
   private static final int LEADER_SILENCES_PER_LEASE = 4;
@@ -52,8 +53,10 @@
   /** Derives the bounds from the intervals and timeouts of workers. */
   public static SafetyBounds of(Deployment.WorkerTimes workers) {
     long driftMicros = workers.leaseMicros() / CLOCK_DRIFT_DIVISOR;
-    long leaseMicros = workers.leaseMicros() + driftMicros + SAFETY_MARGIN_MICROS / 2;
+    long workerLeaseExpiryMicros = workers.leaseMicros() + driftMicros + SAFETY_MARGIN_MICROS / 2;
     return new SafetyBounds(
-        leaseMicros, Math.max(0, workers.cancelDeadlineMicros() - leaseMicros - SAFETY_MARGIN_MICROS));
+        workerLeaseExpiryMicros,
+        Math.max(
+            0, workers.cancelDeadlineMicros() - workerLeaseExpiryMicros - SAFETY_MARGIN_MICROS));
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
@@ -81,18 +81,18 @@
     }
   }
 
-  private ClusterCoverage(boolean overdue) {
-    this.reportTimeoutPassed = overdue;
+  private ClusterCoverage(boolean reportTimeoutPassed) {
+    this.reportTimeoutPassed = reportTimeoutPassed;
   }
 
   /**
    * How long the leader waits for workers to report, in microseconds: the heartbeat interval, plus
    * the quarter by which it may be longer, plus one attempt at each controller.
    *
-   * @param members how many controllers there are
+   * @param controllerCount how many controllers there are
    */
-  public static long reportTimeoutMicros(WorkerTimes workers, int members) {
-    return workers.heartbeatIntervalMicros() * 5 / 4 + members * CONTROLLER_RETRY_MICROS;
+  public static long reportTimeoutMicros(WorkerTimes workers, int controllerCount) {
+    return workers.heartbeatIntervalMicros() * 5 / 4 + controllerCount * CONTROLLER_RETRY_MICROS;
   }
 
   /**
@@ -163,7 +163,9 @@
 
   /** Whether the machine was up, has not reported yet, and is likely to report soon. */
   public boolean mayStillReport(Machine machine) {
-    return !reportTimeoutPassed && unreported.contains(machine) && !cutOffZones.contains(machine.zone);
+    return !reportTimeoutPassed
+        && unreported.contains(machine)
+        && !cutOffZones.contains(machine.zone);
   }
 
   /** Whether the machine was up and has not reported, though it should have by now. */
--- a/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
+++ b/src/main/java/madderrudder/coordination/registry/JobProgressChange.java
@@ -85,7 +85,8 @@
     String id = job.spec.id();
     List<Write> writes = new ArrayList<>();
     writes.add(Write.delete(Keys.live(id)));
-    writes.add(Write.put(Keys.finished(id), JobRecords.encodeFinished(JobState.DONE, job.spec.tasks())));
+    writes.add(
+        Write.put(Keys.finished(id), JobRecords.encodeFinished(JobState.DONE, job.spec.tasks())));
     progressKeys(job).forEach(key -> writes.add(Write.delete(key)));
     return writes;
   }
--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -109,7 +109,9 @@
             onLost);
     learnedRunTimes = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
     runHistory = new RunHistory(number);
-    cluster = new Cluster(deployment, learnedRunTimes == null ? new EstimatedRunTimes() : learnedRunTimes);
+    cluster =
+        new Cluster(
+            deployment, learnedRunTimes == null ? new EstimatedRunTimes() : learnedRunTimes);
     delegation = new DelegationTracker(safetyBounds, scheduler.nowMicros());
     ids = new TermScopedIds(number);
   }
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -117,7 +117,8 @@
 
   private Estimate cachedEstimate(Job job) {
     long nowMicros = term.scheduler.nowMicros();
-    if (job.lastEstimate == null || nowMicros - job.lastEstimate.askedMicros() >= ESTIMATE_CACHE_MICROS) {
+    if (job.lastEstimate == null
+        || nowMicros - job.lastEstimate.askedMicros() >= ESTIMATE_CACHE_MICROS) {
       EstimateQuery query =
           new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, INTERVAL_COVERAGE);
       Estimate estimate = estimator.estimate(query);
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Adds a machine to the cluster state; {@link #queueRecord} queues its record for writing. A machine of
-   * a type that the cloud does not list has no capacity.
+   * Adds a machine to the cluster state; {@link #queueRecord} queues its record for writing. A
+   * machine of a type that the cloud does not list has no capacity.
    *
    * @param type the name of the machine type
    * @param rentedWallMicros the wall-clock time when it was rented, in microseconds
@@ -185,8 +185,8 @@
   }
 
   /**
-   * Marks the task to be stopped. Its machine is then among {@link #takeMachinesToCommand}, so that its
-   * worker is sent the command to stop the task.
+   * Marks the task to be stopped. Its machine is then among {@link #takeMachinesToCommand}, so that
+   * its worker is sent the command to stop the task.
    */
   public void markForEviction(Assignment assignment) {
     assignment.evicting = true;
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
@@ -86,7 +86,8 @@
     boolean nothingRentedOrPending = requests.noMachineRentedYet() && requests.pendingCount() == 0;
     boolean listedBeyondLag = !nothingRentedOrPending && isListedBeyondMaxLag(entry.id());
     MachineDecision decision =
-        MachineReconciler.decide(factsOfUnknown(entry.id(), listedBeyondLag), nothingRentedOrPending);
+        MachineReconciler.decide(
+            factsOfUnknown(entry.id(), listedBeyondLag), nothingRentedOrPending);
     switch (decision.verdict()) {
       case ADOPT_OWNED -> machines.queueRecord(adopt(entry, true));
       case ADOPT -> machines.queueRecord(adopt(entry, false));
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -146,7 +146,8 @@
     }
     boolean missedHeartbeat =
         machine.missedHeartbeat(nowMicros, term.deployment.workers().heartbeatIntervalMicros());
-    if (machine.unacknowledgedFor(nowMicros, term.safetyBounds.workerLeaseExpiryMicros()) && !missedHeartbeat) {
+    if (machine.unacknowledgedFor(nowMicros, term.safetyBounds.workerLeaseExpiryMicros())
+        && !missedHeartbeat) {
       return Worker.UNACKNOWLEDGED;
     }
     if (!machine.reported) {
@@ -168,6 +169,7 @@
     long ageMicros = term.scheduler.wallClockMicros() - machine.rentedWallMicros;
     long bootLimitMicros =
         Math.max(OVERDUE_BOOT_FACTOR * machine.type.bootMicros(), term.policy.idleMicros());
-    return knownForMicros > 2 * term.safetyBounds.workerLeaseExpiryMicros() && ageMicros > bootLimitMicros;
+    return knownForMicros > 2 * term.safetyBounds.workerLeaseExpiryMicros()
+        && ageMicros > bootLimitMicros;
   }
 }
--- a/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
@@ -32,7 +32,8 @@
 
   /** Starts to delete retired machines periodically, until the term ends. */
   void start() {
-    term.runEvery(term.policy.scaleOutIntervalMicros() / BATCHES_PER_POLL_INTERVAL, this::deleteNextBatch);
+    term.runEvery(
+        term.policy.scaleOutIntervalMicros() / BATCHES_PER_POLL_INTERVAL, this::deleteNextBatch);
   }
 
   private void deleteNextBatch() {
--- a/src/main/java/madderrudder/coordination/scheduling/Demand.java
+++ b/src/main/java/madderrudder/coordination/scheduling/Demand.java
@@ -87,7 +87,9 @@
     for (Job job : oldestFirst) {
       Resources demandSoFar =
           demandByTeam.merge(
-              job.spec.team(), job.spec.resourcesPerTask().times(job.remainingTasks()), Resources::plus);
+              job.spec.team(),
+              job.spec.resourcesPerTask().times(job.remainingTasks()),
+              Resources::plus);
       if (job.team.guarantees(demandSoFar)) {
         guaranteed.add(job);
       }
--- a/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
@@ -40,10 +40,10 @@
   }
 
   private static boolean unreachable(PlanningRound round, Machine machine) {
-    long reportMicros = round.cluster().deployment.workers().heartbeatIntervalMicros();
-    return machine.silent(round.nowMicros(), reportMicros)
+    long heartbeatIntervalMicros = round.cluster().deployment.workers().heartbeatIntervalMicros();
+    return machine.silent(round.nowMicros(), heartbeatIntervalMicros)
         || machine.unacknowledgedFor(
-            round.nowMicros(), Machine.silenceLimitMicros(reportMicros));
+            round.nowMicros(), Machine.silenceLimitMicros(heartbeatIntervalMicros));
   }
 
   private static void addProductionTasks(Machine machine, Map<Job, Integer> atRisk) {
--- a/src/main/java/madderrudder/persistence/CommitQueue.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -32,8 +32,8 @@
   private static final int LOW_TOKENS_SPACING_FACTOR = 2;
 
   /**
-   * {@link Urgency#DEFERRED} changes may always use the maximum number of writes divided by this, so
-   * that more urgent changes cannot starve them.
+   * {@link Urgency#DEFERRED} changes may always use the maximum number of writes divided by this,
+   * so that more urgent changes cannot starve them.
    */
   private static final int DEFERRED_MIN_WRITES_DIVISOR = 8;
 
@@ -206,14 +206,14 @@
     TransactionBuilder builder = committer.begin();
     if (builder.takeFrom(queues.get(Urgency.IMMEDIATE), maxWrites)
         && builder.takeFrom(queues.get(Urgency.NORMAL), maxWrites)) {
-      // LATER changes use the remaining write tokens, and always a minimum share of the
+      // DEFERRED changes use the remaining write tokens, and always a minimum share of the
       // transaction, so that they are written eventually.
-      int laterLimit =
+      int deferredLimit =
           (int)
               Math.max(
                   builder.writes() + maxWrites / DEFERRED_MIN_WRITES_DIVISOR,
                   writeLimiter.availableTokens());
-      builder.takeFrom(queues.get(Urgency.DEFERRED), Math.min(maxWrites, laterLimit));
+      builder.takeFrom(queues.get(Urgency.DEFERRED), Math.min(maxWrites, deferredLimit));
     }
     return builder.build();
   }
--- a/src/main/java/madderrudder/persistence/LiveJobChecker.java
+++ b/src/main/java/madderrudder/persistence/LiveJobChecker.java
@@ -95,7 +95,8 @@
     if (!known) {
       pending.clear();
     }
-    Set<String> failedKeys = new HashSet<>(reply.is(Outcome.CONFLICT) ? reply.failedKeys() : List.of());
+    Set<String> failedKeys =
+        new HashSet<>(reply.is(Outcome.CONFLICT) ? reply.failedKeys() : List.of());
     batch.forEach(
         (condition, callbacks) -> {
           Answer result = known ? resultOf(condition, failedKeys) : Answer.UNKNOWN;
--- a/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
+++ b/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
@@ -72,7 +72,8 @@
 
   /** Adds the id of a machine that no longer exists; returns false if it does not fit. */
   public boolean addRemovedMachine(String machine) {
-    return reserveBytes(encodedBytes(machine) + ITEM_OVERHEAD_BYTES) && removedMachines.add(machine);
+    return reserveBytes(encodedBytes(machine) + ITEM_OVERHEAD_BYTES)
+        && removedMachines.add(machine);
   }
 
   /** Adds an attempt that may be on a machine; returns false if it does not fit. */
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -16,7 +16,12 @@
  * @param countsAgainstBudget whether they count against the rental budget
  */
 public record RentalRecord(
-    String requestId, String type, String zone, boolean spot, int count, boolean countsAgainstBudget) {
+    String requestId,
+    String type,
+    String zone,
+    boolean spot,
+    int count,
+    boolean countsAgainstBudget) {
   /**
    * Encodes the record without the request id, which is part of its key. The JSON layout is stored
    * and must not change.
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -291,7 +291,8 @@
         }
         case 409 -> {
           lastProcessedMicros = scheduler.nowMicros();
-          return new StoreReply<>(Outcome.CONFLICT, null, StoreCodec.readFailedKeys(response.body()));
+          return new StoreReply<>(
+              Outcome.CONFLICT, null, StoreCodec.readFailedKeys(response.body()));
         }
         case 400 -> {
           LOG.info(
--- a/src/main/java/madderrudder/protocol/JobCodec.java
+++ b/src/main/java/madderrudder/protocol/JobCodec.java
@@ -68,7 +68,7 @@
     JobKind kind = KINDS.read(in, JobFields.KIND);
     Priority priority = PRIORITIES.read(in, JobFields.PRIORITY);
     int tasks = readTaskCount(in);
-    Resources perTask = readResources(in);
+    Resources resourcesPerTask = readResources(in);
     Set<String> types = readMachineTypes(in);
     long deadlineMicros = in.secondsAsMicros(JobFields.DEADLINE_SECONDS, 0);
     return new JobSpec(
@@ -78,7 +78,7 @@
         kind,
         priority,
         tasks,
-        perTask,
+        resourcesPerTask,
         readName(in, JobFields.IMAGE),
         in.amount(JobFields.IMAGE_GB),
         types,
@@ -101,14 +101,14 @@
   }
 
   private static Resources readResources(JsonFields in) throws MalformedMessageException {
-    Resources perTask =
+    Resources resourcesPerTask =
         Resources.of(
             in.amount(JobFields.CPUS), in.amount(JobFields.GPUS), in.amount(JobFields.MEMORY_GB));
-    if (perTask.milliCpus() == 0 && perTask.milliGpus() == 0) {
+    if (resourcesPerTask.milliCpus() == 0 && resourcesPerTask.milliGpus() == 0) {
       throw MalformedMessageException.ofField(
           JobFields.CPUS, "is out of range", in.amount(JobFields.CPUS));
     }
-    return perTask;
+    return resourcesPerTask;
   }
 
   /** Reads the allowed machine types; null if the job may use any type. */
--- a/src/main/java/madderrudder/protocol/PeerMessage.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -56,8 +56,8 @@
    * @param term the highest term that the sender knows of
    * @param grantMicros if the sender leads in the term, how long a peer may answer workers on its
    *     behalf, counted from the peer's stamp in {@code echoes}; otherwise 0
-   * @param renewalMessageCount the number of {@link DelegatedRenewals} messages with the same stamp that
-   *     precede this message
+   * @param renewalMessageCount the number of {@link DelegatedRenewals} messages with the same stamp
+   *     that precede this message
    * @param echoes the stamp that the sender last received from each peer
    */
   record MembershipStatus(
@@ -107,7 +107,8 @@
    * @param number the number that the forwarding controller assigns; the response repeats it
    * @param heartbeatBody the body of the heartbeat as the worker sent it
    */
-  record ForwardedHeartbeat(String member, long number, String heartbeatBody) implements PeerMessage {}
+  record ForwardedHeartbeat(String member, long number, String heartbeatBody)
+      implements PeerMessage {}
 
   /**
    * The leader's response to a forwarded heartbeat.
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -117,7 +117,9 @@
         scheduler,
         httpCaller,
         settings.stateAddress(),
-        deployment.state().requestsPerSecond() * USER_REQUESTS_FRACTION / deployment.controllerCount(),
+        deployment.state().requestsPerSecond()
+            * USER_REQUESTS_FRACTION
+            / deployment.controllerCount(),
         deployment.state().writesPerSecond() * USER_WRITES_FRACTION / deployment.controllerCount());
   }
 
@@ -158,7 +160,8 @@
     Deployment deployment = settings.deployment();
     WriteRateAllocator writeRateAllocator =
         new WriteRateAllocator(
-            deployment.state().writesPerSecond() * USER_WRITES_FRACTION, deployment.controllerCount());
+            deployment.state().writesPerSecond() * USER_WRITES_FRACTION,
+            deployment.controllerCount());
     return new PeerStatusExchange(
         new PeerStatusExchange.Dependencies(
             scheduler,
--- a/src/main/java/madderrudder/service/JobAdmission.java
+++ b/src/main/java/madderrudder/service/JobAdmission.java
@@ -42,6 +42,8 @@
 
   /** The resources of one task for an array, whose tasks may run in sequence, else of all tasks. */
   private static Resources concurrentResources(JobSpec job) {
-    return job.kind() == JobKind.ARRAY ? job.resourcesPerTask() : job.resourcesPerTask().times(job.tasks());
+    return job.kind() == JobKind.ARRAY
+        ? job.resourcesPerTask()
+        : job.resourcesPerTask().times(job.tasks());
   }
 }
--- a/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
@@ -122,7 +122,8 @@
   void replicasAreSpreadOverMachines() {
     Machine occupied = addMachine("m-0", "east", true);
     Machine other = addMachine("m-1", "east", true);
-    addRunningTask(addJob("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, occupied);
+    addRunningTask(
+        addJob("req-1", "alto", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, occupied);
     addRunningTask(addJob("req-2", "alto", JobKind.ARRAY, Priority.NORMAL, 1, 1, false), 0, other);
     addJob("req-3", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false);
     assertEquals(
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
@@ -109,7 +109,10 @@
     }
     assertTrue(attempts > 8 && attempts < 20, attempts + " attempts in ten minutes");
     failingJob.recordCompletion();
-    cluster.machines.values().forEach(machine -> machine.lastHeartbeatAnsweredMicros = 700 * SECOND);
+    cluster
+        .machines
+        .values()
+        .forEach(machine -> machine.lastHeartbeatAnsweredMicros = 700 * SECOND);
     // Once a task has completed, the job may again use the machines on which it failed.
     assertTrue(
         Placer.plan(cluster, POLICY, Demand.of(cluster, 0), 700 * SECOND).size() > 4,
--- a/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
@@ -23,7 +23,10 @@
     Assignment younger = addRunningTask(batch, 0, reclaimed);
     Assignment nearlyDone = addRunningTask(batch, 1, reclaimed);
     Assignment replica =
-        addRunningTask(addJob("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false), 0, reclaimed);
+        addRunningTask(
+            addJob("req-2", "basso", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, false),
+            0,
+            reclaimed);
     Assignment elsewhere = addRunningTask(batch, 2, addMachine("m-1", "east", false));
     younger.runningMicros = 10 * SECOND;
     nearlyDone.runningMicros = 0;
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -73,14 +73,17 @@
 
   @Test
   void progressEncodesToStoredForm() {
-    assertEquals(PROGRESS, text(JobRecords.encodeProgress(BitSet.valueOf(new long[] {5}), 0, true)));
+    assertEquals(
+        PROGRESS, text(JobRecords.encodeProgress(BitSet.valueOf(new long[] {5}), 0, true)));
   }
 
   @Test
   void progressDecodesFromStoredForm() throws MalformedMessageException {
     BitSet done = new BitSet();
     JobRecords.decodeProgress(Json.readObject(bytes(PROGRESS)), 1, done);
-    assertEquals(BitSet.valueOf(new long[] {5}), done.get(JobRecords.TASKS_PER_CHUNK, 2 * JobRecords.TASKS_PER_CHUNK));
+    assertEquals(
+        BitSet.valueOf(new long[] {5}),
+        done.get(JobRecords.TASKS_PER_CHUNK, 2 * JobRecords.TASKS_PER_CHUNK));
     assertEquals(2, done.cardinality());
     assertTrue(JobRecords.readFailing(Json.readObject(bytes(PROGRESS))));
   }
--- a/src/test/java/madderrudder/sim/FreeCapacity.java
+++ b/src/test/java/madderrudder/sim/FreeCapacity.java
@@ -35,7 +35,8 @@
       }
     }
     fittingByZone.replaceAll(
-        (zone, tasks) -> Math.min(tasks, job.maxTasksPerZone() - tasksByZone.getOrDefault(zone, 0)));
+        (zone, tasks) ->
+            Math.min(tasks, job.maxTasksPerZone() - tasksByZone.getOrDefault(zone, 0)));
     return job.oneZone()
         ? fittingByZone.values().stream().max(Integer::compare).orElse(0)
         : fittingByZone.values().stream().mapToInt(Integer::intValue).sum();
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -421,7 +421,8 @@
   }
 
   private boolean hasCapacity(JobSpec job, int tasksNeeded, List<SimWorker> machines) {
-    Resources usage = usage(job.team(), holders.keySet()).plus(job.resourcesPerTask().times(tasksNeeded));
+    Resources usage =
+        usage(job.team(), holders.keySet()).plus(job.resourcesPerTask().times(tasksNeeded));
     return FreeCapacity.tasksThatFit(job, holders, machines) >= tasksNeeded
         && deployment.teams().get(job.team()).allows(usage);
   }
@@ -517,7 +518,8 @@
         (name, jobs) -> {
           if (name.startsWith("class ")) {
             List<JobSpec> bySize = new ArrayList<>(jobs);
-            bySize.sort(Comparator.comparingLong(job -> -job.resourcesPerTask().milliCpus() * job.tasks()));
+            bySize.sort(
+                Comparator.comparingLong(job -> -job.resourcesPerTask().milliCpus() * job.tasks()));
             checkHalfServed(
                 "largest of " + name,
                 bySize.subList(0, Math.min(jobs.size(), Math.max(3, jobs.size() / 10))),
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -278,7 +278,8 @@
 
   private void onReply(HttpResponse response, long sentMicros, long sentEpoch) {
     heartbeatInFlight = false;
-    long nextMicros = (long) (times.heartbeatIntervalMicros() * (0.75 + scheduler.random.nextDouble() / 2));
+    long nextMicros =
+        (long) (times.heartbeatIntervalMicros() * (0.75 + scheduler.random.nextDouble() / 2));
     try {
       boolean inTime = clock.nowMicros() - sentMicros <= REPLY_TIMEOUT_MICROS;
       assertTrue(
