--- a/src/main/java/madderrudder/cli/Main.java
+++ b/src/main/java/madderrudder/cli/Main.java
@@ -106,7 +106,7 @@
     readLogLevel();
     PlatformSettings settings = SettingsFiles.readPlatform(files.configFile());
     SettingsFiles.readOperator(files.operatorFile());
-    out.println("the settings of " + settings.member() + " are valid");
+    out.println("the settings of " + settings.memberName() + " are valid");
     return SUCCESS;
   }
 
--- a/src/main/java/madderrudder/cli/ServeCommand.java
+++ b/src/main/java/madderrudder/cli/ServeCommand.java
@@ -63,7 +63,7 @@
             loop,
             group,
             Addresses.parse(settings.peerListenAddress()),
-            settings.peers(),
+            settings.peerAddresses(),
             PeerMessageCodec.MAX_BYTES,
             message -> node.handlePeerMessage(message));
     node = new ControllerNode(loop, client, peers, new SplittableRandom(), settings, policy);
@@ -81,7 +81,7 @@
           node.start();
           LOG.info(
               "controller {} serves users and workers on {}",
-              settings.member(),
+              settings.memberName(),
               settings.clientListenAddress());
         });
   }
--- a/src/main/java/madderrudder/config/PlatformSettings.java
+++ b/src/main/java/madderrudder/config/PlatformSettings.java
@@ -6,25 +6,25 @@
 /**
  * The platform's settings, validated.
  *
- * @param member this controller's name
+ * @param memberName this controller's name
  * @param zone the zone this controller runs in
  * @param clientListenAddress the address on which this controller serves users and workers
  * @param peerListenAddress the address on which this controller accepts connections of other
  *     controllers
- * @param peers the addresses of the other controllers, by name
+ * @param peerAddresses the addresses of the other controllers, by name
  * @param cloudAddress the address of the cloud's API
- * @param stateAddress the address of the key-value store
+ * @param storeAddress the address of the key-value store
  * @param deployment the zones, teams, limits and objectives of the platform
  * @param maxSockets the maximum number of sockets that this process may have open
  */
 public record PlatformSettings(
-    String member,
+    String memberName,
     String zone,
     String clientListenAddress,
     String peerListenAddress,
-    Map<String, String> peers,
+    Map<String, String> peerAddresses,
     String cloudAddress,
-    String stateAddress,
+    String storeAddress,
     Deployment deployment,
     int maxSockets) {
 
--- a/src/main/java/madderrudder/config/PlatformSettingsReader.java
+++ b/src/main/java/madderrudder/config/PlatformSettingsReader.java
@@ -35,7 +35,7 @@
   }
 
   private PlatformSettings readSettings() throws InvalidSettingsException {
-    Map<String, String> peers = readPeers();
+    Map<String, String> peerAddresses = readPeerAddresses();
     JsonFields external =
         problems.readOrDefault("external", emptySection, () -> root.object("external"));
     JsonFields deployment =
@@ -46,27 +46,27 @@
             problems.readOrDefault("zone", "", () -> root.text("zone")),
             problems.address("", root, "client_listen"),
             problems.address("", root, "mesh_addr"),
-            peers,
+            peerAddresses,
             problems.address("external.", external, "cloud"),
             problems.address("external.", external, "state"),
-            readDeployment(deployment, peers.size() + 1),
+            readDeployment(deployment, peerAddresses.size() + 1),
             readMaxSockets(deployment));
     problems.throwIfAny();
     return settings;
   }
 
-  private Map<String, String> readPeers() {
-    Map<String, String> peers = new LinkedHashMap<>();
+  private Map<String, String> readPeerAddresses() {
+    Map<String, String> peerAddresses = new LinkedHashMap<>();
     List<JsonFields> members =
         problems.readOrDefault("members", List.<JsonFields>of(), () -> root.objects("members"));
     for (JsonFields peer : members) {
-      String path = "members[" + peers.size() + "].";
+      String path = "members[" + peerAddresses.size() + "].";
       String name = problems.readOrDefault(path + "member", "", () -> peer.text("member"));
-      if (peers.put(name, problems.address(path, peer, "peer_addr")) != null) {
+      if (peerAddresses.put(name, problems.address(path, peer, "peer_addr")) != null) {
         problems.add(path + "member", "\"" + name + "\" is listed twice");
       }
     }
-    return peers;
+    return peerAddresses;
   }
 
   private Deployment readDeployment(JsonFields section, int controllerCount) {
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
@@ -70,19 +70,19 @@
    * @return true if any assignment was released
    */
   boolean releaseGoneAssignments(Machine machine) {
-    List<Assignment> goneAssignments = new ArrayList<>();
+    List<Assignment> releasableAssignments = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
       if (!assignment.reportedByWorker()
           && assignment.startSequence >= 0
           && assignment.startSequence < machine.sequence) {
         machine.expectAcknowledgement(term.scheduler.nowMicros());
       }
-      if (facts.decide(assignment).verdict() == Verdict.GONE) {
-        goneAssignments.add(assignment);
+      if (facts.decide(assignment).verdict() == Verdict.RELEASE) {
+        releasableAssignments.add(assignment);
       }
     }
-    goneAssignments.forEach(machines::release);
-    return !goneAssignments.isEmpty();
+    releasableAssignments.forEach(machines::release);
+    return !releasableAssignments.isEmpty();
   }
 
   private boolean applyStatus(Assignment assignment, TaskStatus task, long token, long nowMicros) {
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
@@ -19,7 +19,7 @@
     ADOPT,
     /** Return the machine to the cloud. */
     RETURN,
-    /** The machine no longer exists: remove it and release its tasks. */
-    GONE
+    /** Remove the machine, which no longer exists, and release its tasks. */
+    REMOVE
   }
 }
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
@@ -28,7 +28,7 @@
     /** The log contains it. */
     YES,
     /** It was removed in this term: its deletion was confirmed, or it was found gone. */
-    GONE
+    REMOVED
   }
 
   /** The state of a machine in the cloud's list. */
@@ -36,9 +36,9 @@
     /** Inconclusive: no list was received since, or the machine may be too new to be listed. */
     UNKNOWN,
     /** The machine is listed. */
-    THERE,
+    LISTED,
     /** Listed for longer than a scale-out response or a deletion can be in flight. */
-    LASTING,
+    LISTED_FOR_LONG,
     /** Listed as failed: it stopped without being deleted. */
     FAILED,
     /** Absent from a list that would contain it if it existed. */
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineReconciler.java
@@ -25,7 +25,7 @@
           Verdict.AWAIT,
           "a scale-out response may still name it, or its deletion may be in progress");
   private static final MachineDecision NOT_LISTED =
-      new MachineDecision(Verdict.GONE, "the cloud no longer lists it");
+      new MachineDecision(Verdict.REMOVE, "the cloud no longer lists it");
   private static final MachineDecision RETURNING =
       new MachineDecision(Verdict.KEEP, "it is already being returned");
   private static final MachineDecision OWNED =
@@ -64,7 +64,7 @@
    */
   public static MachineDecision decide(MachineFacts facts, boolean nothingRented) {
     return switch (facts.recorded()) {
-      case GONE -> REMOVED;
+      case REMOVED -> REMOVED;
       case NO -> decideUnrecorded(facts, nothingRented);
       case YES -> decideRecorded(facts);
     };
@@ -72,7 +72,7 @@
 
   private static MachineDecision decideUnrecorded(MachineFacts facts, boolean nothingRented) {
     boolean reports = facts.worker() == Worker.REPORTS;
-    boolean isListed = facts.listed() == Listed.THERE || facts.listed() == Listed.LASTING;
+    boolean isListed = facts.listed() == Listed.LISTED || facts.listed() == Listed.LISTED_FOR_LONG;
     if (nothingRented && (reports || isListed)) {
       return FOUND_OWNED;
     }
@@ -80,8 +80,8 @@
       return UNRECORDED_REPORTING;
     }
     return switch (facts.listed()) {
-      case LASTING -> UNRECORDED_LISTED;
-      case THERE -> RENTAL_OR_DELETION_IN_FLIGHT;
+      case LISTED_FOR_LONG -> UNRECORDED_LISTED;
+      case LISTED -> RENTAL_OR_DELETION_IN_FLIGHT;
       case UNKNOWN, FAILED, MISSING -> NOT_SHOWN_RUNNING;
     };
   }
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskDecision.java
@@ -23,10 +23,10 @@
     /** Record the exit and remove the assignment. */
     RECORD_EXIT,
     /**
-     * The attempt is certainly not on the machine and can no longer start there: remove its record,
-     * so that the task may be placed again.
+     * Release the assignment by removing its record, so that the task may be placed again: the
+     * attempt is certainly not on the machine and can no longer start there.
      */
-    GONE,
+    RELEASE,
     /** Tell the worker to forget the exited attempt. */
     FORGET
   }
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -50,11 +50,12 @@
           "whether higher-ranking work needs its place is not known until enough machines report");
   private static final TaskDecision REPORTED_BEFORE_AND_ABSENT =
       new TaskDecision(
-          Verdict.GONE, "it was on this machine, is now absent, and can no longer start there");
+          Verdict.RELEASE, "it was on this machine, is now absent, and can no longer start there");
   private static final TaskDecision UNWANTED_AND_ABSENT =
-      new TaskDecision(Verdict.GONE, "it is no longer wanted and can no longer start there");
+      new TaskDecision(Verdict.RELEASE, "it is no longer wanted and can no longer start there");
   private static final TaskDecision GANG_STARTED =
-      new TaskDecision(Verdict.GONE, "its gang has started without it, and it can no longer join");
+      new TaskDecision(
+          Verdict.RELEASE, "its gang has started without it, and it can no longer join");
   private static final TaskDecision GANG_STATE_UNKNOWN =
       new TaskDecision(
           Verdict.AWAIT,
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -87,12 +87,12 @@
   public void load(List<KeyValue> storedPages) {
     for (KeyValue item : storedPages) {
       try {
-        pages.read(item.value().text("d"));
+        pages.restorePage(item.value().text("d"));
       } catch (MalformedMessageException | MalformedPageException e) {
         LOG.info("skipped unreadable page {} of learned run times: {}", item.key(), e.getMessage());
       }
     }
-    LOG.info("loaded learned run times of {} task profiles", estimator.size());
+    LOG.info("loaded learned run times of {} task profiles", estimator.profileCount());
   }
 
   /** Starts to store the changed pages, one per interval, until the term ends. */
@@ -101,7 +101,7 @@
   }
 
   private void queueNextChangedPage() {
-    int page = pages.nextChanged(nextPage);
+    int page = pages.nextChangedPage(nextPage);
     if (page >= 0) {
       nextPage = (page + 1) % PAGE_COUNT;
       term.commitQueue.add(new PageChange(page), Urgency.DEFERRED);
@@ -111,7 +111,7 @@
   @Override
   public void observe(TaskRun run) {
     if (estimator.observe(run)) {
-      pages.changed(run.profile());
+      pages.markChanged(run.profile());
     }
   }
 
@@ -182,15 +182,15 @@
    */
   public void writeMetrics(JsonGenerator out) throws IOException {
     out.writeObjectFieldStart("run_times");
-    out.writeNumberField("kinds", estimator.size());
+    out.writeNumberField("kinds", estimator.profileCount());
     writeCounts(out);
     out.writeObjectFieldStart("ratio_to_guess");
-    for (ClassSummary summary : estimator.classes(MAX_CLASSES_IN_METRICS)) {
+    for (ClassSummary summary : estimator.summarizeClasses(MAX_CLASSES_IN_METRICS)) {
       out.writeObjectFieldStart(summary.jobClass());
       out.writeNumberField("runs", summary.runs());
-      out.writeNumberField("low", summary.low());
-      out.writeNumberField("median", summary.median());
-      out.writeNumberField("high", summary.high());
+      out.writeNumberField("low", summary.lowRatio());
+      out.writeNumberField("median", summary.medianRatio());
+      out.writeNumberField("high", summary.highRatio());
       out.writeNumberField("share", summary.coverage());
       out.writeEndObject();
     }
@@ -202,7 +202,7 @@
     List<IOException> failures = new ArrayList<>();
     estimator
         .counts()
-        .each(
+        .forEach(
             (name, count) -> {
               try {
                 out.writeNumberField(name, count);
@@ -233,7 +233,7 @@
 
     @Override
     public List<Write> writes() {
-      String text = pages.write(page);
+      String text = pages.encodePage(page);
       return List.of(Write.put(name(), Json.object(out -> out.writeStringField("d", text))));
     }
 
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
@@ -103,10 +103,10 @@
 
   private MachineFacts factsOfUnknown(String machineId, boolean listedBeyondLag) {
     return new MachineFacts(
-        machines.wasRemoved(machineId) ? MachineFacts.Recorded.GONE : MachineFacts.Recorded.NO,
+        machines.wasRemoved(machineId) ? MachineFacts.Recorded.REMOVED : MachineFacts.Recorded.NO,
         false,
         false,
-        listedBeyondLag ? MachineFacts.Listed.LASTING : MachineFacts.Listed.THERE,
+        listedBeyondLag ? MachineFacts.Listed.LISTED_FOR_LONG : MachineFacts.Listed.LISTED,
         MachineFacts.Worker.EXPECTED,
         true,
         false);
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -64,7 +64,7 @@
             retire(machine, decision.reason(), nowMicros);
           }
         }
-        case GONE -> remove(machine, decision.reason());
+        case REMOVE -> remove(machine, decision.reason());
         default -> {}
       }
     }
--- a/src/main/java/madderrudder/estimates/EstimatePages.java
+++ b/src/main/java/madderrudder/estimates/EstimatePages.java
@@ -27,14 +27,15 @@
   private final BitSet changedPages = new BitSet();
 
   /**
-   * By page, the number of entries in the last written text; 0 if the page has not been written.
+   * By page, the number of entries in the last encoded text; 0 if the page has not been encoded.
    */
   private final int[] lastFittedCounts;
 
   /**
    * Creates the pages of the estimator, all marked as unchanged.
    *
-   * @param estimator the estimator whose evidence is written, and into which stored pages are read
+   * @param estimator the estimator whose evidence is encoded, and into which stored pages are
+   *     restored
    * @param pageCount the number of pages, which must be the same for all readers and writers
    * @param maxPageBytes the maximum length of the text of a page, in bytes
    */
@@ -49,7 +50,7 @@
    * Marks the pages that change when the estimator observes a run of the profile: the pages of its
    * evidence at each level, of the calibration scores of its class, and of those of all classes.
    */
-  public void changed(TaskProfile profile) {
+  public void markChanged(TaskProfile profile) {
     for (Level level : EvidenceStore.LEVELS) {
       changedPages.set(profilePageIndex(profile.keyAt(level)));
     }
@@ -60,7 +61,7 @@
   /**
    * The first changed page at or after the given one, wrapping around; -1 if no page has changed.
    */
-  public int nextChanged(int from) {
+  public int nextChangedPage(int from) {
     int next = changedPages.nextSetBit(from);
     return next >= 0 ? next : changedPages.nextSetBit(0);
   }
@@ -80,7 +81,7 @@
   }
 
   /** Encodes the current entries of the page and marks it as unchanged. */
-  public String write(int page) {
+  public String encodePage(int page) {
     changedPages.clear(page);
     List<PageEntry> entries = new ArrayList<>();
     // The list is reversed below, so that the entries added first are dropped first if space runs
@@ -140,7 +141,7 @@
    *
    * @throws MalformedPageException if the page is malformed; the estimator is unchanged then
    */
-  public void read(String text) throws MalformedPageException {
+  public void restorePage(String text) throws MalformedPageException {
     List<PageEntry> entries = PageCodec.decode(text);
     Collections.reverse(entries);
     entries.forEach(entry -> entry.restoreTo(estimator));
--- a/src/main/java/madderrudder/estimates/Estimator.java
+++ b/src/main/java/madderrudder/estimates/Estimator.java
@@ -202,7 +202,7 @@
   }
 
   /** The number of profiles with evidence, over all levels. */
-  public int size() {
+  public int profileCount() {
     return evidence.byProfile().size();
   }
 
@@ -212,7 +212,7 @@
    * @param maxClasses the maximum number of classes
    * @return the summaries ordered by class name, without classes that have no owner's estimates
    */
-  public List<ClassSummary> classes(int maxClasses) {
+  public List<ClassSummary> summarizeClasses(int maxClasses) {
     Map<String, ClassSummary> byName = new TreeMap<>();
     evidence.byProfile().entrySet().stream()
         .filter(entry -> entry.getKey().level() == Level.CLASS)
--- a/src/main/java/madderrudder/estimates/EstimatorCounts.java
+++ b/src/main/java/madderrudder/estimates/EstimatorCounts.java
@@ -28,7 +28,7 @@
   EstimatorCounts() {}
 
   /** Passes each count with its metric name to the consumer, always in the same order. */
-  public void each(BiConsumer<String, Long> consumer) {
+  public void forEach(BiConsumer<String, Long> consumer) {
     consumer.accept("learned", learned);
     consumer.accept("stopped", censored);
     consumer.accept("refused", rejected);
--- a/src/main/java/madderrudder/estimates/LearningMethod.java
+++ b/src/main/java/madderrudder/estimates/LearningMethod.java
@@ -8,9 +8,9 @@
   /** All levels, weighted by their numbers of recent runs. */
   HIERARCHICAL,
   /** Only the most specific level with enough recent runs. */
-  NEAREST_LEVEL,
+  MOST_SPECIFIC_LEVEL,
   /** All levels, weighted by their numbers of runs, without discarding old runs. */
-  HIERARCHICAL_UNBOUNDED;
+  HIERARCHICAL_ALL_RUNS;
 
   /** The number of runs in one generation of the level's histograms. */
   int generationRuns(Level level) {
@@ -19,6 +19,6 @@
 
   /** Whether old runs are discarded, by the sliding window and at change points. */
   boolean discardsOldRuns() {
-    return this != HIERARCHICAL_UNBOUNDED;
+    return this != HIERARCHICAL_ALL_RUNS;
   }
 }
--- a/src/main/java/madderrudder/estimates/Level.java
+++ b/src/main/java/madderrudder/estimates/Level.java
@@ -55,7 +55,7 @@
   }
 
   /** A phrase that follows a number of runs, as in "8 runs of the same class". */
-  public String words() {
+  public String description() {
     return description;
   }
 }
--- a/src/main/java/madderrudder/estimates/Predictor.java
+++ b/src/main/java/madderrudder/estimates/Predictor.java
@@ -33,8 +33,8 @@
   /** The minimum number of evaluated jobs at a level whose losses determine the basis. */
   private static final int MIN_EVALUATED_JOBS = 8;
 
-  /** The minimum number of runs at a level used by {@link LearningMethod#NEAREST_LEVEL}. */
-  private static final int NEAREST_LEVEL_MIN_RUNS = 8;
+  /** The minimum number of runs at a level used by {@link LearningMethod#MOST_SPECIFIC_LEVEL}. */
+  private static final int MOST_SPECIFIC_LEVEL_MIN_RUNS = 8;
 
   /**
    * The levels whose losses determine the basis, in this order; the first one with enough evaluated
@@ -150,8 +150,8 @@
 
   /** The share of the remaining weight that a level with the given number of runs receives. */
   private double weightShare(int runs, double pseudoCount) {
-    if (method == LearningMethod.NEAREST_LEVEL) {
-      return runs >= NEAREST_LEVEL_MIN_RUNS ? 1 : 0;
+    if (method == LearningMethod.MOST_SPECIFIC_LEVEL) {
+      return runs >= MOST_SPECIFIC_LEVEL_MIN_RUNS ? 1 : 0;
     }
     return runs / (runs + pseudoCount);
   }
--- a/src/main/java/madderrudder/estimates/TaskRun.java
+++ b/src/main/java/madderrudder/estimates/TaskRun.java
@@ -4,7 +4,7 @@
  * The observed run of one task.
  *
  * @param profile the properties of the task
- * @param task the index of the task within its job
+ * @param taskIndex the index of the task within its job
  * @param attempt the number of the attempt, which is shared by the tasks of a gang that ran
  *     together
  * @param machineType the type of the machine, or empty if unknown
@@ -17,7 +17,7 @@
  */
 public record TaskRun(
     TaskProfile profile,
-    int task,
+    int taskIndex,
     long attempt,
     String machineType,
     String machine,
--- a/src/main/java/madderrudder/metrics/RunHistoryCodec.java
+++ b/src/main/java/madderrudder/metrics/RunHistoryCodec.java
@@ -54,7 +54,7 @@
     TaskProfile profile = run.profile();
     out.writeNumberField("at_s", ended.atWallMicros() / 1e6);
     out.writeStringField("job", profile.job());
-    out.writeNumberField("task", run.task());
+    out.writeNumberField("task", run.taskIndex());
     out.writeNumberField("attempt", run.attempt());
     out.writeStringField("class", profile.jobClass());
     out.writeStringField("team", profile.team());
--- a/src/main/java/madderrudder/replay/HistoryGenerator.java
+++ b/src/main/java/madderrudder/replay/HistoryGenerator.java
@@ -208,7 +208,8 @@
     };
   }
 
-  private GeneratedRun generateRun(TaskProfile profile, int task, Shape shape, JobTimes times) {
+  private GeneratedRun generateRun(
+      TaskProfile profile, int taskIndex, Shape shape, JobTimes times) {
     int machine = random.nextInt(MACHINE_COUNT);
     boolean slowType = machine % 2 == 1;
     boolean faulty = machine % FAULTY_MACHINE_INTERVAL == 0;
@@ -225,7 +226,7 @@
     TaskRun run =
         new TaskRun(
             profile,
-            task,
+            taskIndex,
             ++generatedRuns,
             slowType ? "slow" : "fast",
             "m-" + machine,
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -194,7 +194,7 @@
       return;
     }
     TaskRun run = ended.run();
-    if (!recentRunKeys.add(run.profile().job() + "/" + run.task() + "/" + run.attempt())) {
+    if (!recentRunKeys.add(run.profile().job() + "/" + run.taskIndex() + "/" + run.attempt())) {
       duplicateRuns++;
       return;
     }
--- a/src/main/java/madderrudder/replay/ReplayRunner.java
+++ b/src/main/java/madderrudder/replay/ReplayRunner.java
@@ -57,8 +57,8 @@
     predictors.add(new RunTimePredictor.OwnerEstimate());
     predictors.add(new RunTimePredictor.ClassRatio());
     if (allMethods) {
-      predictors.add(learnedPredictor(LearningMethod.NEAREST_LEVEL));
-      predictors.add(learnedPredictor(LearningMethod.HIERARCHICAL_UNBOUNDED));
+      predictors.add(learnedPredictor(LearningMethod.MOST_SPECIFIC_LEVEL));
+      predictors.add(learnedPredictor(LearningMethod.HIERARCHICAL_ALL_RUNS));
     }
     predictors.add(learnedPredictor(LearningMethod.HIERARCHICAL));
     return predictors;
--- a/src/main/java/madderrudder/replay/RunTimePredictor.java
+++ b/src/main/java/madderrudder/replay/RunTimePredictor.java
@@ -94,8 +94,8 @@
     public String name() {
       return switch (method) {
         case HIERARCHICAL -> "learned";
-        case NEAREST_LEVEL -> "nearest";
-        case HIERARCHICAL_UNBOUNDED -> "forever";
+        case MOST_SPECIFIC_LEVEL -> "nearest";
+        case HIERARCHICAL_ALL_RUNS -> "forever";
       };
     }
 
--- a/src/main/java/madderrudder/service/ControllerNode.java
+++ b/src/main/java/madderrudder/service/ControllerNode.java
@@ -84,10 +84,18 @@
     catalog = new MachineTypeCatalog(scheduler, store, cloud);
     election =
         new LeaderElection(
-            scheduler, store, random, settings.member(), policy.leaseMicros(), new TermListener());
+            scheduler,
+            store,
+            random,
+            settings.memberName(),
+            policy.leaseMicros(),
+            new TermListener());
     delegate =
         new HeartbeatDelegate(
-            scheduler, SafetyBounds.of(deployment.workers()), settings.member(), random.nextLong());
+            scheduler,
+            SafetyBounds.of(deployment.workers()),
+            settings.memberName(),
+            random.nextLong());
     localLeader = new LocalLeader(createLeaderDependencies(httpCaller, cloud));
     heartbeatEndpoint = createHeartbeatEndpoint(peerMessenger, random);
     peerStatusExchange = createPeerStatusExchange(peerMessenger);
@@ -116,7 +124,7 @@
     return new StoreClient(
         scheduler,
         httpCaller,
-        settings.stateAddress(),
+        settings.storeAddress(),
         deployment.state().requestsPerSecond()
             * USER_REQUESTS_FRACTION
             / deployment.controllerCount(),
@@ -133,8 +141,8 @@
         election,
         settings.deployment(),
         policy,
-        settings.member(),
-        Set.copyOf(settings.peers().keySet()),
+        settings.memberName(),
+        Set.copyOf(settings.peerAddresses().keySet()),
         metrics,
         delegate::renewalSafeUntilMicros);
   }
@@ -148,8 +156,8 @@
             localLeader,
             delegate,
             new WorkerRedirects(random, settings.maxSockets()),
-            new HeartbeatForwarder(scheduler, peerMessenger, settings.member()),
-            settings.member(),
+            new HeartbeatForwarder(scheduler, peerMessenger, settings.memberName()),
+            settings.memberName(),
             store::isResponsive),
         policy.delegationEnabled(),
         MAX_LEADER_CHANGE_LEASES * policy.leaseMicros(),
@@ -166,7 +174,7 @@
         new PeerStatusExchange.Dependencies(
             scheduler,
             peerMessenger,
-            settings.member(),
+            settings.memberName(),
             election,
             localLeader,
             delegate,
@@ -182,7 +190,7 @@
             scheduler, catalog::hasTypes, store::isResponsive, peerStatusExchange.peerStatuses());
     DiagnosticsEndpoint diagnosticsEndpoint =
         new DiagnosticsEndpoint(
-            settings.member(), election, localLeader, heartbeatEndpoint, healthCheck, metrics);
+            settings.memberName(), election, localLeader, heartbeatEndpoint, healthCheck, metrics);
     JobEndpoint jobEndpoint =
         new JobEndpoint(
             scheduler, store, catalog, settings.deployment(), this::jobProgress, metrics);
--- a/src/main/java/madderrudder/tools/EstimateCommand.java
+++ b/src/main/java/madderrudder/tools/EstimateCommand.java
@@ -137,7 +137,7 @@
             estimate.highMicros() / MICROS_PER_SECOND,
             estimate.isConfident() ? "sure" : "unsure",
             estimate.runs(),
-            estimate.level().words()));
+            estimate.level().description()));
     out.println(estimator.explain(query));
   }
 
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -411,7 +411,7 @@
     }
     for (int task = 0; task < bounds.tasks(); task++) {
       if (successor.records[task].machine == machine
-          && decide(successor, task).verdict() == TaskDecision.Verdict.GONE) {
+          && decide(successor, task).verdict() == TaskDecision.Verdict.RELEASE) {
         successor.records[task] = new TaskRecord();
       }
     }
--- a/src/test/java/madderrudder/estimates/EstimatePagesPropertiesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatePagesPropertiesTest.java
@@ -33,7 +33,7 @@
     EstimatePages pages = new EstimatePages(estimator, PAGE_COUNT, PAGE_BYTES);
     List<String> texts = new ArrayList<>();
     for (int page = 0; page < PAGE_COUNT; page++) {
-      texts.add(pages.write(page));
+      texts.add(pages.encodePage(page));
     }
     return texts;
   }
@@ -52,12 +52,12 @@
     Estimator restored = new Estimator(100, 100);
     for (String text : texts) {
       assertTrue(text.length() <= PAGE_BYTES);
-      new EstimatePages(restored, PAGE_COUNT, PAGE_BYTES).read(text);
+      new EstimatePages(restored, PAGE_COUNT, PAGE_BYTES).restorePage(text);
     }
     assertEquals(
         TaskRunFixture.estimate(estimator, "class", 60 * ownerEstimateMinutes),
         TaskRunFixture.estimate(restored, "class", 60 * ownerEstimateMinutes));
-    assertEquals(estimator.size(), restored.size());
+    assertEquals(estimator.profileCount(), restored.profileCount());
   }
 
   /** A page with one changed byte, or truncated at any position, is rejected as a whole. */
@@ -76,7 +76,7 @@
     EstimatePages pages = new EstimatePages(estimator, PAGE_COUNT, PAGE_BYTES);
     assertThrows(
         MalformedPageException.class,
-        () -> pages.read(Base64.getEncoder().encodeToString(corrupt)));
-    assertEquals(0, estimator.size());
+        () -> pages.restorePage(Base64.getEncoder().encodeToString(corrupt)));
+    assertEquals(0, estimator.profileCount());
   }
 }
--- a/src/test/java/madderrudder/estimates/EstimatePagesTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatePagesTest.java
@@ -31,18 +31,19 @@
   @Test
   void readsPageWrittenByEarlierVersion() throws MalformedPageException {
     Estimator estimator = new Estimator(100, 100);
-    new EstimatePages(estimator, 1, PAGE_BYTES).read(STORED_PAGE);
-    assertEquals(4, estimator.size());
+    new EstimatePages(estimator, 1, PAGE_BYTES).restorePage(STORED_PAGE);
+    assertEquals(4, estimator.profileCount());
     assertEquals(
         new Estimate(89_971_398, 85_274_709, 93_014_345, 0.8, 8, Level.WORK, Basis.RATIO),
         TaskRunFixture.estimate(estimator, "class", 60));
     assertEquals(
-        List.of(new ClassSummary("class", 8, 1.425, 1.5, 1.55, 0.8)), estimator.classes(5));
+        List.of(new ClassSummary("class", 8, 1.425, 1.5, 1.55, 0.8)),
+        estimator.summarizeClasses(5));
   }
 
-  private static MalformedPageException readFailure(String text) {
+  private static MalformedPageException restoreFailure(String text) {
     EstimatePages pages = new EstimatePages(new Estimator(100, 100), PAGE_COUNT, PAGE_BYTES);
-    return assertThrows(MalformedPageException.class, () -> pages.read(text));
+    return assertThrows(MalformedPageException.class, () -> pages.restorePage(text));
   }
 
   private static byte[] encodedPage() {
@@ -55,7 +56,7 @@
   void reportsUnsupportedVersion() {
     byte[] page = encodedPage();
     page[0]++;
-    MalformedPageException failure = readFailure(Base64.getEncoder().encodeToString(page));
+    MalformedPageException failure = restoreFailure(Base64.getEncoder().encodeToString(page));
     assertEquals(Reason.UNSUPPORTED_VERSION, failure.reason());
     assertEquals("unsupported page version 2, expected 1", failure.getMessage());
   }
@@ -65,12 +66,12 @@
     byte[] page = encodedPage();
     byte[] cut = Arrays.copyOf(page, page.length - 1);
     assertEquals(
-        Reason.CHECKSUM_MISMATCH, readFailure(Base64.getEncoder().encodeToString(cut)).reason());
+        Reason.CHECKSUM_MISMATCH, restoreFailure(Base64.getEncoder().encodeToString(cut)).reason());
   }
 
   @Test
   void reportsInvalidContentOfOtherText() {
-    assertEquals(Reason.INVALID_CONTENT, readFailure("").reason());
-    assertEquals(Reason.INVALID_CONTENT, readFailure("no page!").reason());
+    assertEquals(Reason.INVALID_CONTENT, restoreFailure("").reason());
+    assertEquals(Reason.INVALID_CONTENT, restoreFailure("no page!").reason());
   }
 }
--- a/src/test/java/madderrudder/estimates/EstimatorTest.java
+++ b/src/test/java/madderrudder/estimates/EstimatorTest.java
@@ -130,7 +130,7 @@
     }
     assertNear(60, estimate(estimator, "class", 60).medianMicros(), 1.1);
     List<String> counts = new ArrayList<>();
-    estimator.counts().each((name, count) -> counts.add(name + " " + count));
+    estimator.counts().forEach((name, count) -> counts.add(name + " " + count));
     assertTrue(
         counts.stream().anyMatch(text -> text.matches("set_aside [6-9]\\d")), counts.toString());
   }
@@ -289,7 +289,7 @@
   @CsvSource({"60, 0", "60, -5", "-1, 60", "60, 9e9", "9e9, 60"})
   void implausibleRunsAreRejected(double ownerEstimateS, double durationS) {
     assertFalse(estimator.observe(TaskRunFixture.run("class", ownerEstimateS, durationS)));
-    assertEquals(0, estimator.size());
+    assertEquals(0, estimator.profileCount());
     assertNear(60, estimate(estimator, "class", 60).medianMicros(), 1.05);
   }
 
@@ -311,7 +311,7 @@
   private void observeSingleRunClasses(int classes) {
     for (int i = 0; i < classes; i++) {
       estimator.observe(TaskRunFixture.run("class-" + i, 60, 60 * logNormal(random, 1)));
-      assertTrue(estimator.size() <= 1_000);
+      assertTrue(estimator.profileCount() <= 1_000);
     }
   }
 
--- a/src/test/java/madderrudder/estimates/TaskRunFixture.java
+++ b/src/test/java/madderrudder/estimates/TaskRunFixture.java
@@ -24,7 +24,7 @@
   /** A run of a task in a new attempt; times are in seconds. */
   static TaskRun run(
       String job,
-      int task,
+      int taskIndex,
       String jobClass,
       String machine,
       double ownerEstimateS,
@@ -32,7 +32,7 @@
       boolean complete) {
     return new TaskRun(
         profile(job, jobClass),
-        task,
+        taskIndex,
         ++lastId,
         "",
         machine,
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -209,9 +209,9 @@
   }
 
   private Map<String, String> peerAddressesOf(String name) {
-    Map<String, String> peers = new LinkedHashMap<>(controllerAddresses);
-    peers.remove(name);
-    return peers;
+    Map<String, String> peerAddresses = new LinkedHashMap<>(controllerAddresses);
+    peerAddresses.remove(name);
+    return peerAddresses;
   }
 
   /** Starts a process for the controller and serves its address. */
