--- a/src/main/java/madderrudder/coordination/cloud/RentResult.java
+++ b/src/main/java/madderrudder/coordination/cloud/RentResult.java
@@ -15,7 +15,7 @@
    */
   record Rented(List<String> machineIds) implements RentResult {}
 
-  /** The cloud currently has no machine of this type, zone and kind, and rented none. */
+  /** The cloud currently has no machine in this capacity pool, and rented none. */
   record NoCapacity() implements RentResult {}
 
   /** The cloud rejected the request as malformed, and rented nothing. A retry cannot succeed. */
--- a/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
+++ b/src/main/java/madderrudder/coordination/policy/SafetyBounds.java
@@ -5,11 +5,11 @@
  * differ by twice the drift of one clock, so each bound is extended or reduced by more than that.
  *
  * @param workerLeaseExpiryMicros the time without contact after which a worker's lease has
- *     certainly expired and the worker has dropped its tasks, in microseconds
+ *     certainly expired and the worker has stopped its tasks, in microseconds
  * @param maxAnswerWithoutStoreMicros how long heartbeats may be answered without updates from the
- *     store, in microseconds: a worker that receives the last answer still drops a job that was
- *     cancelled in the meantime before the cancellation deadline; 0 if the settings leave no such
- *     time
+ *     store, in microseconds: a worker that receives the last answer still stops the tasks of a job
+ *     that was cancelled in the meantime before the cancellation deadline; 0 if the settings leave
+ *     no such time
  */
 public record SafetyBounds(long workerLeaseExpiryMicros, long maxAnswerWithoutStoreMicros) {
   private static final int LEADER_SILENCES_PER_LEASE = 4;
--- a/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/ClusterCoverage.java
@@ -178,7 +178,10 @@
     return reportTimeoutPassed || allMachines.isSufficient();
   }
 
-  /** Whether enough of the machines that the job may use have reported, or time is over. */
+  /**
+   * Whether enough of the machines that the job may use have reported, or the time to report is
+   * over.
+   */
   public boolean suffices(Job job) {
     if (reportTimeoutPassed) {
       return true;
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineDecision.java
@@ -13,7 +13,7 @@
     KEEP,
     /** Take no action until more is known. */
     AWAIT,
-    /** Add the machine to the records as an owned one. */
+    /** Add the machine to the records as owned, because it was there before the first rental. */
     ADOPT_OWNED,
     /** Add the machine to the records as a rented one: it is used, or returned when idle. */
     ADOPT,
--- a/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/MachineFacts.java
@@ -10,8 +10,8 @@
  * @param listed its state in the cloud's list
  * @param worker the state of its worker
  * @param empty whether no task is, or may be, on it
- * @param mostMachinesSilent whether most machines are silent, which means that the leader rather
- *     than the machine is probably cut off
+ * @param mostMachinesSilent whether at least as many machines have an expired lease as are up,
+ *     which means that the leader rather than the machine is probably cut off
  */
 public record MachineFacts(
     Recorded recorded,
--- a/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
+++ b/src/main/java/madderrudder/coordination/reconciliation/TaskReconciler.java
@@ -108,7 +108,10 @@
     return facts.durable() ? RECORDED_BUT_ABSENT : NOT_DURABLE;
   }
 
-  /** Decides on an absent member of a gang placed by an earlier leader that may have started. */
+  /**
+   * Decides on an absent member of an earlier leader's gang, which can join the others only while
+   * they gather. Called only if the gang has started, or if that is not known.
+   */
   private static TaskDecision decideAbsentGangMember(TaskFacts facts) {
     if (facts.gangState() == GangState.UNKNOWN) {
       return GANG_STATE_UNKNOWN;
--- a/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ProductionAtRisk.java
@@ -26,12 +26,12 @@
     int silentMachines = 0;
     int knownMachines = 0;
     for (Machine machine : round.cluster().machines.values()) {
-      boolean overdue = coverage.isMissing(machine);
-      if ((!machine.reported && !overdue) || machine.leaseExpired || machine.retiring) {
+      boolean missing = coverage.isMissing(machine);
+      if ((!machine.reported && !missing) || machine.leaseExpired || machine.retiring) {
         continue;
       }
       knownMachines++;
-      if (overdue || unreachable(round, machine)) {
+      if (missing || unreachable(round, machine)) {
         silentMachines++;
         addProductionTasks(machine, atRisk);
       }
--- a/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
+++ b/src/main/java/madderrudder/coordination/scheduling/RoundUsage.java
@@ -81,7 +81,11 @@
     return cluster.zoneAllowed(job, zone, planned.getOrDefault(zone, 0));
   }
 
-  /** Whether one more task of the job may be placed on a machine of the type, zone and kind. */
+  /**
+   * Whether the job allows one more of its tasks on a machine of the type in the zone.
+   *
+   * @param spot whether the machine is a spot machine
+   */
   boolean allows(Job job, MachineType type, String zone, boolean spot) {
     JobSpec spec = job.spec;
     return (!spot || spec.spotAllowed())
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutPlanner.java
@@ -119,8 +119,9 @@
   /**
    * Whether an on-demand machine, which costs a multiple of a spot machine, may be requested for
    * the task. A task that may use spot machines and has no objective for a prompt start first waits
-   * for spot or owned machines for the policy's share of its spare time. Not called for a task that
-   * fits on no owned machine, which never waits.
+   * for spot or owned machines for the policy's share of its spare time, unless headroom on
+   * non-spot machines is short. Not called for a task that fits on no owned machine, which never
+   * waits.
    */
   private boolean onDemandAllowed(Job job, int task) {
     if (selection.lacksNonSpotHeadroom()
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
@@ -69,7 +69,7 @@
     return nonSpotShortfallMilliCpus > 0;
   }
 
-  /** Returns the requests of this round, at most one for each pool and way of counting. */
+  /** Returns the requests of this round: per pool at most one counted and one uncounted. */
   List<ScaleOutRequest> requests() {
     return List.copyOf(requests.values());
   }
--- a/src/main/java/madderrudder/coordination/state/CapacityPool.java
+++ b/src/main/java/madderrudder/coordination/state/CapacityPool.java
@@ -5,6 +5,6 @@
  *
  * @param type the name of the machine type
  * @param zone the zone
- * @param spot whether the machines are spot instances
+ * @param spot whether the machines are spot machines
  */
 public record CapacityPool(String type, String zone, boolean spot) {}
--- a/src/main/java/madderrudder/coordination/state/CapacityPoolLimits.java
+++ b/src/main/java/madderrudder/coordination/state/CapacityPoolLimits.java
@@ -7,8 +7,8 @@
  * Limits how many machines are requested from each capacity pool, based on the outcome of recent
  * requests and boots. Each requested machine counts against the budget even if the cloud refuses
  * it; full-size requests to exhausted pools once used up the budget for a whole day's peak. After a
- * request that was not filled the limit falls to half of what was granted, at least one machine; it
- * grows by a factor with each request that is filled.
+ * request that was not filled the pool is paused, and the limit falls to half of what was granted,
+ * at least one machine; it grows by a factor with each request that is filled.
  *
  * <p>Confined to the event loop thread.
  */
--- a/src/main/java/madderrudder/coordination/state/Cluster.java
+++ b/src/main/java/madderrudder/coordination/state/Cluster.java
@@ -41,7 +41,7 @@
   // These totals are updated with every change, because computing them on demand takes time in
   // proportion to the number of machines and tasks.
   private final Set<Machine> ownedMachines = new LinkedHashSet<>();
-  private final Map<String, Resources> usageOfTeams = new HashMap<>();
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
   private final Map<TaskId, Integer> orphanCounts = new HashMap<>();
 
   /**
@@ -153,12 +153,12 @@
 
   private void addUsage(Machine machine, String team, Resources resources) {
     machine.used = machine.used.plus(resources);
-    usageOfTeams.merge(team, resources, Resources::plus);
+    usageByTeam.merge(team, resources, Resources::plus);
   }
 
   private void subtractUsage(Machine machine, String team, Resources resources) {
     machine.used = machine.used.minus(resources);
-    usageOfTeams.merge(team, resources, Resources::minus);
+    usageByTeam.merge(team, resources, Resources::minus);
   }
 
   /**
@@ -186,7 +186,7 @@
 
   /** Returns a copy of the resources that each team may use, including unreachable machines. */
   public Map<String, Resources> usage() {
-    return new HashMap<>(usageOfTeams);
+    return new HashMap<>(usageByTeam);
   }
 
   /** Whether the task is an orphan on some machine. */
@@ -203,7 +203,10 @@
     return deployment.objectives().shortestWaitMicros() < fastestBoot;
   }
 
-  /** Whether a task of the job would fit on some usable owned machine if that were empty. */
+  /**
+   * Whether a task of the job would fit on some owned machine if that were empty. Machines that
+   * failed, are cordoned or lost their lease do not count.
+   */
   public boolean ownedCouldFit(Job job, long nowMicros) {
     for (Machine machine : ownedMachines) {
       if (!machine.leaseExpired
@@ -233,7 +236,7 @@
 
   /**
    * Whether the job's constraints allow the machine: its type, its zone, given where other tasks of
-   * the job may be, and spot instances if it is one.
+   * the job may be, and whether it is a spot machine.
    */
   public boolean allowed(Job job, Machine machine) {
     JobSpec spec = job.spec;
--- a/src/main/java/madderrudder/coordination/state/ClusterSummary.java
+++ b/src/main/java/madderrudder/coordination/state/ClusterSummary.java
@@ -4,7 +4,10 @@
 import java.util.StringJoiner;
 import java.util.TreeMap;
 
-/** Summarizes the machines of one type and ownership for the log. */
+/**
+ * Counts the machines of one type and kind, which is owned, spot or on-demand, for the log and for
+ * {@code GET /metrics}. The text there calls on-demand machines "steady".
+ */
 public final class ClusterSummary {
   private int machines;
   private int booting;
@@ -15,8 +18,8 @@
   private ClusterSummary() {}
 
   /**
-   * Returns one line with the machines of each type and ownership: the total, how many are booting
-   * and how many empty, and the CPUs in use out of all CPUs of those that have booted.
+   * Returns one line with the machines of each type and kind: the total, how many are booting and
+   * how many empty, and the CPUs in use out of all CPUs of those that have booted.
    */
   public static String of(Cluster cluster) {
     Map<String, ClusterSummary> summaries = new TreeMap<>();
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -53,7 +53,7 @@
 
   /**
    * Whether the job was accepted before this leader took over, so that it is not known which of its
-   * tasks wrote checkpoints under earlier leaders.
+   * tasks saved checkpoints under earlier leaders.
    */
   public boolean inherited;
 
@@ -63,7 +63,7 @@
   /** The last estimate of the run time of its tasks; null before the first. */
   public RunTimes.Expected lastEstimate;
 
-  /** Tasks that have run under an earlier attempt and may have written a checkpoint. */
+  /** Tasks that have run under an earlier attempt and may have saved a checkpoint. */
   private final BitSet ranBefore = new BitSet();
 
   private final BitSet assigned = new BitSet();
@@ -266,7 +266,7 @@
     return spec.checkpointIntervalMicros() > 0 && (inherited || ranBefore.get(task));
   }
 
-  /** How many of its tasks run, wait for their gang or write a checkpoint. */
+  /** How many of its tasks run, wait for their gang or save a checkpoint. */
   public int runningCount() {
     int count = 0;
     for (Assignment assignment : assignments) {
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -11,7 +11,7 @@
  * A machine in the leader's view: its properties, the last report of its worker, the commands and
  * tokens that this leader has sent to it, and the tasks that may be on it. Times are in
  * microseconds of the leader's monotonic clock, or of the wall clock where the name contains
- * "wall". Confined to the event loop thread.
+ * "Wall". Confined to the event loop thread.
  */
 public final class Machine {
   private static final long NONE = -1;
@@ -41,7 +41,7 @@
   /** Its zone. */
   public final String zone;
 
-  /** Whether it is a spot instance, which the cloud may reclaim. */
+  /** Whether it is a spot machine, which the cloud may reclaim. */
   public final boolean spot;
 
   /** Whether it is owned rather than rented. */
--- a/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
+++ b/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
@@ -3,11 +3,11 @@
 import madderrudder.protocol.MachineType;
 
 /**
- * A request to the cloud for machines of one type in one zone, either all spot or all regular.
+ * A request to the cloud for machines of one type in one zone, either all spot or all on-demand.
  *
  * @param type the machine type
  * @param zone the zone
- * @param spot whether spot instances are requested
+ * @param spot whether spot machines are requested
  * @param count the number of machines
  * @param counted whether they count against the scale-out budget
  */
--- a/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
+++ b/src/test/java/madderrudder/coordination/reconciliation/ReconciliationModel.java
@@ -31,10 +31,15 @@
 
   /** A safety rule that the model leaves out, to check that the exploration detects its absence. */
   enum Fault {
+    /** All rules are in place. */
     NONE,
+    /** The leader ignores that a start command of an earlier leader may still arrive. */
     TOKEN_IGNORED,
+    /** The leader ignores that its own direct start may still arrive. */
     DIRECT_STARTS_IGNORED,
+    /** The worker forgets a completed task before the completion is durable. */
     DONE_FORGOTTEN,
+    /** The leader does not raise the token to invalidate direct starts that may still arrive. */
     TOKEN_NOT_RAISED
   }
 
--- a/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
@@ -38,9 +38,9 @@
    */
   @Test
   void preemptedJobIsOrderedAfterTheJobItWasPreemptedFor() {
-    Machine only = addMachine("m-0", "east", true);
+    Machine machine = addMachine("m-0", "east", true);
     Job overGuarantee = addJob("req-1", "alto", JobKind.ARRAY, Priority.HIGH, 4, 4, false);
-    Assignment stopped = addRunningTask(overGuarantee, 0, only);
+    Assignment stopped = addRunningTask(overGuarantee, 0, machine);
     addRunningTask(overGuarantee, 1, addMachine("m-1", "east", true));
     addRunningTask(overGuarantee, 2, addMachine("m-2", "east", true));
     Job guaranteed = addJob("req-2", "basso", JobKind.ARRAY, Priority.NORMAL, 1, 4, false);
