--- a/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
+++ b/src/main/java/madderrudder/coordination/registry/LeaderTerm.java
@@ -83,11 +83,11 @@
    * @param dependencies the controller's collaborators
    * @param number the number of the term
    * @param termVersion the version of the term key as this leader wrote it
-   * @param onLost called once, on the event loop, when the queue finds that another leader has
-   *     taken over; see {@link CommitQueue}
+   * @param onLeadershipLost called once, on the event loop, when no further change can be committed
+   *     in this term, usually because another leader has taken over; see {@link CommitQueue}
    */
   public LeaderTerm(
-      LeaderDependencies dependencies, long number, long termVersion, Runnable onLost) {
+      LeaderDependencies dependencies, long number, long termVersion, Runnable onLeadershipLost) {
     scheduler = dependencies.scheduler();
     store = dependencies.store();
     httpCaller = dependencies.httpCaller();
@@ -106,7 +106,7 @@
             termVersion,
             deployment.state().transactionWrites(),
             deployment.state().writesPerSecond() * LEADER_WRITE_RATE_SHARE,
-            onLost);
+            onLeadershipLost);
     learnedRunTimes = policy.learnedRunTimes() ? new LearnedRunTimes(this) : null;
     runHistory = new RunHistory(number);
     cluster =
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -80,7 +80,7 @@
   /**
    * Loads the run times that earlier leaders learned. An unreadable page is logged and skipped:
    * learning its contents again costs precision for a while, but failing here would prevent the
-   * failover.
+   * failover and so stop all scheduling.
    *
    * @param storedPages the stored pages, in any order
    */
@@ -160,7 +160,8 @@
         new EstimateQuery(
             job.profile, job.spec.estimateMicros(), machineType, ranMicros, INTERVAL_COVERAGE);
     long totalMicros = estimator.estimate(query).medianMicros();
-    // A task that has run for longer than every similar one is expected to run as long again.
+    // No data says how long a task keeps running that has outlasted every similar one. It is
+    // expected to run as long again.
     return totalMicros > ranMicros ? totalMicros - ranMicros : ranMicros;
   }
 
--- a/src/main/java/madderrudder/coordination/registry/MachineLog.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineLog.java
@@ -33,7 +33,7 @@
   /**
    * Creates an empty log.
    *
-   * @param onDurable called for each machine whose retirement, or an assignment on which, has
+   * @param onDurable called for each machine when its retirement, or an assignment to it, has
    *     become durable
    */
   MachineLog(LeaderTerm term, Consumer<Machine> onDurable) {
@@ -55,7 +55,7 @@
     term.commitQueue.add(logChange, Urgency.NORMAL);
   }
 
-  /** Queues the removal of a machine that no longer exists for writing. */
+  /** Queues for writing that a machine no longer exists. */
   void queueMachineRemoval(Machine machine) {
     pending.machines.remove(machine);
     pending.removedMachineIds.add(machine.id);
--- a/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/MachineRegistry.java
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Sets the listener that is called with a machine when an assignment, its retirement or the
+   * Sets the listener that is called with a machine when its retirement, an assignment to it or the
    * progress of a task on it has become durable. Replaces the previous listener.
    */
   public void setDurableListener(Consumer<Machine> listener) {
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Adds a machine to the cluster state; {@link #queueRecord} queues its record for writing. A
-   * machine of a type that the cloud does not list has no capacity.
+   * Adds a machine to the cluster state. The caller queues a new machine's record for writing with
+   * {@link #queueRecord}. A machine of a type that the cloud does not list has no capacity.
    *
    * @param type the name of the machine type
    * @param rentedWallMicros the wall-clock time when it was rented, in microseconds
--- a/src/main/java/madderrudder/persistence/CommitQueue.java
+++ b/src/main/java/madderrudder/persistence/CommitQueue.java
@@ -7,8 +7,9 @@
 
 /**
  * Queues a leader's changes and commits them to the store, one compare-and-swap transaction at a
- * time, fenced by the term key (see {@link FencedCommitter}). When another leader has taken over,
- * the queue closes and calls {@code onLeadershipLost}.
+ * time, fenced by the term key (see {@link FencedCommitter}). When no further change can be
+ * committed in this term, usually because another leader has taken over, the queue closes and calls
+ * {@code onLeadershipLost}.
  *
  * <p>Transactions are spaced in time to limit the share of the leader's write rate that is spent on
  * rewriting the term key. Changes queued between two transactions are batched into the next one.
@@ -28,12 +29,16 @@
    */
   private static final double WRITES_PER_TERM_KEY_WRITE = 5;
 
-  /** The factor on the spacing of transactions while under half a second's tokens are left. */
+  /**
+   * The factor by which the spacing of transactions grows while fewer write tokens are left than
+   * are added in half a second, so that fewer of them are spent on the term key.
+   */
   private static final int LOW_TOKENS_SPACING_FACTOR = 2;
 
   /**
-   * {@link Urgency#DEFERRED} changes may always use the maximum number of writes divided by this,
-   * so that more urgent changes cannot starve them.
+   * A transaction with room for all more urgent changes may contain {@link Urgency#DEFERRED}
+   * changes with up to the maximum number of writes divided by this, even if no write tokens are
+   * left for them, so that they are written eventually.
    */
   private static final int DEFERRED_MIN_WRITES_DIVISOR = 8;
 
@@ -89,8 +94,8 @@
    * @param termKeyVersion the version of the term key that this leader wrote when it took over
    * @param maxWrites the maximum number of writes in one transaction
    * @param writesPerSecond the leader's write rate
-   * @param onLeadershipLost called once, on the event loop, when another leader has taken over or
-   *     the term key is gone or unreadable
+   * @param onLeadershipLost called once, on the event loop, when another leader has taken over, the
+   *     term key does not exist or is unreadable, or the store rejects a transaction as invalid
    */
   public CommitQueue(
       Scheduler scheduler,
@@ -206,8 +211,8 @@
     TransactionBuilder builder = committer.begin();
     if (builder.takeFrom(queues.get(Urgency.IMMEDIATE), maxWrites)
         && builder.takeFrom(queues.get(Urgency.NORMAL), maxWrites)) {
-      // DEFERRED changes use the remaining write tokens, and always a minimum share of the
-      // transaction, so that they are written eventually.
+      // DEFERRED changes use the remaining write tokens, or a minimum share of the transaction if
+      // that is more, so that they are written eventually.
       int deferredLimit =
           (int)
               Math.max(
--- a/src/main/java/madderrudder/persistence/JobRecords.java
+++ b/src/main/java/madderrudder/persistence/JobRecords.java
@@ -18,7 +18,7 @@
   public static final int TASKS_PER_CHUNK = 32_768;
 
   /**
-   * An unfinished job.
+   * A live job, that is, one that is not finished.
    *
    * @param spec the job as submitted
    * @param acceptedWallMicros the wall-clock time of its acceptance, in microseconds
--- a/src/main/java/madderrudder/persistence/Keys.java
+++ b/src/main/java/madderrudder/persistence/Keys.java
@@ -22,7 +22,7 @@
    */
   public static final String TERM = "helm";
 
-  /** The prefix of unfinished jobs; the job's id follows. See {@link JobRecords.Live}. */
+  /** The prefix of live (unfinished) jobs; the job's id follows. See {@link JobRecords.Live}. */
   public static final String LIVE = "l/";
 
   /** The prefix of finished jobs; the job's id follows. See {@link JobRecords.Finished}. */
@@ -54,7 +54,7 @@
 
   private Keys() {}
 
-  /** Returns the key of an unfinished job. */
+  /** Returns the key of a live job. */
   public static String live(String job) {
     return LIVE + job;
   }
--- a/src/main/java/madderrudder/persistence/LogSegment.java
+++ b/src/main/java/madderrudder/persistence/LogSegment.java
@@ -101,7 +101,7 @@
         readMachines(in),
         in.texts("gone"),
         readPlacements(in),
-        readEnded(in),
+        readEndedAttempts(in),
         readImages(in));
   }
 
@@ -121,7 +121,7 @@
   }
 
   private static List<Placement> readPlacements(JsonFields in) throws MalformedMessageException {
-    List<Placement> placed = new ArrayList<>();
+    List<Placement> placements = new ArrayList<>();
     for (JsonFields group : in.objects("placed")) {
       String job = group.text("j");
       Usage usage =
@@ -129,7 +129,7 @@
               group.text("w"), new Resources(group.count("c"), group.count("g"), group.count("m")));
       for (String item : group.texts("of")) {
         String[] fields = item.split(" ", 3);
-        placed.add(
+        placements.add(
             new Placement(
                 new TaskId(job, (int) parseNumber(fields, 0)),
                 parseNumber(fields, 1),
@@ -137,23 +137,24 @@
                 fieldAt(fields, 2)));
       }
     }
-    return placed;
+    return placements;
   }
 
-  private static List<EndedAttempt> readEnded(JsonFields in) throws MalformedMessageException {
-    List<EndedAttempt> ended = new ArrayList<>();
+  private static List<EndedAttempt> readEndedAttempts(JsonFields in)
+      throws MalformedMessageException {
+    List<EndedAttempt> endedAttempts = new ArrayList<>();
     for (JsonFields group : in.objects("ended")) {
       String job = group.text("j");
       for (String item : group.texts("of")) {
         String[] fields = item.split(" ");
-        ended.add(
+        endedAttempts.add(
             new EndedAttempt(
                 new TaskId(job, (int) parseNumber(fields, 0)),
                 parseNumber(fields, 1),
                 fieldAt(fields, 2)));
       }
     }
-    return ended;
+    return endedAttempts;
   }
 
   private static List<CachedImage> readImages(JsonFields in) throws MalformedMessageException {
--- a/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
+++ b/src/main/java/madderrudder/persistence/LogSegmentBuilder.java
@@ -60,7 +60,7 @@
     maxBytes -= bytes;
   }
 
-  /** Adds a machine; returns false if it does not fit. */
+  /** Adds a machine; returns false, and adds nothing, if it does not fit. */
   public boolean add(MachineEntry machine) {
     MachineKind kind = machine.kind();
     return addToGroup(
@@ -87,12 +87,12 @@
   }
 
   /** Adds an attempt that has ended; returns false if it does not fit. */
-  public boolean add(EndedAttempt end) {
+  public boolean add(EndedAttempt endedAttempt) {
     return addToGroup(
         endedAttempts,
-        end.task().job(),
-        encodedBytes(end.task().job()),
-        end.task().index() + " " + end.attempt() + " " + end.machine());
+        endedAttempt.task().job(),
+        encodedBytes(endedAttempt.task().job()),
+        endedAttempt.task().index() + " " + endedAttempt.attempt() + " " + endedAttempt.machine());
   }
 
   /** Adds an image cached on a machine; returns false if it does not fit. */
--- a/src/main/java/madderrudder/persistence/LogState.java
+++ b/src/main/java/madderrudder/persistence/LogState.java
@@ -36,8 +36,8 @@
   private void apply(LogSegment segment) {
     segment.machines().forEach(machine -> machines.put(machine.id(), machine));
     segment.removedMachines().forEach(machines::remove);
-    for (LogSegment.EndedAttempt end : segment.endedAttempts()) {
-      placements.remove(new PlacedAttempt(end.task(), end.attempt(), end.machine()));
+    for (LogSegment.EndedAttempt entry : segment.endedAttempts()) {
+      placements.remove(new PlacedAttempt(entry.task(), entry.attempt(), entry.machine()));
     }
     for (LogSegment.Placement entry : segment.placements()) {
       placements.put(new PlacedAttempt(entry.task(), entry.attempt(), entry.machine()), entry);
--- a/src/main/java/madderrudder/persistence/RentalRecord.java
+++ b/src/main/java/madderrudder/persistence/RentalRecord.java
@@ -42,9 +42,10 @@
    *
    * @throws MalformedMessageException if the record is not valid
    */
-  public static RentalRecord read(String request, JsonFields in) throws MalformedMessageException {
+  public static RentalRecord read(String requestId, JsonFields in)
+      throws MalformedMessageException {
     return new RentalRecord(
-        request,
+        requestId,
         in.text("type"),
         in.text("zone"),
         in.flag("spot"),
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -121,7 +121,10 @@
         HttpRequest.get("/store/" + key), userRequestLimiter, 1, StoreCodec::readItem, callback);
   }
 
-  /** Reads a key for the leader or a leader election, without a rate limit. */
+  /**
+   * Reads a key for the leader or a leader election, without a rate limit, so that the request does
+   * not wait behind requests of users.
+   */
   public void getUnthrottled(String key, Consumer<StoreReply<KeyValue>> callback) {
     call(HttpRequest.get("/store/" + key), REQUEST_TIMEOUT_MICROS, StoreCodec::readItem, callback);
   }
@@ -190,7 +193,8 @@
   }
 
   /**
-   * Commits a leader's transaction without a rate limit; the caller batches and limits its commits.
+   * Commits a leader's transaction without a rate limit, so that it does not wait behind requests
+   * of users. The caller batches and limits its commits.
    *
    * @param body the encoded transaction
    * @param callback receives the revision of the commit
@@ -234,8 +238,9 @@
   /**
    * Sends a user's request within the rate limit. The request is refused immediately if the rate
    * limit would delay it too long, and while the store is unresponsive and another user's request
-   * is in flight, which serves as the probe. Otherwise each request waits for a timeout and those
-   * queued behind it for two, and users receive no response in time.
+   * is in flight, which serves as the probe. Without this rule, each request during an outage of
+   * the store waits for a timeout and those queued behind it for two, and users receive no response
+   * in time.
    */
   private <T> void callForUser(
       HttpRequest request,
--- a/src/main/java/madderrudder/service/DiagnosticsEndpoint.java
+++ b/src/main/java/madderrudder/service/DiagnosticsEndpoint.java
@@ -56,8 +56,9 @@
   }
 
   /**
-   * The finished task runs after the run with the given number. Only the leader keeps them: another
-   * controller responds with 503 and the leader's name.
+   * The ended task runs after the run with the given number. Only the leader keeps them: another
+   * controller, and a leader that has not read the stored state yet, responds with 503 and the
+   * leader's name.
    *
    * @param afterRun the run number as text from the request path; 404 if it is not a number
    */
--- a/src/main/java/madderrudder/service/HeartbeatEndpoint.java
+++ b/src/main/java/madderrudder/service/HeartbeatEndpoint.java
@@ -98,8 +98,8 @@
    *
    * @param delegationEnabled whether a controller that does not lead may forward or answer
    *     heartbeats; otherwise it redirects all workers
-   * @param maxLeaderChangeMicros the longest time without a known leader that an ordinary change of
-   *     leader takes; after it, heartbeats are answered as a delegate
+   * @param maxLeaderChangeMicros the longest time for which no leader is known during an ordinary
+   *     change of leader; after it, heartbeats are answered as a delegate
    * @param maxSockets the sockets that this controller may use; pending heartbeats may occupy half
    *     of them
    */
--- a/src/main/java/madderrudder/service/JobReader.java
+++ b/src/main/java/madderrudder/service/JobReader.java
@@ -28,8 +28,8 @@
       BoundedMap.evictingOldest(MAX_CACHED_FINISHED_JOBS);
 
   /**
-   * Live records that were read before. A live record is written once and never modified, so that a
-   * lookup only checks whether its version is still the same.
+   * Live records that were read before. A live record is written once and never modified, so a
+   * lookup only has to check whether its version is still the same.
    */
   private final Map<String, JobLookup.Live> liveCache =
       BoundedMap.evictingOldest(MAX_CACHED_LIVE_JOBS);
--- a/src/main/java/madderrudder/service/LocalLeader.java
+++ b/src/main/java/madderrudder/service/LocalLeader.java
@@ -45,7 +45,7 @@
             () ->
                 dependencies
                     .election()
-                    .stepDown("the term key was changed, was deleted or is unreadable"));
+                    .stepDown("no further transaction can be committed in this term"));
     leader.begin();
   }
 
@@ -68,8 +68,9 @@
   }
 
   /**
-   * Whether the leader answers heartbeats already, rather than after it has read the stored state;
-   * false if this controller does not lead.
+   * Whether the leader can answer heartbeats now; false if this controller does not lead. Until the
+   * leader has read the stored state, it can do so only while a grant of an earlier leader allows
+   * it.
    */
   boolean answersHeartbeats() {
     return leader != null && leader.repliesToHeartbeats();
@@ -151,7 +152,7 @@
     }
   }
 
-  /** Writes the finished task runs after the given run number. The leader must be ready. */
+  /** Writes the ended task runs after the given run number. The leader must be ready. */
   void writeHistory(JsonGenerator out, long afterRun) throws IOException {
     leader.writeHistory(out, afterRun);
   }
--- a/src/test/java/madderrudder/persistence/LogSegmentTest.java
+++ b/src/test/java/madderrudder/persistence/LogSegmentTest.java
@@ -29,10 +29,10 @@
     SplittableRandom random = new SplittableRandom(7);
     LogSegmentBuilder builder = new LogSegmentBuilder(maxBytes);
     Set<LogSegment.MachineEntry> machines = new HashSet<>();
-    Set<LogSegment.Placement> placed = new HashSet<>();
-    Set<LogSegment.EndedAttempt> ended = new HashSet<>();
+    Set<LogSegment.Placement> placements = new HashSet<>();
+    Set<LogSegment.EndedAttempt> endedAttempts = new HashSet<>();
     Set<LogSegment.CachedImage> images = new HashSet<>();
-    Set<String> gone = new HashSet<>();
+    Set<String> removedMachines = new HashSet<>();
     boolean fits = true;
     for (long i = 1; fits; i++) {
       String machine = String.format("m-%06d", i);
@@ -49,32 +49,33 @@
       LogSegment.Placement placement =
           new LogSegment.Placement(
               task, i << 20, new LogSegment.Usage("töölö", resources), machine);
-      LogSegment.EndedAttempt end = new LogSegment.EndedAttempt(task, i, machine);
+      LogSegment.EndedAttempt endedAttempt = new LogSegment.EndedAttempt(task, i, machine);
       LogSegment.CachedImage image =
           new LogSegment.CachedImage("img-" + random.nextInt(4), 1.5, machine);
       fits =
           builder.add(entry)
               && machines.add(entry)
               && builder.add(placement)
-              && placed.add(placement)
-              && builder.add(end)
-              && ended.add(end)
+              && placements.add(placement)
+              && builder.add(endedAttempt)
+              && endedAttempts.add(endedAttempt)
               && builder.add(image)
               && images.add(image)
               && builder.addRemovedMachine("n-" + i)
-              && gone.add("n-" + i);
+              && removedMachines.add("n-" + i);
     }
     byte[] encoded = builder.encode(77);
     assertTrue(encoded.length <= maxBytes, encoded.length + " bytes of " + maxBytes);
     LogSegment decoded = LogSegment.read(Json.readObject(encoded));
     assertEquals(77, decoded.number());
     assertEquals(machines, Set.copyOf(decoded.machines()));
-    assertEquals(placed, Set.copyOf(decoded.placements()));
-    assertEquals(ended, Set.copyOf(decoded.endedAttempts()));
+    assertEquals(placements, Set.copyOf(decoded.placements()));
+    assertEquals(endedAttempts, Set.copyOf(decoded.endedAttempts()));
     assertEquals(images, Set.copyOf(decoded.images()));
-    assertEquals(gone, Set.copyOf(decoded.removedMachines()));
+    assertEquals(removedMachines, Set.copyOf(decoded.removedMachines()));
     assertTrue(
-        placed.size() > maxBytes / 1024, "only " + placed.size() + " placements in " + maxBytes);
+        placements.size() > maxBytes / 1024,
+        "only " + placements.size() + " placements in " + maxBytes);
   }
 
   /**
--- a/src/test/java/madderrudder/persistence/LogStateTest.java
+++ b/src/test/java/madderrudder/persistence/LogStateTest.java
@@ -23,10 +23,10 @@
   private static LogSegment segment(
       long number,
       List<LogSegment.MachineEntry> machines,
-      List<String> gone,
-      List<LogSegment.Placement> placed,
-      List<LogSegment.EndedAttempt> ended) {
-    return new LogSegment(number, machines, gone, placed, ended, List.of());
+      List<String> removedMachines,
+      List<LogSegment.Placement> placements,
+      List<LogSegment.EndedAttempt> endedAttempts) {
+    return new LogSegment(number, machines, removedMachines, placements, endedAttempts, List.of());
   }
 
   /** The placement on the removed machine m-3 must not survive the replay. */
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -80,14 +80,14 @@
             .as(
                 (team, milliCpus, milliGpus, memoryMb) ->
                     new Usage(team, new Resources(milliCpus, milliGpus, memoryMb)));
-    Arbitrary<Record> placed =
+    Arbitrary<Record> placement =
         Combinators.combine(tasks(), numbers, usage, machines()).as(Placement::new);
-    Arbitrary<Record> ended =
+    Arbitrary<Record> endedAttempt =
         Combinators.combine(tasks(), numbers, machines()).as(EndedAttempt::new);
     Arbitrary<Record> image =
         Combinators.combine(names(), Arbitraries.doubles().between(0, 1e15), machines())
             .as(CachedImage::new);
-    return Arbitraries.oneOf(machine, placed, ended, image).list().ofMaxSize(120);
+    return Arbitraries.oneOf(machine, placement, endedAttempt, image).list().ofMaxSize(120);
   }
 
   @Property(seed = "31")
@@ -101,10 +101,10 @@
       boolean fits =
           entry instanceof MachineEntry machine
               ? builder.add(machine)
-              : entry instanceof Placement placed
-                  ? builder.add(placed)
-                  : entry instanceof EndedAttempt ended
-                      ? builder.add(ended)
+              : entry instanceof Placement placement
+                  ? builder.add(placement)
+                  : entry instanceof EndedAttempt endedAttempt
+                      ? builder.add(endedAttempt)
                       : builder.add((CachedImage) entry);
       if (fits) {
         added.add(entry);
--- a/src/test/java/madderrudder/persistence/StoredFormTest.java
+++ b/src/test/java/madderrudder/persistence/StoredFormTest.java
@@ -39,13 +39,13 @@
       new LogSegment.MachineKind("m5.large", "zone-a", false, true);
   private static final LogSegment.MachineEntry MACHINE =
       new LogSegment.MachineEntry("m1", KIND, 5_000_000, false);
-  private static final LogSegment.Placement PLACED =
+  private static final LogSegment.Placement PLACEMENT =
       new LogSegment.Placement(
           new TaskId("job-1", 3),
           2,
           new LogSegment.Usage("team-a", new Resources(1000, 0, 2048)),
           "m1");
-  private static final LogSegment.EndedAttempt ENDED =
+  private static final LogSegment.EndedAttempt ENDED_ATTEMPT =
       new LogSegment.EndedAttempt(new TaskId("job-1", 1), 1, "m1");
   private static final LogSegment.CachedImage IMAGE = new LogSegment.CachedImage("img", 1.5, "m1");
 
@@ -120,8 +120,8 @@
     LogSegmentBuilder builder = new LogSegmentBuilder(10_000);
     assertTrue(builder.add(MACHINE));
     assertTrue(builder.addRemovedMachine("m0"));
-    assertTrue(builder.add(PLACED));
-    assertTrue(builder.add(ENDED));
+    assertTrue(builder.add(PLACEMENT));
+    assertTrue(builder.add(ENDED_ATTEMPT));
     assertTrue(builder.add(IMAGE));
     assertEquals(SEGMENT, text(builder.encode(9)));
   }
@@ -130,7 +130,12 @@
   void logSegmentDecodesFromStoredForm() throws MalformedMessageException {
     assertEquals(
         new LogSegment(
-            9, List.of(MACHINE), List.of("m0"), List.of(PLACED), List.of(ENDED), List.of(IMAGE)),
+            9,
+            List.of(MACHINE),
+            List.of("m0"),
+            List.of(PLACEMENT),
+            List.of(ENDED_ATTEMPT),
+            List.of(IMAGE)),
         LogSegment.read(Json.readObject(bytes(SEGMENT))));
   }
 
--- a/src/test/java/madderrudder/service/HealthCheckTest.java
+++ b/src/test/java/madderrudder/service/HealthCheckTest.java
@@ -38,7 +38,7 @@
         "true, false, 9000+, false",
         "true, false, 100 9000+, true"
       })
-  void reportsUnhealthyOnlyIfPeersMayServeUsersBetter(
+  void isUnhealthyOnlyWithoutCatalogOrIfPeersMayServeUsersBetter(
       boolean catalogKnown, boolean storeResponsive, String peerList, boolean healthy) {
     Map<String, PeerStatus> peerStatuses = new HashMap<>();
     for (String peer : peerList == null ? new String[0] : peerList.split(" ")) {
--- a/src/test/java/madderrudder/service/WorkerRedirectsTest.java
+++ b/src/test/java/madderrudder/service/WorkerRedirectsTest.java
@@ -35,6 +35,7 @@
     assertTrue(decideToServeLocally("m-1", "east", 66));
   }
 
+  /** Such a worker had reached the leader after the first redirect. */
   @Test
   void workerThatReturnsAfterReturnWindowIsRedirected() {
     assertFalse(decideToServeLocally("m-1", "east", 0));
