--- a/src/main/java/madderrudder/cli/ClassPreloader.java
+++ b/src/main/java/madderrudder/cli/ClassPreloader.java
@@ -74,9 +74,8 @@
       Class.forName(name, false, ClassPreloader.class.getClassLoader());
       return true;
     } catch (ClassNotFoundException | LinkageError e) {
-      // Optional parts of a library may need classes that are not in the jar. The controller does
-      // not
-      // use these parts.
+      // Optional parts of a library may need classes that are not in the jar. The controller
+      // does not use these parts.
       return false;
     }
   }
--- a/src/main/java/madderrudder/config/DeploymentReader.java
+++ b/src/main/java/madderrudder/config/DeploymentReader.java
@@ -18,9 +18,9 @@
   private static final String PATH = "deployment.";
 
   /**
-   * The shortest time for which heartbeats must be answerable without news from the store. A
-   * shorter one leaves no room for two responses of the store before the workers' leases have to
-   * expire.
+   * The lower limit of {@link SafetyBounds#maxAnswerWithoutStoreMicros}. A shorter time leaves no
+   * room for two responses of the store before heartbeats may no longer be answered and the
+   * workers' leases expire.
    */
   private static final long MIN_HEARTBEAT_ANSWER_MICROS = 4_000_000;
 
--- a/src/main/java/madderrudder/estimates/Estimate.java
+++ b/src/main/java/madderrudder/estimates/Estimate.java
@@ -11,7 +11,7 @@
  *     without an interval
  * @param runs the number of runs at {@code level} that the estimate is based on
  * @param level the level with the largest weight in the estimate
- * @param basis the quantity that is modelled
+ * @param basis the quantity whose distribution the estimate is taken from
  */
 public record Estimate(
     long medianMicros,
--- a/src/main/java/madderrudder/estimates/Level.java
+++ b/src/main/java/madderrudder/estimates/Level.java
@@ -20,9 +20,9 @@
 
   /**
    * The number of runs (at {@link #JOB}) or jobs (at the other levels) in one generation of a
-   * {@link WindowedHistogram}, which keeps one to two generations. Generations two or four times as
-   * large gain about 1% more accurate estimates without drift, but lose a sixth of the estimates if
-   * owners' estimates drift (docs/estimates.md).
+   * {@link WindowedHistogram}, which keeps one to two generations. With generations two or four
+   * times as large, about a hundredth more of the estimates are accurate if nothing changes, but a
+   * sixth fewer are if owners' estimates drift (docs/estimates.md).
    */
   final int generationRuns;
 
--- a/src/main/java/madderrudder/protocol/PeerMessage.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -13,7 +13,7 @@
    * @param member the sender's name
    * @param term the highest term that the sender knows of
    * @param leader the name of the leader of that term; empty if the sender knows none
-   * @param storeReachable whether the state service responds to the sender
+   * @param storeReachable whether the store responds to the sender
    * @param spareMilliWrites if the sender leads, the write rate that it leaves to the controllers
    *     for their users' requests, in thousandths of writes per second
    * @param wantedMilliWrites the write rate that the sender's own users request, in thousandths of
--- a/src/main/java/madderrudder/protocol/Priority.java
+++ b/src/main/java/madderrudder/protocol/Priority.java
@@ -1,6 +1,9 @@
 package madderrudder.protocol;
 
-/** The priority of a job. The constants are declared from highest to lowest for comparisons. */
+/**
+ * The priority of a job. The constants are in descending order: the highest has the smallest
+ * ordinal.
+ */
 public enum Priority {
   /** {@code production} on the wire. */
   PRODUCTION,
--- a/src/main/java/madderrudder/protocol/StoreCodec.java
+++ b/src/main/java/madderrudder/protocol/StoreCodec.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Encodes requests to the state service, the key-value store, and decodes its responses. */
+/** Encodes requests to the store and decodes its responses. */
 public final class StoreCodec {
   /**
    * A key with its value, or a change of a key that a watch delivers.
--- a/src/main/java/madderrudder/protocol/StoreFields.java
+++ b/src/main/java/madderrudder/protocol/StoreFields.java
@@ -1,9 +1,8 @@
 package madderrudder.protocol;
 
 /**
- * Field names of messages to and from the state service, a consensus-backed key-value store. The
- * wire protocol uses nautical names; each constant is named after the standard term that the rest
- * of the program uses.
+ * Field names of messages to and from the store. The wire protocol uses nautical names; each
+ * constant is named after the standard term that the rest of the program uses.
  */
 final class StoreFields {
   /** The key of an item or of a condition. */
--- a/src/main/java/madderrudder/protocol/package-info.java
+++ b/src/main/java/madderrudder/protocol/package-info.java
@@ -1,10 +1,11 @@
 /**
- * The messages that the controller exchanges with users, workers, the state service, the cloud and
- * other controllers. The wire protocol uses nautical names. The codecs translate between these
- * names and the standard terms of the code, so that code outside this package does not use them.
- * {@code JobFields}, {@code WorkerFields}, {@code StoreFields} and {@code CloudFields} define each
- * field name of their messages once. All values are immutable. The codecs have no state and may be
- * used on any thread.
+ * The messages that the controller exchanges with users, workers, the store, the cloud and other
+ * controllers. The store is the consensus-backed key-value store, the state service of the platform
+ * (<code>state</code> in its settings). The wire protocol uses nautical names. The codecs translate
+ * between these names and the standard terms of the code, so that code outside this package does
+ * not use them. {@code JobFields}, {@code WorkerFields}, {@code StoreFields} and {@code
+ * CloudFields} define each field name of their messages once. All values are immutable. The codecs
+ * have no state and may be used on any thread.
  *
  * <table>
  * <caption>Names on the wire and the corresponding terms in the code</caption>
--- a/src/main/java/madderrudder/replay/HistoryReader.java
+++ b/src/main/java/madderrudder/replay/HistoryReader.java
@@ -151,7 +151,7 @@
         if (record.isConsistent()) {
           readRun(toJson(headings, record), consumer);
         } else {
-          reportMalformed(record.size() + " columns where the headings are " + headings.size());
+          reportMalformed(record.size() + " columns, but " + headings.size() + " headings");
         }
       }
     }
--- a/src/main/java/madderrudder/replay/PredictionScore.java
+++ b/src/main/java/madderrudder/replay/PredictionScore.java
@@ -29,7 +29,7 @@
   /** Keyed by the index of the chunk of {@link Replay#RUNS_PER_CHUNK} predicted runs. */
   final Map<Integer, ErrorTally> byChunk = new TreeMap<>();
 
-  /** The logErrors of a group of estimates. */
+  /** The errors of a group of estimates. */
   static final class ErrorTally {
     private long runs;
     private long nearRuns;
--- a/src/main/java/madderrudder/replay/ProgressPrinter.java
+++ b/src/main/java/madderrudder/replay/ProgressPrinter.java
@@ -7,7 +7,7 @@
 public final class ProgressPrinter {
   private static final long PRINT_INTERVAL_NANOS = 1_000_000_000;
 
-  /** The number of steps between two reads of the clock, which take longer than a step. */
+  /** The number of steps between two reads of the clock. */
   private static final int STEPS_PER_CLOCK_READ = 1_000;
 
   private final PrintStream err;
--- a/src/main/java/madderrudder/replay/TextReport.java
+++ b/src/main/java/madderrudder/replay/TextReport.java
@@ -108,7 +108,7 @@
    * @param out the destination of the table
    * @param heading the heading of the first column
    * @param groups returns the groups of a predictor's score, by name
-   * @param metric returns the value of a formatCell
+   * @param metric returns the value of a cell
    * @param intervalsOnly whether to leave the cells of predictors without prediction intervals
    *     empty
    */
--- a/src/main/java/madderrudder/tools/HistoryCommand.java
+++ b/src/main/java/madderrudder/tools/HistoryCommand.java
@@ -77,9 +77,9 @@
   }
 
   /**
-   * Collects until there are no new runs. In follow mode, a failure is printed and the next
-   * interval retries: a controller becomes the leader after a while, and the leader keeps the
-   * latest runs.
+   * Collects until there are no new runs. In follow mode, a failure is printed and the command goes
+   * on: there may be no leader for a while, and the leader still has the latest runs when they are
+   * collected after the next interval.
    */
   private static void collectAll(
       HistoryClient client, HistoryWriter writer, boolean following, PrintStream err)
--- a/src/main/java/madderrudder/transport/EventLoop.java
+++ b/src/main/java/madderrudder/transport/EventLoop.java
@@ -35,7 +35,7 @@
     private final long dueMicros;
     private final long sequence;
 
-    /** Null once the timer is canceled. */
+    /** Null once the timer is cancelled. */
     private Runnable action;
 
     PendingTimer(long dueMicros, long sequence, Runnable action) {
--- a/src/main/java/madderrudder/transport/OutgoingPeerConnection.java
+++ b/src/main/java/madderrudder/transport/OutgoingPeerConnection.java
@@ -7,8 +7,8 @@
 import java.util.Deque;
 
 /**
- * Sends messages to one peer over a connection that opens with the first message and reopens after
- * a failure. Messages that can't be sent are dropped. Confined to the event loop thread.
+ * Sends messages to one peer over a connection that is opened when there is a message to send, also
+ * after a failure. Messages that can't be sent are dropped. Confined to the event loop thread.
  */
 final class OutgoingPeerConnection {
   /** Minimum time between the starts of two connection attempts. */
