--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -33,9 +33,10 @@
   /**
    * Returns for how long from now other controllers may answer workers on behalf of this leader,
    * without commands; 0 if they may not. The bound ensures that a worker that received the last
-   * such answer still kills the tasks of jobs cancelled since within the time limit for
-   * cancellations. Other controllers do not know which tasks of jobs that were cancelled earlier
-   * may still run, so the time counts from before the users of those jobs were told.
+   * such answer still kills, within the time limit for cancellations, the tasks of jobs that were
+   * cancelled in the meantime. Other controllers do not know which tasks of jobs that were
+   * cancelled earlier may still run, so the time counts from before the cancellations of those jobs
+   * were confirmed to their users.
    */
   long grantMicros() {
     if (!term.policy.delegationEnabled()) {
@@ -96,8 +97,9 @@
   }
 
   /**
-   * Extends the assumed lease of a machine that an earlier leader used. That leader may continue to
-   * answer the worker for a bounded time, until all other controllers have acknowledged this term.
+   * Extends the assumed lease of a machine that an earlier leader used, unless all other
+   * controllers have acknowledged this term. Until then, the earlier leader may continue to answer
+   * the worker for a bounded time.
    */
   void extendLeaseForEarlierLeader(Machine machine) {
     if (!termAcknowledgements.isComplete()) {
@@ -107,8 +109,8 @@
 
   /**
    * Removes the lease extensions for earlier leaders, because no lease can be renewed under an
-   * earlier term any more. The lease of a machine that has not reported expires one lease duration
-   * from now.
+   * earlier term any more. The lease of a machine that has not reported then counts from now at the
+   * latest.
    */
   private void endLeaseExtensions() {
     long nowMicros = term.scheduler.nowMicros();
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -25,7 +25,7 @@
   private final LeaderTerm term;
   private final JobRegistry jobs;
   private final HeartbeatHandler heartbeats;
-  private final LongSupplier delegatedUntilMicros;
+  private final LongSupplier renewalSafeUntilMicros;
 
   /** The replies that wait for durable records, by machine id. */
   private final Map<String, PendingReply> pendingReplies = new HashMap<>();
@@ -40,18 +40,19 @@
   /**
    * Creates the responder of one term, which is not ready yet.
    *
-   * @param delegatedUntilMicros returns until when an earlier leader has allowed this controller to
-   *     answer without commands, on the scheduler's clock
+   * @param renewalSafeUntilMicros returns until when heartbeats may be answered without commands
+   *     while the stored state is not loaded, on the scheduler's clock: the latest end of any grant
+   *     of an earlier term that this controller has received or issued
    */
   HeartbeatResponder(
       LeaderTerm term,
       JobRegistry jobs,
       HeartbeatHandler heartbeats,
-      LongSupplier delegatedUntilMicros) {
+      LongSupplier renewalSafeUntilMicros) {
     this.term = term;
     this.jobs = jobs;
     this.heartbeats = heartbeats;
-    this.delegatedUntilMicros = delegatedUntilMicros;
+    this.renewalSafeUntilMicros = renewalSafeUntilMicros;
   }
 
   /**
@@ -76,10 +77,10 @@
   }
 
   /**
-   * Returns whether heartbeats can be decided now. Until the stored state is loaded, that is the
-   * case only while a grant of an earlier leader allows answers.
+   * Returns whether heartbeats can be replied to now. Until the stored state is loaded, that is the
+   * case only while a grant of an earlier term allows answers.
    */
-  boolean decidesNow() {
+  boolean repliesToHeartbeats() {
     return ready || mayAnswer();
   }
 
@@ -118,13 +119,13 @@
    *
    * <p>Until the stored state is loaded, the leader does not know which jobs were cancelled, even
    * long ago. Answers without commands for as long as its lease is extended would then keep
-   * cancelled tasks running, so they are also limited to the time that an earlier leader granted,
-   * as for any other controller.
+   * cancelled tasks running, so they are also limited to the time granted in an earlier term, as
+   * are the answers of any other controller.
    */
   private boolean mayAnswer() {
     long nowMicros = term.scheduler.nowMicros();
     if (!ready) {
-      return term.election.holdsLease() && nowMicros < delegatedUntilMicros.getAsLong();
+      return term.election.holdsLease() && nowMicros < renewalSafeUntilMicros.getAsLong();
     }
     long knownUpToMicros = Math.min(jobs.knownUpToMicros(), term.election.leaseEndMicros());
     return nowMicros < knownUpToMicros + term.safetyBounds.maxAnswerWithoutStoreMicros();
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -101,11 +101,11 @@
   }
 
   /**
-   * Returns whether heartbeats can be decided now. Until the stored state is loaded, that is the
-   * case only while a grant of an earlier leader allows answers.
+   * Returns whether heartbeats can be replied to now. Until the stored state is loaded, that is the
+   * case only while a grant of an earlier term allows answers.
    */
   public boolean repliesToHeartbeats() {
-    return responder.decidesNow();
+    return responder.repliesToHeartbeats();
   }
 
   /**
@@ -222,10 +222,10 @@
   }
 
   /**
-   * Returns whether this leader is probably cut off from the workers. It would remain the leader
-   * while the workers' leases expire. Most machines rarely fail at the same time, so another
-   * controller should take over while the leases are still valid. During a store outage no other
-   * controller can be elected, so this leader does not step down.
+   * Returns whether this leader is probably cut off from the workers. It would keep its own lease
+   * while the workers' leases expire. It is rare that most machines fail at the same time, so
+   * another controller should take over while the workers' leases are still valid. During a store
+   * outage no other controller can be elected, so this leader does not step down.
    */
   private boolean mostMachinesSilent() {
     long nowMicros = term.scheduler.nowMicros();
--- a/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
+++ b/src/main/java/madderrudder/coordination/membership/DelegationTracker.java
@@ -10,15 +10,15 @@
 /**
  * Tracks the controllers to which a leader has delegated the answering of heartbeats: until when
  * each may answer, and up to which time all its answers are known. From these the tracker derives
- * when the worker of a silent machine has certainly dropped its tasks. docs/delegation.md contains
+ * when the worker of a silent machine has certainly killed its tasks. docs/delegation.md contains
  * the safety argument.
  *
- * <p>Confined to the event loop thread. All times are microseconds of the leader's steady clock.
+ * <p>Confined to the event loop thread. All times are microseconds of the leader's monotonic clock.
  */
 public final class DelegationTracker {
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
 
-  private final SafetyBounds safety;
+  private final SafetyBounds safetyBounds;
   private final long termBeginMicros;
   private final Map<String, Delegate> delegates = new HashMap<>();
 
@@ -62,11 +62,11 @@
   /**
    * Creates a tracker without delegates.
    *
-   * @param safety the length of a worker's lease, with its safety margin
+   * @param safetyBounds the length of a worker's lease, with its safety margin
    * @param termBeginMicros when the leader's term began
    */
-  public DelegationTracker(SafetyBounds safety, long termBeginMicros) {
-    this.safety = safety;
+  public DelegationTracker(SafetyBounds safetyBounds, long termBeginMicros) {
+    this.safetyBounds = safetyBounds;
     this.termBeginMicros = termBeginMicros;
   }
 
@@ -128,7 +128,7 @@
    */
   private long silenceMicrosAfter(StampEcho echo) {
     return echo.stampMicros() >= termBeginMicros
-        ? SafetyBounds.shortenByClockDrift(safety.leaderSilenceMicros())
+        ? SafetyBounds.shortenByClockDrift(safetyBounds.leaderSilenceMicros())
         : 0;
   }
 
@@ -156,7 +156,7 @@
   }
 
   /**
-   * Returns whether a worker's lease has certainly expired, so that the worker has dropped its
+   * Returns whether a worker's lease has certainly expired, so that the worker has killed its
    * tasks. A delegate whose answers are not all known up to the end of the lease may have renewed
    * it until its grant ended. The lease may then end later, and the answers of the other delegates
    * have to be known up to that later end.
@@ -164,17 +164,18 @@
    * @param lastLeaseRenewalMicros the time of the last known answer to the worker
    */
   public boolean leaseExpired(long lastLeaseRenewalMicros, long nowMicros) {
-    long endMicros = lastLeaseRenewalMicros + safety.workerLeaseExpiryMicros();
+    long endMicros = lastLeaseRenewalMicros + safetyBounds.workerLeaseExpiryMicros();
     for (Delegate delegate : delegates.values()) {
       endMicros =
           Math.max(
-              endMicros, delegate.predecessorsAnswerEndMicros + safety.workerLeaseExpiryMicros());
+              endMicros,
+              delegate.predecessorsAnswerEndMicros + safetyBounds.workerLeaseExpiryMicros());
     }
     boolean recheck = nowMicros > endMicros;
     while (recheck) {
       recheck = false;
       for (Delegate delegate : delegates.values()) {
-        long delegatedEndMicros = delegate.grantEndMicros + safety.workerLeaseExpiryMicros();
+        long delegatedEndMicros = delegate.grantEndMicros + safetyBounds.workerLeaseExpiryMicros();
         if (delegate.answersKnownUpToMicros < endMicros && delegatedEndMicros > endMicros) {
           endMicros = delegatedEndMicros;
           recheck = true;
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -23,7 +23,7 @@
  * when it sent the status that the grant replies to, so that a delay of the grant does not extend
  * it. docs/delegation.md contains the safety argument.
  *
- * <p>Confined to the event loop thread. All times are microseconds of this controller's steady
+ * <p>Confined to the event loop thread. All times are microseconds of this controller's monotonic
  * clock.
  */
 public final class HeartbeatDelegate {
@@ -47,12 +47,12 @@
 
   /**
    * Bytes of a renewal in a message, without the machine's name. Each character of the name may
-   * take three more.
+   * take up to three bytes more.
    */
   private static final int RENEWAL_OVERHEAD_BYTES = 6;
 
   private final Scheduler scheduler;
-  private final SafetyBounds safety;
+  private final SafetyBounds safetyBounds;
   private final String member;
   private final long incarnation;
   private final long startedMicros;
@@ -80,16 +80,16 @@
   /**
    * Creates a delegate without a grant.
    *
-   * @param scheduler the steady clock
-   * @param safety the length of a worker's lease, with its safety margin
+   * @param scheduler the monotonic clock
+   * @param safetyBounds the length of a worker's lease, with its safety margin
    * @param member this controller's name
    * @param incarnation a random number that distinguishes this process from others with the same
    *     name
    */
   public HeartbeatDelegate(
-      Scheduler scheduler, SafetyBounds safety, String member, long incarnation) {
+      Scheduler scheduler, SafetyBounds safetyBounds, String member, long incarnation) {
     this.scheduler = scheduler;
-    this.safety = safety;
+    this.safetyBounds = safetyBounds;
     this.member = member;
     this.incarnation = incarnation;
     startedMicros = scheduler.nowMicros();
@@ -141,7 +141,8 @@
     return grantTerm > 0
         && grantTerm == highestTerm
         && nowMicros < grantEndMicros
-        && nowMicros - peers.get(grantingLeader).receivedMicros() > safety.leaderSilenceMicros();
+        && nowMicros - peers.get(grantingLeader).receivedMicros()
+            > safetyBounds.leaderSilenceMicros();
   }
 
   /** Records the end of a grant that this process has issued as the leader. */
@@ -190,8 +191,8 @@
    *
    * @param highestTerm the highest known term
    * @param grantMicros for how long peers may answer, if this controller leads; else 0
-   * @param echoes the stamps to send back; those of {@link #peerEchoes} that the leader grants, if
-   *     this controller leads
+   * @param echoes the stamps to send back: {@link #peerEchoes}, or, if the status carries a grant,
+   *     only those of the processes that may receive it
    */
   public List<PeerMessage> statusMessages(
       long highestTerm, long grantMicros, List<StampEcho> echoes) {
@@ -219,7 +220,7 @@
     while (entries.hasNext()) {
       Map.Entry<String, Answer> entry = entries.next();
       long ageMicros = nowMicros - entry.getValue().answeredMicros();
-      if (ageMicros > safety.workerLeaseExpiryMicros() + RENEWAL_REPORT_MARGIN_MICROS) {
+      if (ageMicros > safetyBounds.workerLeaseExpiryMicros() + RENEWAL_REPORT_MARGIN_MICROS) {
         entries.remove();
         continue;
       }
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -21,7 +21,8 @@
  *      +------- lease expired, higher term observed, stepped down -----+
  * </pre>
  *
- * <p>Confined to the event loop thread. All times are microseconds of the scheduler's steady clock.
+ * <p>Confined to the event loop thread. All times are microseconds of the scheduler's monotonic
+ * clock.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
@@ -33,8 +34,11 @@
    */
   private static final long MAX_CAMPAIGN_JITTER_MICROS = 30_000;
 
-  /** How long a leader that yields does not campaign, so that another controller can be elected. */
-  private static final long CAMPAIGN_PAUSE_AFTER_YIELD_MICROS = 4_000_000;
+  /**
+   * How long this controller does not campaign after {@link #stepDownAndPauseCampaigns}, so that
+   * another controller can be elected.
+   */
+  private static final long CAMPAIGN_PAUSE_MICROS = 4_000_000;
 
   /**
    * Half of the range that fencing tokens reserve for the term. At one term per millisecond it
@@ -205,7 +209,7 @@
    * @param reason the cause, for the log
    */
   public void stepDownAndPauseCampaigns(String reason) {
-    campaignNotBeforeMicros = scheduler.nowMicros() + CAMPAIGN_PAUSE_AFTER_YIELD_MICROS;
+    campaignNotBeforeMicros = scheduler.nowMicros() + CAMPAIGN_PAUSE_MICROS;
     stepDown(reason);
   }
 
@@ -240,7 +244,7 @@
    * Schedules a campaign that replaces the leader key of an earlier process of this member. At most
    * one running process has this member's name, so the earlier one has ended and its lease need not
    * run out first. After an outage the store restores all leases to their full length; waiting for
-   * the earlier lease then let workers' leases expire.
+   * the earlier lease would then let workers' leases expire.
    */
   private void replacePredecessor(long version) {
     predecessorVersion = version;
--- a/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderKeyWatch.java
@@ -14,7 +14,7 @@
  */
 final class LeaderKeyWatch {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderKeyWatch.class);
-  private static final long RETRY_MICROS = 200_000;
+  private static final long RETRY_INTERVAL_MICROS = 200_000;
 
   /** How long the store may hold a watch request open before it answers without a change. */
   private static final long MAX_WATCH_MICROS = 2_000_000;
@@ -53,7 +53,7 @@
         "",
         reply -> {
           if (!reply.is(Outcome.OK)) {
-            scheduler.runAfter(RETRY_MICROS, this::start);
+            scheduler.runAfter(RETRY_INTERVAL_MICROS, this::start);
             return;
           }
           boolean found = false;
@@ -79,7 +79,7 @@
           } else if (reply.is(Outcome.GONE)) {
             start();
           } else {
-            scheduler.runAfter(RETRY_MICROS, () -> watch(revision));
+            scheduler.runAfter(RETRY_INTERVAL_MICROS, () -> watch(revision));
           }
         });
   }
--- a/src/main/java/madderrudder/coordination/membership/LeaderLease.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderLease.java
@@ -7,11 +7,11 @@
 
 /**
  * The lease in the store that the leader key of one term is attached to. It is renewed until it is
- * released or expires. Confined to the event loop thread; times are microseconds of the steady
+ * released or expires. Confined to the event loop thread; times are microseconds of the monotonic
  * clock.
  */
 final class LeaderLease {
-  private static final long RENEWAL_RETRY_MICROS = 200_000;
+  private static final long RENEWAL_RETRY_INTERVAL_MICROS = 200_000;
   private static final int RENEWALS_PER_LEASE = 4;
 
   private final Scheduler scheduler;
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Schedules the next renewal, and after each success another, several within the length of the
-   * lease. Renewals stop when the lease is released or has expired.
+   * Schedules the next renewal; each successful renewal schedules another. Several renewals fall
+   * within the length of the lease. They stop when the lease is released or has expired.
    */
   void scheduleNextRenewal() {
     renewAfter(lengthMicros / RENEWALS_PER_LEASE);
@@ -90,7 +90,7 @@
           } else if (reply.is(Outcome.GONE)) {
             onExpired.run();
           } else {
-            renewAfter(RENEWAL_RETRY_MICROS);
+            renewAfter(RENEWAL_RETRY_INTERVAL_MICROS);
           }
         });
   }
--- a/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
+++ b/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
@@ -40,7 +40,7 @@
    * one.
    *
    * @param echo the last stamp of this process that the controller has received, or null if none
-   * @param nowMicros the current time of the steady clock in microseconds
+   * @param nowMicros the current time of the monotonic clock in microseconds
    * @return true if this status completes the second round; later calls return false
    */
   public boolean recordStatus(MembershipStatus status, StampEcho echo, long nowMicros) {
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListPoller.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListPoller.java
@@ -16,7 +16,7 @@
  */
 final class MachineListPoller {
   private static final Logger LOG = LoggerFactory.getLogger(MachineListPoller.class);
-  private static final long RETRY_MICROS = 1_000_000;
+  private static final long RETRY_INTERVAL_MICROS = 1_000_000;
 
   private final LeaderTerm term;
   private final CloudClient cloud;
@@ -60,7 +60,7 @@
     if (result instanceof CloudResult.Malformed<CloudCodec.Page> malformed) {
       LOG.info("machine list is malformed, reading it again: {}", malformed.reason());
     }
-    term.runAfter(RETRY_MICROS, this::start);
+    term.runAfter(RETRY_INTERVAL_MICROS, this::start);
   }
 
   private void handlePage(CloudCodec.Page page, Set<String> listedIds) {
--- a/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineListTracker.java
@@ -33,8 +33,8 @@
   private final RentalRequests requests;
 
   /**
-   * When a list first named each machine that the leader's log lacks, by machine id, on the steady
-   * clock.
+   * When a list first named each machine that the leader's log lacks, by machine id, on the
+   * monotonic clock.
    */
   private final Map<String, Long> unknownSinceMicros = new HashMap<>();
 
--- a/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
+++ b/src/main/java/madderrudder/coordination/scaleout/MachineReconciliation.java
@@ -73,9 +73,9 @@
   /**
    * Returns whether the leader has held its lease, and could place work, for as long as an idle
    * machine is kept. An outage of the store that outlasts the workers' leases leaves all machines
-   * empty, and without acknowledged heartbeats since none are answered. If machines were returned
-   * for that reason, the jobs that waited through the outage would then also wait for machines to
-   * boot and fetch images.
+   * empty. They also appear silent, since the leader neither answers nor applies their heartbeats.
+   * If machines were returned for that reason, the jobs that waited through the outage would then
+   * also wait for machines to boot and fetch images.
    */
   private boolean canPlaceLongEnough(long nowMicros) {
     if (!term.election.holdsLease()) {
--- a/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalIntents.java
@@ -40,11 +40,11 @@
   }
 
   /** Loads the budget that earlier leaders stored, and whether any of them rented a machine. */
-  void load(StoredState found) throws MalformedMessageException {
-    if (found.rentalBudget().isPresent()) {
-      budget.load(found.rentalBudget().get().value());
+  void load(StoredState storedState) throws MalformedMessageException {
+    if (storedState.rentalBudget().isPresent()) {
+      budget.load(storedState.rentalBudget().get().value());
     }
-    ownedMachinesRecorded = found.ownedMachinesRecorded();
+    ownedMachinesRecorded = storedState.ownedMachinesRecorded();
   }
 
   /**
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -28,7 +28,7 @@
  */
 final class RentalRequests {
   private static final Logger LOG = LoggerFactory.getLogger(RentalRequests.class);
-  private static final long RETRY_MICROS = 1_000_000;
+  private static final long RETRY_INTERVAL_MICROS = 1_000_000;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
@@ -52,9 +52,9 @@
    * Loads the budget and the pending requests that earlier leaders stored, and sends the requests
    * again.
    */
-  void load(StoredState found) throws MalformedMessageException {
-    intents.load(found);
-    for (KeyValue item : found.openRentals()) {
+  void load(StoredState storedState) throws MalformedMessageException {
+    intents.load(storedState);
+    for (KeyValue item : storedState.openRentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
       pendingRequests.put(requestId, rental);
@@ -153,7 +153,7 @@
   }
 
   private void retryLater(RentalRecord rental) {
-    term.runAfter(RETRY_MICROS, () -> send(rental));
+    term.runAfter(RETRY_INTERVAL_MICROS, () -> send(rental));
   }
 
   private void handle(RentalRecord rental, RentResult result) {
--- a/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RetiredMachineDeleter.java
@@ -16,8 +16,8 @@
   /** The most machines that the cloud accepts in one request. */
   private static final int MAX_BATCH_SIZE = 100;
 
-  /** How many batches may begin within the poll interval that operators configure. */
-  private static final int BATCHES_PER_POLL_INTERVAL = 5;
+  /** How many batches may begin within one scale-out interval. */
+  private static final int BATCHES_PER_SCALE_OUT_INTERVAL = 5;
 
   private final LeaderTerm term;
   private final MachineRegistry machines;
@@ -33,7 +33,8 @@
   /** Starts to delete retired machines periodically, until the term ends. */
   void start() {
     term.runEvery(
-        term.policy.scaleOutIntervalMicros() / BATCHES_PER_POLL_INTERVAL, this::deleteNextBatch);
+        term.policy.scaleOutIntervalMicros() / BATCHES_PER_SCALE_OUT_INTERVAL,
+        this::deleteNextBatch);
   }
 
   private void deleteNextBatch() {
--- a/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
+++ b/src/main/java/madderrudder/coordination/scaleout/ScaleOutController.java
@@ -49,11 +49,11 @@
    * Loads the budget and the pending rental requests that earlier leaders stored, and sends these
    * requests again. Then starts to poll the machine list and to delete retired machines.
    *
-   * @param found the records in the store
+   * @param storedState the records in the store
    * @throws MalformedMessageException if a stored record is unreadable
    */
-  public void load(StoredState found) throws MalformedMessageException {
-    requests.load(found);
+  public void load(StoredState storedState) throws MalformedMessageException {
+    requests.load(storedState);
     listPoller.start();
     deleter.start();
   }
@@ -86,7 +86,7 @@
    * list has been read, since the listed machines may meet the demand.
    *
    * @param demand the jobs that wait for capacity
-   * @param nowMicros the current time of the steady clock in microseconds
+   * @param nowMicros the current time of the monotonic clock in microseconds
    */
   public void scaleOut(Demand demand, long nowMicros) {
     if (!listPoller.hasReadCompleteList() || term.cluster.types.isEmpty()) {
@@ -106,7 +106,8 @@
   }
 
   /**
-   * Returns whether this round may draw on the budget, and if so reserves the poll interval for it.
+   * Returns whether this round may draw on the budget, as one round per scale-out interval may. If
+   * so, starts the next interval.
    */
   private boolean reserveBudgetRound(long nowMicros) {
     if (nowMicros < nextCountedRequestMicros) {
@@ -128,7 +129,7 @@
    * Compares the leader's log, the machine list and the heartbeats of each machine: retires
    * machines that are idle or do not work, and removes machines that are gone.
    *
-   * @param nowMicros the current time of the steady clock in microseconds
+   * @param nowMicros the current time of the monotonic clock in microseconds
    * @param coverage how much of the cluster has sent heartbeats in this term
    */
   public void reconcileMachines(long nowMicros, ClusterCoverage coverage) {
--- a/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/heartbeat/CommandPlannerTest.java
@@ -31,7 +31,7 @@
  * effects.
  */
 class CommandPlannerTest {
-  private static final long GANG_PEER_MICROS = 4 * SECOND_MICROS;
+  private static final long GANG_LOSS_DETECTION_MICROS = 4 * SECOND_MICROS;
   private static final long FIRST_TOKEN = FencingToken.firstOfTerm(TERM);
   private static final WorkerCommand START = WorkerCommand.start(task(0), ATTEMPT);
   private static final WorkerCommand STOP = WorkerCommand.stop(task(0), ATTEMPT, 0);
@@ -41,7 +41,8 @@
   private final Machine machine = fixture.machine;
 
   private static CommandPlanner planner(boolean startDeferred) {
-    return new CommandPlanner(new TaskFactsBuilder(TERM, job -> startDeferred), GANG_PEER_MICROS);
+    return new CommandPlanner(
+        new TaskFactsBuilder(TERM, job -> startDeferred), GANG_LOSS_DETECTION_MICROS);
   }
 
   private CommandPlan planAnswer(Heartbeat heartbeat) {
