--- a/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/DirectCommandSender.java
@@ -101,7 +101,7 @@
     if (status == HttpResponse.NOT_SENT
         || status == STATUS_CONFLICT
         || status == STATUS_BAD_REQUEST) {
-      starts.forEach(Assignment::startRefused);
+      starts.forEach(Assignment::recordStartRefused);
     }
     boolean superseded =
         (status == STATUS_OK || status == STATUS_CONFLICT)
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatHandler.java
@@ -29,8 +29,8 @@
    * Creates the handler of one term.
    *
    * @param onCapacityFreed run when a task may be placed that could not be placed before
-   * @param startDeferred tests whether no task of a job may be started yet, because the leader does
-   *     not yet know how much capacity work that ranks before the job needs
+   * @param startDeferred tests whether no task of a job may be started yet, because the leader
+   *     cannot yet determine how much capacity work that ranks before the job needs
    */
   public HeartbeatHandler(
       LeaderTerm term,
--- a/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/HeartbeatIngest.java
@@ -75,7 +75,7 @@
     }
     updateWorkerState(machine, heartbeat, nowMicros);
     boolean capacityFreed = tasks.applyStatuses(machine, heartbeat, nowMicros);
-    capacityFreed |= tasks.releaseGoneAssignments(machine);
+    capacityFreed |= tasks.releaseAbsentAssignments(machine);
     if (capacityFreed || firstReport) {
       onCapacityFreed.run();
     }
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskFactsBuilder.java
@@ -29,8 +29,8 @@
    * Creates a builder for one term.
    *
    * @param term the leader's term
-   * @param startDeferred tests whether no task of a job may be started yet, because the leader does
-   *     not yet know how much capacity work that ranks before the job needs
+   * @param startDeferred tests whether no task of a job may be started yet, because the leader
+   *     cannot yet determine how much capacity work that ranks before the job needs
    */
   TaskFactsBuilder(long term, Predicate<Job> startDeferred) {
     this.term = term;
@@ -142,6 +142,6 @@
     if (job.gangStarted) {
       return GangState.STARTED;
     }
-    return job.gangMachinesHeard() ? GangState.GATHERING : GangState.UNKNOWN;
+    return job.gangMachinesReported() ? GangState.GATHERING : GangState.UNKNOWN;
   }
 }
--- a/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
+++ b/src/main/java/madderrudder/coordination/heartbeat/TaskStatusIngest.java
@@ -69,7 +69,7 @@
    *
    * @return true if any assignment was released
    */
-  boolean releaseGoneAssignments(Machine machine) {
+  boolean releaseAbsentAssignments(Machine machine) {
     List<Assignment> releasableAssignments = new ArrayList<>();
     for (Assignment assignment : machine.assignments.values()) {
       if (!assignment.reportedByWorker()
--- a/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
+++ b/src/main/java/madderrudder/coordination/leader/DelegationGrants.java
@@ -34,7 +34,7 @@
    * Returns for how long from now other controllers may answer workers on behalf of this leader,
    * without commands; 0 if they may not. The bound ensures that a worker that received the last
    * such answer still kills, within the time limit for cancellations, the tasks of jobs that were
-   * cancelled in the meantime. Other controllers do not know which tasks of jobs that were
+   * cancelled in the meantime. Other controllers cannot determine which tasks of jobs that were
    * cancelled earlier may still run, so the time counts from before the cancellations of those jobs
    * were confirmed to their users.
    */
--- a/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
+++ b/src/main/java/madderrudder/coordination/leader/HeartbeatResponder.java
@@ -113,12 +113,12 @@
 
   /**
    * Returns whether heartbeats may be answered now. A ready leader answers for a bounded time after
-   * the end of its lease, or after the time up to which it knows all cancellations, whichever is
+   * the end of its lease, or after the time up to which it has read all cancellations, whichever is
    * earlier. The bound lets workers keep their tasks through a store outage, but makes them kill in
    * time the tasks of jobs whose cancellation this controller cannot see.
    *
-   * <p>Until the stored state is loaded, the leader does not know which jobs were cancelled, even
-   * long ago. Answers without commands for as long as its lease is extended would then keep
+   * <p>Until the stored state is loaded, the leader cannot determine which jobs were cancelled,
+   * even long ago. Answers without commands for as long as its lease is extended would then keep
    * cancelled tasks running, so they are also limited to the time granted in an earlier term, as
    * are the answers of any other controller.
    */
--- a/src/main/java/madderrudder/coordination/leader/JobProgressReporter.java
+++ b/src/main/java/madderrudder/coordination/leader/JobProgressReporter.java
@@ -18,7 +18,7 @@
     this.term = term;
   }
 
-  /** Returns the progress of a live job; empty if the job is not known. */
+  /** Returns the progress of a live job; empty if there is no such job. */
   Optional<JobProgress> progress(String id) {
     return Optional.ofNullable(term.cluster.jobs.get(id)).map(JobProgressReporter::progress);
   }
--- a/src/main/java/madderrudder/coordination/leader/Leader.java
+++ b/src/main/java/madderrudder/coordination/leader/Leader.java
@@ -150,7 +150,7 @@
     delegation.recordStatus(status, echo);
   }
 
-  /** Returns the progress of a job; empty if the leader is not ready or does not know the job. */
+  /** Returns the progress of a job; empty if the leader is not ready or has no such job. */
   public Optional<JobProgress> progress(String jobId) {
     return ready ? progress.progress(jobId) : Optional.empty();
   }
--- a/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
+++ b/src/main/java/madderrudder/coordination/membership/HeartbeatDelegate.java
@@ -154,7 +154,7 @@
    * Returns the time until which an answer without commands cannot keep a cancelled task running
    * beyond its deadline, whichever controller gives the answer and in whichever term. This is the
    * latest end of any grant that this process has received or issued. A grant counts from a time up
-   * to which the leader knew the content of the store. No task was left of the jobs that were
+   * to which the leader had read the content of the store. No task was left of the jobs that were
    * cancelled before that time, and a lease that such an answer renews expires in time for the jobs
    * cancelled since. Far in the past if there was no grant.
    */
--- a/src/main/java/madderrudder/coordination/membership/LeaderElection.java
+++ b/src/main/java/madderrudder/coordination/membership/LeaderElection.java
@@ -178,7 +178,7 @@
    * later, so the leader is also accepted for a term that is already known.
    *
    * @param peerTerm the peer's highest term
-   * @param peerLeader the leader's name; empty if the peer knows none
+   * @param peerLeader the leader's name; empty if none is known to the peer
    */
   public void observeLeader(long peerTerm, String peerLeader) {
     boolean firstLeaderOfTerm = peerTerm == highestTerm && leader == null && !keyAbsent;
--- a/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
+++ b/src/main/java/madderrudder/coordination/membership/TermAcknowledgements.java
@@ -11,9 +11,9 @@
  *
  * <p>When each controller has acknowledged once, no controller leads in an earlier term, and none
  * issues a grant under it. A process that acknowledged may have restarted since, however, and its
- * successor may not know the new term and may hold a grant that was issued before. Each controller
- * therefore acknowledges again, in reply to a status that was sent after the first round was
- * complete. A process that does so ignores older grants, and its successors receive none.
+ * successor may not have observed the new term and may hold a grant that was issued before. Each
+ * controller therefore acknowledges again, in reply to a status that was sent after the first round
+ * was complete. A process that does so ignores older grants, and its successors receive none.
  *
  * <p>Confined to the event loop thread.
  */
--- a/src/main/java/madderrudder/coordination/registry/JobRegistry.java
+++ b/src/main/java/madderrudder/coordination/registry/JobRegistry.java
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Returns the time, on the scheduler's clock in microseconds, up to which this registry knows
+   * Returns the time, on the scheduler's clock in microseconds, up to which this registry reflects
    * every submission and cancellation that was accepted.
    */
   public long knownUpToMicros() {
--- a/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
+++ b/src/main/java/madderrudder/coordination/registry/LearnedRunTimes.java
@@ -118,7 +118,7 @@
   private Estimate cachedEstimate(Job job) {
     long nowMicros = term.scheduler.nowMicros();
     if (job.lastEstimate == null
-        || nowMicros - job.lastEstimate.askedMicros() >= ESTIMATE_CACHE_MICROS) {
+        || nowMicros - job.lastEstimate.estimatedAtMicros() >= ESTIMATE_CACHE_MICROS) {
       EstimateQuery query =
           new EstimateQuery(job.profile, job.spec.estimateMicros(), "", 0, INTERVAL_COVERAGE);
       Estimate estimate = estimator.estimate(query);
@@ -160,7 +160,7 @@
         new EstimateQuery(
             job.profile, job.spec.estimateMicros(), machineType, ranMicros, INTERVAL_COVERAGE);
     long totalMicros = estimator.estimate(query).medianMicros();
-    // No data says how long a task keeps running that has outlasted every similar one. It is
+    // No data shows how long a task keeps running that has outlasted every similar one. It is
     // expected to run as long again.
     return totalMicros > ranMicros ? totalMicros - ranMicros : ranMicros;
   }
--- a/src/main/java/madderrudder/coordination/registry/StoredState.java
+++ b/src/main/java/madderrudder/coordination/registry/StoredState.java
@@ -12,7 +12,8 @@
  * @param liveJobs the jobs that have not ended
  * @param progressChunks the stored chunks of job progress; some of their jobs may have ended
  * @param logSegments the segments of the log of machines and assignments, in no particular order
- * @param openRentals the committed rental requests for which no answer from the cloud is recorded
+ * @param pendingRentals the committed rental requests for which no response from the cloud is
+ *     recorded
  * @param runTimePages the pages of learned run times; empty if learning is turned off
  * @param rentalBudget the used part of the rental budget; empty before the first rental
  * @param ownedMachinesRecorded whether the owned machines are recorded; the first rental records
@@ -23,7 +24,7 @@
     List<KeyValue> liveJobs,
     List<KeyValue> progressChunks,
     List<KeyValue> logSegments,
-    List<KeyValue> openRentals,
+    List<KeyValue> pendingRentals,
     List<KeyValue> runTimePages,
     Optional<KeyValue> rentalBudget,
     boolean ownedMachinesRecorded,
--- a/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
+++ b/src/main/java/madderrudder/coordination/scaleout/RentalRequests.java
@@ -54,7 +54,7 @@
    */
   void load(StoredState storedState) throws MalformedMessageException {
     intents.load(storedState);
-    for (KeyValue item : storedState.openRentals()) {
+    for (KeyValue item : storedState.pendingRentals()) {
       String requestId = item.key().substring(Keys.RENTALS.length());
       RentalRecord rental = RentalRecord.read(requestId, item.value());
       pendingRequests.put(requestId, rental);
@@ -110,10 +110,10 @@
 
   /**
    * Reserves the machines on the budget, and sends the request when its intent is durable. Does
-   * nothing if a counted request exceeds the remaining budget.
+   * nothing if the request counts against the budget and exceeds what remains of it.
    */
   void submit(ScaleOutRequest request) {
-    if (request.counted() && !intents.reserve(request.count())) {
+    if (request.countsAgainstBudget() && !intents.reserve(request.count())) {
       return;
     }
     String requestId = term.nextScaleOutRequestId();
@@ -124,7 +124,7 @@
             request.zone(),
             request.spot(),
             request.count(),
-            request.counted());
+            request.countsAgainstBudget());
     pendingRequests.put(requestId, rental);
     LOG.info(
         "renting {} {} in {}{}{}, request {}",
@@ -132,7 +132,7 @@
         request.type().name(),
         request.zone(),
         request.spot() ? " spot" : "",
-        request.counted() ? ", counted against the budget" : "",
+        request.countsAgainstBudget() ? ", counted against the budget" : "",
         requestId);
     intents.put(rental, this::send);
   }
--- a/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
+++ b/src/main/java/madderrudder/coordination/scheduling/ScaleOutSelection.java
@@ -37,7 +37,7 @@
   private int budgetLeft;
   private long nonSpotShortfallMilliCpus;
 
-  private record RequestKey(CapacityPool pool, boolean counted) {}
+  private record RequestKey(CapacityPool pool, boolean countsAgainstBudget) {}
 
   ScaleOutSelection(
       PlanningRound round,
@@ -69,7 +69,10 @@
     return nonSpotShortfallMilliCpus > 0;
   }
 
-  /** Returns the requests of this round: per pool at most one counted and one uncounted. */
+  /**
+   * Returns the requests of this round: per pool at most one that counts against the budget and one
+   * that does not.
+   */
   List<ScaleOutRequest> requests() {
     return List.copyOf(requests.values());
   }
@@ -77,17 +80,18 @@
   /**
    * Requests one more machine for the job.
    *
-   * @param counted whether the machine counts against the budget
+   * @param countsAgainstBudget whether the machine counts against the budget
    * @param waitingTasks how many tasks of the job could share the machine
    * @param onDemandAllowed whether an on-demand machine may be requested although the policy allows
    *     a spot machine
    * @return the machine, or null if none can be requested
    */
-  IncomingMachine request(Job job, boolean counted, int waitingTasks, boolean onDemandAllowed) {
-    if (counted && budgetLeft < 1) {
+  IncomingMachine request(
+      Job job, boolean countsAgainstBudget, int waitingTasks, boolean onDemandAllowed) {
+    if (countsAgainstBudget && budgetLeft < 1) {
       return null;
     }
-    ScaleOutRequest best = cheapest(job, counted, waitingTasks, onDemandAllowed);
+    ScaleOutRequest best = cheapest(job, countsAgainstBudget, waitingTasks, onDemandAllowed);
     if (best == null) {
       return null;
     }
@@ -95,17 +99,19 @@
     if (!best.spot() && job.spec.priority() != Priority.PRODUCTION) {
       nonSpotShortfallMilliCpus -= best.type().capacity().milliCpus();
     }
-    if (counted) {
+    if (countsAgainstBudget) {
       budgetLeft--;
     }
     requests.merge(
-        new RequestKey(best.capacityPool(), counted), best, (earlier, added) -> earlier.oneMore());
+        new RequestKey(best.capacityPool(), countsAgainstBudget),
+        best,
+        (earlier, added) -> earlier.oneMore());
     return IncomingMachine.of(best);
   }
 
   private ScaleOutRequest cheapest(
-      Job job, boolean counted, int waitingTasks, boolean onDemandAllowed) {
-    boolean spotAllowed = spotAllowed(counted);
+      Job job, boolean countsAgainstBudget, int waitingTasks, boolean onDemandAllowed) {
+    boolean spotAllowed = spotAllowed(countsAgainstBudget);
     ScaleOutRequest best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : round.cluster().types.values()) {
@@ -118,7 +124,7 @@
           if (spot ? !spotAllowed : spotAllowed && !onDemandAllowed) {
             continue;
           }
-          ScaleOutRequest request = new ScaleOutRequest(type, zone, spot, 1, counted);
+          ScaleOutRequest request = new ScaleOutRequest(type, zone, spot, 1, countsAgainstBudget);
           if (!usage.allows(job, type, zone, spot) || atRequestLimit(request)) {
             continue;
           }
@@ -133,14 +139,14 @@
     return best;
   }
 
-  private boolean spotAllowed(boolean counted) {
+  private boolean spotAllowed(boolean countsAgainstBudget) {
     SpotMode mode = round.policy().spotMode();
-    return mode == SpotMode.ALWAYS || (mode == SpotMode.UNCOUNTED && !counted);
+    return mode == SpotMode.ALWAYS || (mode == SpotMode.UNCOUNTED && !countsAgainstBudget);
   }
 
   private boolean atRequestLimit(ScaleOutRequest request) {
     CapacityPool pool = request.capacityPool();
-    ScaleOutRequest requested = requests.get(new RequestKey(pool, request.counted()));
+    ScaleOutRequest requested = requests.get(new RequestKey(pool, request.countsAgainstBudget()));
     int count = requested == null ? 0 : requested.count();
     return count >= requestLimit.applyAsInt(pool);
   }
--- a/src/main/java/madderrudder/coordination/state/Assignment.java
+++ b/src/main/java/madderrudder/coordination/state/Assignment.java
@@ -120,7 +120,7 @@
   /**
    * Records that the worker refused the direct start for good, or that the start was never sent.
    */
-  public void startRefused() {
+  public void recordStartRefused() {
     directToken = NONE;
     startSent = false;
   }
--- a/src/main/java/madderrudder/coordination/state/Job.java
+++ b/src/main/java/madderrudder/coordination/state/Job.java
@@ -80,7 +80,7 @@
    * Creates a job without assigned or done tasks.
    *
    * @param version the version of its key in the store; 0 if not known
-   * @param nowMicros since when its tasks have been waiting, as far as this leader knows
+   * @param nowMicros since when its tasks have been waiting, as observed by this leader
    */
   public Job(JobSpec spec, TeamQuota team, long version, long acceptedWallMicros, long nowMicros) {
     this.spec = spec;
@@ -133,7 +133,7 @@
     return assignments.isEmpty()
         || (!gangStarted
             && gangAttempt != 0
-            && gangMachinesHeard()
+            && gangMachinesReported()
             && assignments.stream().noneMatch(a -> a.evicting || a.completed));
   }
 
@@ -141,7 +141,7 @@
    * Whether all machines with inherited tasks of the gang have reported or lost their lease. Until
    * then it is not known whether a gang that an earlier leader placed has run.
    */
-  public boolean gangMachinesHeard() {
+  public boolean gangMachinesReported() {
     return assignments.stream()
         .allMatch(a -> !a.inherited || a.machine.reported || a.machine.leaseExpired);
   }
@@ -159,7 +159,7 @@
     return -1;
   }
 
-  /** Whether any of its tasks is or was on a machine, as far as this leader knows. */
+  /** Whether any of its tasks is or was on a machine, as far as this leader has recorded. */
   public boolean hasBegun() {
     return !assignments.isEmpty() || !done.isEmpty() || !ranBefore.isEmpty();
   }
@@ -181,7 +181,7 @@
     return spec.kind() != JobKind.SERVICE && remainingTasks() == 0;
   }
 
-  /** Since when the task has been waiting, as far as this leader knows. */
+  /** Since when the task has been waiting, as observed by this leader. */
   public long waitingSinceMicros(int task) {
     return waitingSinceMicros.getOrDefault(task, firstSeenMicros);
   }
--- a/src/main/java/madderrudder/coordination/state/Machine.java
+++ b/src/main/java/madderrudder/coordination/state/Machine.java
@@ -116,8 +116,8 @@
   private long acknowledgingToken;
 
   /**
-   * When a controller may last have answered its worker and so renewed the lease, as far as this
-   * leader knows; initially when this leader learned of the machine.
+   * When a controller may last have answered its worker and so renewed the lease, as recorded by
+   * this leader; initially when this leader recorded the machine.
    */
   public long lastLeaseRenewalMicros;
 
--- a/src/main/java/madderrudder/coordination/state/RunTimes.java
+++ b/src/main/java/madderrudder/coordination/state/RunTimes.java
@@ -9,9 +9,9 @@
    * An estimate of the run time of a job's tasks.
    *
    * @param estimate the estimate
-   * @param askedMicros when the estimate was made
+   * @param estimatedAtMicros when the estimate was made
    */
-  record Expected(Estimate estimate, long askedMicros) {}
+  record Expected(Estimate estimate, long estimatedAtMicros) {}
 
   /** Updates the predictions with the run of a task. */
   void observe(TaskRun run);
@@ -28,7 +28,7 @@
   /** Whether the task is nearly certain to end by itself within the given time. */
   boolean endsWithin(Assignment assignment, long nowMicros, long withinMicros);
 
-  /** How long the task has run, as far as this leader knows; 0 if it is not running yet. */
+  /** How long the task has run, as observed by this leader; 0 if it is not running yet. */
   static long ranMicros(Assignment assignment, long nowMicros) {
     return assignment.runningMicros < 0 ? 0 : nowMicros - assignment.runningMicros;
   }
--- a/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
+++ b/src/main/java/madderrudder/coordination/state/ScaleOutRequest.java
@@ -9,10 +9,10 @@
  * @param zone the zone
  * @param spot whether spot machines are requested
  * @param count the number of machines
- * @param counted whether they count against the scale-out budget
+ * @param countsAgainstBudget whether they count against the scale-out budget
  */
 public record ScaleOutRequest(
-    MachineType type, String zone, boolean spot, int count, boolean counted) {
+    MachineType type, String zone, boolean spot, int count, boolean countsAgainstBudget) {
 
   /** The capacity pool that the machines are requested from. */
   public CapacityPool capacityPool() {
@@ -21,6 +21,6 @@
 
   /** Returns the same request with one more machine. */
   public ScaleOutRequest oneMore() {
-    return new ScaleOutRequest(type, zone, spot, count + 1, counted);
+    return new ScaleOutRequest(type, zone, spot, count + 1, countsAgainstBudget);
   }
 }
--- a/src/main/java/madderrudder/persistence/StoreClient.java
+++ b/src/main/java/madderrudder/persistence/StoreClient.java
@@ -18,10 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the state service, the consensus-backed key-value store. Each call passes exactly one
- * reply to its callback. Requests on behalf of users are limited to this node's share of the
- * store's rate limits; requests for leases, watches and leadership are few and are not rate
- * limited.
+ * Client of the store, a consensus-backed key-value store. Each call passes exactly one reply to
+ * its callback. Requests on behalf of users are limited to this node's share of the store's rate
+ * limits; requests for leases, watches and leadership are few and are not rate limited.
  *
  * <p>Confined to the event loop thread, where the callbacks run too.
  */
@@ -64,7 +63,7 @@
   /**
    * Creates a client.
    *
-   * @param address host and port of the state service
+   * @param address host and port of the store
    * @param requestsPerSecond this node's share of the rate of users' requests
    * @param writesPerSecond this node's initial share of the rate of users' writes, see {@link
    *     #setUserWritesPerSecond}
--- a/src/main/java/madderrudder/protocol/PeerMessage.java
+++ b/src/main/java/madderrudder/protocol/PeerMessage.java
@@ -11,8 +11,8 @@
    * The periodic status of a controller.
    *
    * @param member the sender's name
-   * @param term the highest term that the sender knows of
-   * @param leader the name of the leader of that term; empty if the sender knows none
+   * @param term the highest term that the sender has observed
+   * @param leader the name of the leader of that term; empty if none is known to the sender
    * @param storeReachable whether the store responds to the sender
    * @param spareMilliWrites if the sender leads, the write rate that it leaves to the controllers
    *     for their users' requests, in thousandths of writes per second
@@ -53,7 +53,7 @@
    * @param incarnation the incarnation of the sending process
    * @param stampMicros the sender's monotonic clock at the time of sending, which peers echo
    * @param uptimeMicros the uptime of the sending process
-   * @param term the highest term that the sender knows of
+   * @param term the highest term that the sender has observed
    * @param grantMicros if the sender leads in the term, how long a peer may answer workers on its
    *     behalf, counted from the peer's stamp in {@code echoes}; otherwise 0
    * @param renewalMessageCount the number of {@link DelegatedRenewals} messages with the same stamp
--- a/src/main/java/madderrudder/service/PeerStatusExchange.java
+++ b/src/main/java/madderrudder/service/PeerStatusExchange.java
@@ -59,7 +59,7 @@
    * The latest status of a peer.
    *
    * @param storeResponsive whether the store responds to the peer
-   * @param receivedMicros when the status was received, on this controller's steady clock
+   * @param receivedMicros when the status was received, on this controller's monotonic clock
    */
   record PeerStatus(boolean storeResponsive, long receivedMicros) {}
 
--- a/src/main/java/madderrudder/service/RetryAfterPolicy.java
+++ b/src/main/java/madderrudder/service/RetryAfterPolicy.java
@@ -24,7 +24,7 @@
   /**
    * Counts a refused request and returns the delay after which the user should retry it.
    *
-   * @param nowMicros the time on the steady clock in microseconds
+   * @param nowMicros the time on the monotonic clock in microseconds
    * @param servedPerSecond the rate at which this controller serves such requests
    * @return the delay in seconds, 1 or more
    */
--- a/src/main/java/madderrudder/service/WorkerRedirects.java
+++ b/src/main/java/madderrudder/service/WorkerRedirects.java
@@ -14,7 +14,7 @@
  * several workers of a zone have returned recently, the zone counts as cut off from the leader, and
  * its other workers are served locally without a first redirect.
  *
- * <p>Confined to the event loop thread; times are microseconds of the steady clock.
+ * <p>Confined to the event loop thread; times are microseconds of the monotonic clock.
  */
 final class WorkerRedirects {
   /**
--- a/src/main/java/madderrudder/service/WriteRateAllocator.java
+++ b/src/main/java/madderrudder/service/WriteRateAllocator.java
@@ -11,7 +11,7 @@
  * reserved, so that the shares together never exceed the rate.
  *
  * <p>Confined to the event loop thread. Rates are writes per second; times are microseconds of the
- * steady clock.
+ * monotonic clock.
  */
 final class WriteRateAllocator {
   private static final long MAX_REPORT_AGE_MICROS = 2_000_000;
--- a/src/main/java/madderrudder/transport/HttpRequest.java
+++ b/src/main/java/madderrudder/transport/HttpRequest.java
@@ -6,7 +6,8 @@
  * @param method the method, for example {@code GET}
  * @param target the request target: path and query string
  * @param body the body; empty if there is none
- * @param closesConnection whether the client asks to close the connection after the response
+ * @param closesConnection whether the client requests that the connection be closed after the
+ *     response
  */
 public record HttpRequest(String method, String target, byte[] body, boolean closesConnection) {
   private static final byte[] EMPTY_BODY = new byte[0];
--- a/src/test/java/madderrudder/config/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -18,7 +18,7 @@
  * the position and the invalid value.
  */
 public class SettingsTest {
-  /** Valid platform settings, with one field that the controller does not know: {@code later}. */
+  /** Valid platform settings, with one unknown field: {@code later}. */
   public static final String VALID_PLATFORM_SETTINGS =
       """
             {"member":"n-0","zone":"east","client_listen":"127.0.0.1:8080","mesh_addr":"127.0.0.1:8081","later":{},
--- a/src/test/java/madderrudder/coordination/membership/TermAcknowledgementsTest.java
+++ b/src/test/java/madderrudder/coordination/membership/TermAcknowledgementsTest.java
@@ -31,7 +31,7 @@
 
   /**
    * Each controller acknowledges a second time, in reply to a status sent after the first round,
-   * because a restarted process of the same name may not know the term.
+   * because a restarted process of the same name may not have observed the term.
    */
   @Test
   void completesAfterTwoRoundsOfAcknowledgements() {
--- a/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
@@ -31,7 +31,7 @@
     assertEquals(List.of(), scaleOut(21 * SECOND, 0));
     List<ScaleOutRequest> requested = scaleOut(21 * SECOND, 2);
     assertEquals(2, requested.stream().mapToInt(ScaleOutRequest::count).sum());
-    assertTrue(requested.stream().allMatch(r -> r.counted() && !r.spot()));
+    assertTrue(requested.stream().allMatch(r -> r.countsAgainstBudget() && !r.spot()));
   }
 
   @Test
@@ -47,7 +47,7 @@
     addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
     List<ScaleOutRequest> requested = scaleOut(0, 0);
     assertEquals(1, requested.size());
-    assertFalse(requested.get(0).counted());
+    assertFalse(requested.get(0).countsAgainstBudget());
     assertTrue(requested.get(0).spot());
   }
 
