--- a/src/test/java/madderrudder/cli/MainTest.java
+++ b/src/test/java/madderrudder/cli/MainTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests the controller's command line: exit statuses and the texts on standard output and error.
+ * Guards against command lines that mislead scripts and operators: invalid input that exits with
+ * status 0, errors that do not name the file, and text on the wrong output stream.
  */
 class MainTest {
   @TempDir Path directory;
--- a/src/test/java/madderrudder/cli/RegressIT.java
+++ b/src/test/java/madderrudder/cli/RegressIT.java
@@ -20,8 +20,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Runs {@code bench/Regress.java} against given journal entries, or against a fake bench script
- * that writes them, and checks the exit status and the output.
+ * Guards against a regression check that passes a version that serves users worse, or that fails a
+ * version whose scores only vary between runs. Runs {@code bench/Regress.java} against given
+ * journal entries, or against a fake bench script that writes them, and checks the exit status and
+ * the output.
  */
 @Timeout(60)
 class RegressIT {
--- a/src/test/java/madderrudder/config/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests the parsers of both settings files: values, defaults, and errors that name the setting or
- * the position and the invalid value.
+ * Guards against settings that are misread, invalid settings that are accepted, and errors that do
+ * not say where or why a value is invalid. Covers the parsers of both settings files.
  */
 public class SettingsTest {
   /** Valid platform settings, with one field that the controller does not know: {@code later}. */
--- a/src/test/java/madderrudder/coordination/cloud/CloudClientTest.java
+++ b/src/test/java/madderrudder/coordination/cloud/CloudClientTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The requests that the client sends, and its result when the queue of calls is full. */
+/**
+ * Guards against pages of the machine list that are skipped or requested twice, and against calls
+ * that wait without a result when the queue of calls is full.
+ */
 class CloudClientTest {
   private final List<HttpRequest> sent = new ArrayList<>();
   private CloudClient cloud;
--- a/src/test/java/madderrudder/coordination/cloud/CloudResponsesTest.java
+++ b/src/test/java/madderrudder/coordination/cloud/CloudResponsesTest.java
@@ -14,7 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The result for each kind of response of the cloud. */
+/**
+ * Guards against misread responses of the cloud. In particular, a rental whose outcome is unknown
+ * must not count as refused: it would not be repeated, and the machines that the cloud may have
+ * rented would stay unused.
+ */
 class CloudResponsesTest {
   private static HttpResponse response(int status, String body) {
     return HttpResponse.of(status, body.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/madderrudder/coordination/policy/SafetyBoundsTest.java
+++ b/src/test/java/madderrudder/coordination/policy/SafetyBoundsTest.java
@@ -5,7 +5,10 @@
 import madderrudder.coordination.scheduling.PlanningFixture;
 import org.junit.jupiter.api.Test;
 
-/** The bounds keep leases and cancellations safe if each clock drifts by up to 500 ppm. */
+/**
+ * Guards against tasks that run twice or past their cancellation deadline because clocks drift: the
+ * bounds must hold if each clock drifts by up to 500 ppm.
+ */
 class SafetyBoundsTest extends PlanningFixture {
   @Test
   void answersWithoutStoreUpdatesEndBeforeTheCancellationDeadline() {
--- a/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/DemandTest.java
@@ -14,7 +14,10 @@
 import madderrudder.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The order in which waiting jobs get capacity. */
+/**
+ * Guards against an order of the waiting jobs in which some of them never get capacity, or in which
+ * all of them miss their deadlines in turn under overload.
+ */
 class DemandTest extends PlanningFixture {
   /**
    * Guards against gangs outside their team's guarantee that never start: when gangs arrived
--- a/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlacerTest.java
@@ -16,7 +16,10 @@
 import madderrudder.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The machines on which waiting tasks are placed, and the machines that are reserved for gangs. */
+/**
+ * Guards against placements that exceed the limits of teams or zones, and against jobs that wait
+ * although there are machines for them, such as gangs whose machines are refilled with small tasks.
+ */
 class PlacerTest extends PlanningFixture {
   @Test
   void ownedMachinesAreUsedAtOnceAndRentedMachinesAfterTheThreshold() {
--- a/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PlanningCostTest.java
@@ -16,7 +16,10 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** The cost of planning with many machines, and of jobs that fail on every machine. */
+/**
+ * Guards against planning that uses all of a processor when there are many machines and waiting
+ * tasks, and against jobs that fail on every machine and take up starts and rentals.
+ */
 class PlanningCostTest extends PlanningFixture {
   /** Counts how often the planners check whether a job may use a machine. */
   private static final class CountingCluster extends Cluster {
--- a/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/PreemptionTest.java
@@ -14,7 +14,10 @@
 import madderrudder.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The running tasks that are preempted for waiting jobs. */
+/**
+ * Guards against preemption that discards work without a benefit for the waiting job, or that
+ * repeats without end.
+ */
 class PreemptionTest extends PlanningFixture {
   @Test
   void productionPreemptsTheLowerPriorityTaskOfLeastLoss() {
--- a/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
@@ -20,7 +20,11 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** The machines that are requested from the cloud for waiting tasks. */
+/**
+ * Guards against machines that are requested without need, too early or beyond the budget, and
+ * against capacity that is requested too late because silent machines or machines that fail to boot
+ * still count.
+ */
 class ScaleOutPlannerTest extends PlanningFixture {
   @Test
   void countedMachinesAreOnDemandAndRequestedAfterTheThresholdWithinTheBudget() {
--- a/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/SpotReclaimDrainTest.java
@@ -10,7 +10,10 @@
 import madderrudder.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The tasks that are stopped on machines that the cloud reclaims. */
+/**
+ * Guards against tasks that are lost when the cloud reclaims their machine, and against stopping
+ * tasks that end before the reclaim.
+ */
 class SpotReclaimDrainTest extends PlanningFixture {
   /**
    * Guards against tasks that are lost with a reclaimed machine and restarted only after its lease
--- a/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
+++ b/src/test/java/madderrudder/persistence/RecordPropertiesTest.java
@@ -28,9 +28,9 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * Properties of the stored records: a segment contains the entries added to it and stays within its
- * size limit, an altered segment either decodes or is reported as malformed, and progress decodes
- * unchanged.
+ * Guards against stored records that lose or change entries, segments that exceed their size limit,
+ * and altered segments that cause any exception but the one that reports a malformed record. The
+ * records are generated.
  */
 class RecordPropertiesTest {
   private static final String SEGMENT =
--- a/src/test/java/madderrudder/sim/FaultCombinationsTest.java
+++ b/src/test/java/madderrudder/sim/FaultCombinationsTest.java
@@ -16,11 +16,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Runs each {@link FaultCombination} alone and each pair of them together. The invariants are
- * checked after each step; at the end, no job may be forgotten or unserved. The intended situation
- * must have occurred, so that no script passes without testing anything. The store outage after a
- * confirmed cancellation has its own test, {@link CancellationInStoreOutageTest}. To run more
- * seeds: {@code mvn -B test -Dtest=FaultCombinationsTest -DargLine=-DcombinationSeeds=100}.
+ * Guards against violations of the invariants, such as a task that runs twice or a job that is
+ * forgotten, that occur only when several faults and requests coincide. Runs each {@link
+ * FaultCombination} alone and each pair of them together. The invariants are checked after each
+ * step; at the end, no job may be forgotten or unserved. The intended situation must have occurred,
+ * so that no script passes without testing anything. The store outage after a confirmed
+ * cancellation has its own test, {@link CancellationInStoreOutageTest}. To run more seeds: {@code
+ * mvn -B test -Dtest=FaultCombinationsTest -DargLine=-DcombinationSeeds=100}.
  */
 @Timeout(120)
 @Execution(ExecutionMode.CONCURRENT)
--- a/src/test/java/madderrudder/sim/FaultScript.java
+++ b/src/test/java/madderrudder/sim/FaultScript.java
@@ -9,9 +9,9 @@
 import madderrudder.protocol.Resources;
 
 /**
- * A script that injects faults within about a minute of virtual time, and tells afterwards whether
- * the intended situation occurred. An instance serves one run. The number and order of random draws
- * must stay as they are, since a change makes every seed a different run.
+ * A script that injects faults within about a minute of virtual time, and reports afterwards
+ * whether the intended situation occurred. An instance serves one run. The number and order of
+ * random draws must stay as they are, since a change makes every seed a different run.
  */
 abstract class FaultScript {
   static final long SECOND = SimulatedCluster.SECOND;
--- a/src/test/java/madderrudder/sim/InvariantChecker.java
+++ b/src/test/java/madderrudder/sim/InvariantChecker.java
@@ -29,7 +29,10 @@
  * users' bench (ran_twice, ran_cancelled, quota, wrong_place, forgotten, ...).
  */
 final class InvariantChecker {
-  /** At the end of a run, the longest time since a user last received an answer about a job. */
+  /**
+   * The longest permitted time, at the end of a run, since a user last received an answer about a
+   * job.
+   */
   private static final long MAX_UNANSWERED_MICROS = 75 * SimulatedCluster.SECOND;
 
   /**
--- a/src/test/java/madderrudder/sim/LeaderFailoverTest.java
+++ b/src/test/java/madderrudder/sim/LeaderFailoverTest.java
@@ -47,7 +47,7 @@
    * later epoch. A delayed report that a task has ended must have no effect either, since the
    * worker may meanwhile have been commanded to start the same attempt again.
    */
-  @ParameterizedTest(name = "seed {0}, exits {1}")
+  @ParameterizedTest(name = "seed {0}, tasks failed {1}")
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "1,true", "2,true"})
   void lateHeartbeatsDoNotEndTasksOfEarlierLeader(long seed, boolean tasksFailed) {
     SimulatedCluster cluster = Scenarios.smallCluster(seed);
--- a/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
+++ b/src/test/java/madderrudder/sim/LiveJobCheckerTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The check whether jobs are still live, which a controller makes before it answers a user. Queries
- * are batched into store requests, and the answer to a query comes from a request sent after the
- * query.
+ * Guards against checks of live jobs that exhaust the rate limit of the store, that wait for an
+ * unresponsive store, or whose answer is older than the check. A controller makes these checks
+ * before it answers a user.
  */
 class LiveJobCheckerTest {
   private final List<HttpRequest> requests = new ArrayList<>();
@@ -44,7 +44,7 @@
     requests.clear();
   }
 
-  private void ask(int from, int to) {
+  private void check(int from, int to) {
     IntStream.range(from, to).forEach(i -> checker.check("req-" + i, i + 1, answers::add));
   }
 
@@ -59,9 +59,9 @@
    * submissions.
    */
   @Test
-  void questionsDuringRequestAreBatched() {
-    ask(0, 1);
-    ask(1, 101);
+  void checksDuringRequestAreBatched() {
+    check(0, 1);
+    check(1, 101);
     assertEquals(1, requests.size());
     respond(200, "{\"logline\":9}");
     assertEquals(List.of(Answer.LIVE), answers);
@@ -77,14 +77,14 @@
   }
 
   /**
-   * Guards against queries that wait behind a request that times out, and then for a timeout of
+   * Guards against checks that wait behind a request that times out, and then for a timeout of
    * their own: users gave up before they were answered.
    */
   @Test
-  void questionsAreNotQueuedBehindUnresponsiveStore() {
-    ask(0, 3);
+  void checksAreNotQueuedBehindUnresponsiveStore() {
+    check(0, 3);
     scheduler.runUntil(6_000_000, () -> {});
-    ask(3, 5);
+    check(3, 5);
     assertEquals(List.of(Answer.UNKNOWN, Answer.UNKNOWN), answers);
     pendingResponses.remove(0).accept(HttpResponse.noResponse());
     assertEquals(5, answers.stream().filter(Answer.UNKNOWN::equals).count());
@@ -92,13 +92,13 @@
   }
 
   /**
-   * Guards against outdated answers: a query that arrives while a request is in flight waits for
+   * Guards against outdated answers: a check that is made while a request is in flight waits for
    * the next request.
    */
   @Test
-  void questionIsNotAnsweredByEarlierRequest() {
-    ask(0, 1);
-    ask(0, 1);
+  void checkIsNotAnsweredByEarlierRequest() {
+    check(0, 1);
+    check(0, 1);
     respond(200, "{\"logline\":9}");
     assertEquals(1, answers.size());
     respond(409, "{\"failed\":[\"l/req-0\"],\"logline\":10}");
--- a/src/test/java/madderrudder/sim/PartialFailuresTest.java
+++ b/src/test/java/madderrudder/sim/PartialFailuresTest.java
@@ -24,11 +24,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Partial failures: one-way partitions, duplicated messages, isolated controllers, processes that
- * crash repeatedly and machines that restart. Each is injected alone, with another one, with a
- * crash of the leader and with a store outage. All invariants are checked after each step; at the
- * end, no job may be forgotten or unserved. To run more seeds: {@code mvn -B test
- * -Dtest=PartialFailuresTest -DargLine=-DpartialSeeds=500}.
+ * Guards against tasks that run twice or stay recorded on an unreachable machine, and against jobs
+ * that are forgotten or starved, when something fails only in part: one-way partitions, duplicated
+ * messages, isolated controllers, processes that crash repeatedly and machines that restart. Each
+ * failure is injected alone, with another one, with a crash of the leader and with a store outage.
+ * All invariants are checked after each step; at the end, no job may be forgotten or unserved. To
+ * run more seeds: {@code mvn -B test -Dtest=PartialFailuresTest -DargLine=-DpartialSeeds=500}.
  */
 @Timeout(60)
 class PartialFailuresTest {
@@ -42,7 +43,8 @@
   private static final long[] DURATIONS_MICROS = {5 * SECOND, 25 * SECOND, REST_OF_RUN_MICROS};
 
   /**
-   * A partial failure. The seed selects one of {@link #DURATIONS_MICROS}; some failures limit it.
+   * A partial failure. The seed selects one of {@link #DURATIONS_MICROS}; some failures limit or
+   * ignore it.
    */
   private enum PartialFailure {
     ONE_MACHINE_INBOUND_BLOCKED {
--- a/src/test/java/madderrudder/sim/RandomFaultsTest.java
+++ b/src/test/java/madderrudder/sim/RandomFaultsTest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Random load and random faults, with all invariants checked after each step. A failure message
- * contains the seed. To run more seeds: {@code mvn -B test -Dtest=RandomFaultsTest
- * -DargLine="-Dseeds=500 -DlargeSeeds=50"}.
+ * Guards against violations of the invariants that only an unforeseen sequence of faults causes,
+ * such as a task that runs twice or a job that never ends. Injects random faults under random load
+ * and checks all invariants after each step. A failure message contains the seed. To run more
+ * seeds: {@code mvn -B test -Dtest=RandomFaultsTest -DargLine="-Dseeds=500 -DlargeSeeds=50"}.
  */
 @Timeout(60)
 class RandomFaultsTest {
--- a/src/test/java/madderrudder/sim/SimCloud.java
+++ b/src/test/java/madderrudder/sim/SimCloud.java
@@ -132,7 +132,7 @@
         .toList();
   }
 
-  /** Ends the machine, because the cloud reclaims it, the leader returns it, or it fails. */
+  /** Terminates the machine: the cloud reclaims it, the leader returns it, or it fails. */
   void terminate(SimWorker worker) {
     network.stopServing(worker.address);
     worker.terminate();
--- a/src/test/java/madderrudder/sim/SimScheduler.java
+++ b/src/test/java/madderrudder/sim/SimScheduler.java
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Runs the action now, after the pause if the process is paused, or not at all if it has ended.
+     * Runs the action now, or after the pause if the process is paused, or never if it has ended.
      */
     void runOrDefer(Runnable action) {
       if (ended) {
--- a/src/test/java/madderrudder/sim/SimWorker.java
+++ b/src/test/java/madderrudder/sim/SimWorker.java
@@ -64,7 +64,7 @@
   private Scheduler.Timer nextHeartbeat;
   private boolean heartbeatInFlight;
 
-  /** Whether a heartbeat is due within half a second, since the state has changed. */
+  /** Whether a heartbeat is due within half a second because the state has changed. */
   private boolean earlyHeartbeatRequested;
 
   private boolean terminated;
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Ends the machine and all its tasks. */
+  /** Terminates the machine, which ends all its tasks. */
   void terminate() {
     terminated = true;
     clock.ended = true;
@@ -191,7 +191,7 @@
     return clock.runAfter(delayMicros, () -> runOrDefer(action));
   }
 
-  /** Runs the action now, after the hang if the machine hangs, or not at all if it has ended. */
+  /** Runs the action now, or after the hang if the machine hangs, or never if it is terminated. */
   private void runOrDefer(Runnable action) {
     if (terminated) {
       return;
@@ -213,8 +213,8 @@
   }
 
   /**
-   * Whether the lease has expired or the machine has ended. A worker that hangs handles the expiry
-   * only afterwards.
+   * Whether the lease has expired or the machine is terminated. A worker that hangs handles the
+   * expiry only afterwards.
    */
   boolean leaseExpired() {
     return terminated || clock.nowMicros() - leaseStartMicros > times.leaseMicros();
@@ -398,7 +398,7 @@
     JobSpec job = invariants.specOf(id.job());
     SimTask task = new SimTask(id, attempt, job == null ? Resources.NONE : job.resourcesPerTask());
     if (job == null) {
-      // No user has submitted this job, so that its image is unknown.
+      // No user has submitted this job, so its image is unknown.
       task.state = "ended";
       task.exitReason = "unknown";
       tasks.put(attemptKey, task);
--- a/src/test/java/madderrudder/sim/SimulatedCluster.java
+++ b/src/test/java/madderrudder/sim/SimulatedCluster.java
@@ -467,8 +467,9 @@
   }
 
   /**
-   * The tasks of live jobs for which the store's log names another machine than the one that holds
-   * the task, or only one of the two names a machine.
+   * The tasks of live jobs that a worker holds on another machine than the one on which the store's
+   * log places them, that a worker holds without a placement in the log, or that the log places
+   * although no worker holds them. Completed tasks are left out.
    */
   Set<TaskId> divergentTasks() {
     Set<TaskId> tasks = new HashSet<>(invariants.heldTasks());
@@ -519,8 +520,8 @@
   }
 
   /**
-   * Crashes the controller repeatedly within four seconds; each time it restarts within half a
-   * second.
+   * Crashes the controller one or more times within four seconds; each time it restarts within half
+   * a second.
    */
   void flap(String name) {
     long atMicros = 0;
--- a/src/test/java/madderrudder/sim/StoreFaults.java
+++ b/src/test/java/madderrudder/sim/StoreFaults.java
@@ -1,8 +1,8 @@
 package madderrudder.sim;
 
 /**
- * Scripts with a store that is slow, refuses requests, delays transactions or loses replies. See
- * {@link FaultCombination}.
+ * Scripts with a store that is slow or unavailable, refuses one controller, delays transactions or
+ * loses replies. See {@link FaultCombination}.
  */
 final class StoreFaults {
   private StoreFaults() {}
--- a/src/test/java/madderrudder/sim/ZonePartitionTest.java
+++ b/src/test/java/madderrudder/sim/ZonePartitionTest.java
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Only the controller of the partitioned zone can answer its workers, without commands. The
-   * leases last through a partition of twice the lease duration.
+   * Only the controller in the partitioned zone can answer the workers there, and its answers
+   * contain no commands. With delegation, the leases last through a partition of twice their
+   * duration.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
