--- a/src/test/java/madderrudder/config/SettingsTest.java
+++ b/src/test/java/madderrudder/config/SettingsTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests the parsers of both settings files: values, defaults, and errors that name the setting or
- * the position and the invalid value.
+ * Guards against settings that are misread, invalid settings that are accepted, and errors that do
+ * not say where or why a value is invalid. Covers the parsers of both settings files.
  */
 public class SettingsTest {
-  /** Valid platform settings, with one field that the controller does not know: {@code later}. */
+  /** Valid platform settings, with one unknown field: {@code later}. */
   public static final String VALID_PLATFORM_SETTINGS =
       """
             {"member":"n-0","zone":"east","client_listen":"127.0.0.1:8080","mesh_addr":"127.0.0.1:8081","later":{},
--- a/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
+++ b/src/test/java/madderrudder/coordination/scheduling/ScaleOutPlannerTest.java
@@ -20,7 +20,11 @@
 import madderrudder.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** The machines that are requested from the cloud for waiting tasks. */
+/**
+ * Guards against machines that are requested without need, too early or beyond the budget, and
+ * against capacity that is requested too late because silent machines or machines that fail to boot
+ * still count.
+ */
 class ScaleOutPlannerTest extends PlanningFixture {
   @Test
   void countedMachinesAreOnDemandAndRequestedAfterTheThresholdWithinTheBudget() {
@@ -31,7 +35,7 @@
     assertEquals(List.of(), scaleOut(21 * SECOND, 0));
     List<ScaleOutRequest> requested = scaleOut(21 * SECOND, 2);
     assertEquals(2, requested.stream().mapToInt(ScaleOutRequest::count).sum());
-    assertTrue(requested.stream().allMatch(r -> r.counted() && !r.spot()));
+    assertTrue(requested.stream().allMatch(r -> r.countsAgainstBudget() && !r.spot()));
   }
 
   @Test
@@ -47,7 +51,7 @@
     addJob("req-1", "alto", JobKind.ARRAY, Priority.NORMAL, 2, 2, false);
     List<ScaleOutRequest> requested = scaleOut(0, 0);
     assertEquals(1, requested.size());
-    assertFalse(requested.get(0).counted());
+    assertFalse(requested.get(0).countsAgainstBudget());
     assertTrue(requested.get(0).spot());
   }
 
