--- a/src/test/java/madderrudder/cli/LoopbackCloud.java
+++ b/src/test/java/madderrudder/cli/LoopbackCloud.java
@@ -20,22 +20,36 @@
  */
 final class LoopbackCloud implements HttpHandler {
   private static final String TYPE = "big";
-  private static final String FIRST_RENTED_ID = "m-000100";
+  private static final int FIRST_RENTED_NUMBER = 100;
 
-  private final Consumer<String> onRented;
+  private final BootListener onBoot;
   private final Map<String, Machine> machines = new TreeMap<>();
   private final Map<String, List<String>> rentalsByRequest = new LinkedHashMap<>();
-  private int nextRented = Integer.parseInt(FIRST_RENTED_ID.substring(2));
+  private int nextRentedNumber = FIRST_RENTED_NUMBER;
 
   private record Machine(String zone, boolean spot) {}
 
+  /** Receives each machine that is up. */
+  interface BootListener {
+    /**
+     * Called on the thread that creates the cloud for an owned machine, on the server's thread for
+     * a rented one.
+     */
+    void machineUp(String id, String zone, boolean spot);
+  }
+
   /**
-   * @param owned the ids of the machines that exist from the start
-   * @param onRented receives the id of each rented machine, on the server's thread
+   * @param owned the ids of the machines that exist from the start, in the first zone
+   * @param onBoot receives the owned machines at once, and each rented machine
    */
-  LoopbackCloud(List<String> owned, Consumer<String> onRented) {
-    this.onRented = onRented;
-    owned.forEach(id -> machines.put(id, new Machine("east", false)));
+  LoopbackCloud(List<String> owned, BootListener onBoot) {
+    this.onBoot = onBoot;
+    owned.forEach(id -> add(id, new Machine("east", false)));
+  }
+
+  private void add(String id, Machine machine) {
+    machines.put(id, machine);
+    onBoot.machineUp(id, machine.zone(), machine.spot());
   }
 
   @Override
@@ -101,11 +115,10 @@
     if (ids == null) {
       ids = new ArrayList<>();
       for (long i = 0; i < in.count("how_many"); i++) {
-        ids.add(String.format("m-%06d", nextRented++));
+        ids.add(String.format("m-%06d", nextRentedNumber++));
       }
       Machine machine = new Machine(in.text("berth"), in.flag("driftwood"));
-      ids.forEach(id -> machines.put(id, machine));
-      ids.forEach(onRented);
+      ids.forEach(id -> add(id, machine));
       rentalsByRequest.put(request, ids);
     }
     return machineIds(ids);
@@ -116,16 +129,6 @@
     return Json.object(out -> {});
   }
 
-  /** The zone of a machine. */
-  String zone(String id) {
-    return machines.get(id).zone();
-  }
-
-  /** Whether a machine is a spot machine. */
-  boolean spot(String id) {
-    return machines.get(id).spot();
-  }
-
   private static byte[] machineIds(List<String> ids) {
     return Json.object(
         out -> {
--- a/src/test/java/madderrudder/cli/LoopbackCluster.java
+++ b/src/test/java/madderrudder/cli/LoopbackCluster.java
@@ -3,17 +3,9 @@
 import static org.junit.jupiter.api.Assertions.fail;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
-import java.net.URI;
 import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
-import java.net.http.HttpResponse;
-import java.nio.channels.AsynchronousChannelGroup;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,24 +15,18 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import madderrudder.sim.LoopbackServices;
-import madderrudder.transport.EventLoop;
-import madderrudder.transport.HttpServer;
+import madderrudder.config.SettingsTest;
 
 /**
  * Three controllers as processes on loopback, each of a jar of its own, with a store, a cloud and
  * workers in this process.
  */
 final class LoopbackCluster implements AutoCloseable {
-  private static final Path JAVA = Path.of(System.getProperty("java.home"), "bin", "java");
   private static final List<String> MEMBERS = List.of("n-0", "n-1", "n-2");
 
   private final Path folder;
   private final Path operatorFile;
-  private final EventLoop loop = new EventLoop();
-  private final AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
-  private final HttpServer store;
-  private final HttpServer cloud;
+  private final LoopbackServers servers;
   private final HttpClient http = HttpClient.newHttpClient();
   private final Map<String, Integer> peerPorts = new LinkedHashMap<>();
   private final Map<String, String> urls = new LinkedHashMap<>();
@@ -66,31 +52,11 @@
     this.endless = endless;
     operatorFile = Files.writeString(folder.resolve("operator.sexp"), operatorSettings);
     for (String member : MEMBERS) {
-      urls.put(member, "http://127.0.0.1:" + freePort());
-      peerPorts.put(member, freePort());
-    }
-    LoopbackServices services = new LoopbackServices(loop);
-    LoopbackCloud[] provider = new LoopbackCloud[1];
-    provider[0] =
-        new LoopbackCloud(owned, id -> startWorker(id, provider[0].zone(id), provider[0].spot(id)));
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    store = new HttpServer(loop, group, any, 64, services.storeHandler());
-    cloud = new HttpServer(loop, group, any, 64, provider[0]);
-    loop.execute(
-        () -> {
-          store.start();
-          cloud.start();
-        });
-    Thread simulated = new Thread(loop::run, "loopback-services");
-    simulated.setDaemon(true);
-    simulated.start();
-    owned.forEach(id -> startWorker(id, "east", false));
-  }
-
-  private static int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return socket.getLocalPort();
+      urls.put(member, "http://127.0.0.1:" + LoopbackServers.freePort());
+      peerPorts.put(member, LoopbackServers.freePort());
     }
+    LoopbackCloud cloud = new LoopbackCloud(owned, this::startWorker);
+    servers = new LoopbackServers(services -> cloud);
   }
 
   private void startWorker(String id, String zone, boolean spot) {
@@ -105,24 +71,14 @@
   }
 
   /** Starts a controller from a jar, and waits until it is healthy. */
-  void start(String member, Path jar) throws Exception {
+  void start(String member, ControllerJar jar) throws Exception {
     Path settings = Files.writeString(folder.resolve(member + ".json"), settings(member));
     Path log = folder.resolve(member + "-" + logs.size() + ".log");
     logs.add(log);
-    processes.put(
-        member,
-        new ProcessBuilder(
-                JAVA.toString(),
-                "-jar",
-                jar.toString(),
-                "serve",
-                "--operator",
-                operatorFile.toString(),
-                "--config",
-                settings.toString())
-            .redirectErrorStream(true)
-            .redirectOutput(log.toFile())
-            .start());
+    Process process =
+        jar.start(
+            log, "serve", "--operator", operatorFile.toString(), "--config", settings.toString());
+    processes.put(member, process);
     await(member + " is healthy", () -> status(member, "GET", "/healthz", "") == 200);
   }
 
@@ -155,28 +111,19 @@
                 peer, peerPorts.get(peer)));
       }
     }
-    return """
-        {"member":"%s","zone":"east","client_listen":"%s","mesh_addr":"127.0.0.1:%d",
-         "members":[%s],"external":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
-         "deployment":{"zones":["east","west"],
-          "teams":[{"name":"alto","cpus":32.0,"cpus_max":72.0,"gpus":0.0,"gpus_max":0.0}],
-          "workers":{"report_s":2.0,"lease_s":14.0,"gang_wait_s":35.0,"gang_peer_s":4.0,"cancel_s":44.0},
-          "state":{"rps":200.0,"write_rps":80.0,"value_kb":16.0,"txn_ops":48},
-          "cloud":{"rps":2.0,"list_lag_s":4.0},"limits":{"max_sockets":900},"clock_off_ms":250.0}}
-        """
-        .formatted(
-            member,
-            urls.get(member).substring("http://".length()),
-            peerPorts.get(member),
-            String.join(",", peers),
-            cloud.port(),
-            store.port());
+    return SettingsTest.VALID_PLATFORM_SETTINGS
+        .replace("\"member\":\"n-0\"", "\"member\":\"" + member + "\"")
+        .replaceFirst("\"members\":\\[[^]]*]", "\"members\":[" + String.join(",", peers) + "]")
+        .replace("127.0.0.1:8080", urls.get(member).substring("http://".length()))
+        .replace("127.0.0.1:8081", "127.0.0.1:" + peerPorts.get(member))
+        .replace("127.0.0.1:8443", servers.cloudAddress())
+        .replace("127.0.0.1:2379", servers.storeAddress());
   }
 
   /** The answer's status; 0 if there is no answer. */
   int status(String member, String method, String path, String body) throws Exception {
     try {
-      return call(urls.get(member) + path, method, body).statusCode();
+      return LoopbackServers.call(http, method, urls.get(member) + path, body).statusCode();
     } catch (IOException e) {
       return 0;
     }
@@ -185,7 +132,7 @@
   /** The answer's body; empty if there is no answer. */
   String body(String member, String method, String path, String body) throws Exception {
     try {
-      return call(urls.get(member) + path, method, body).body();
+      return LoopbackServers.call(http, method, urls.get(member) + path, body).body();
     } catch (IOException e) {
       return "";
     }
@@ -193,18 +140,8 @@
 
   /** The store's answer to a range read of the keys with a prefix. */
   String stored(String prefix) throws Exception {
-    String url = "http://127.0.0.1:" + store.port() + "/store?under=" + prefix + "&most=100";
-    return call(url, "GET", "").body();
-  }
-
-  private HttpResponse<String> call(String url, String method, String body) throws Exception {
-    HttpRequest request =
-        HttpRequest.newBuilder(URI.create(url))
-            .timeout(Duration.ofSeconds(5))
-            .version(HttpClient.Version.HTTP_1_1)
-            .method(method, HttpRequest.BodyPublishers.ofString(body))
-            .build();
-    return http.send(request, HttpResponse.BodyHandlers.ofString());
+    String url = "http://" + servers.storeAddress() + "/store?under=" + prefix + "&most=100";
+    return LoopbackServers.call(http, "GET", url, "").body();
   }
 
   /** Waits up to 90 s until a condition holds. */
@@ -232,7 +169,6 @@
   public void close() throws IOException {
     processes.values().forEach(process -> process.destroyForcibly().onExit().join());
     workers.values().forEach(LoopbackWorker::shutDown);
-    loop.shutdown();
-    group.shutdownNow();
+    servers.close();
   }
 }
--- a/src/test/java/madderrudder/cli/MixedBuilds.java
+++ b/src/test/java/madderrudder/cli/MixedBuilds.java
@@ -28,18 +28,20 @@
  */
 @Timeout(240)
 class MixedBuilds {
-  private static final Path NEW_JAR = Path.of("target", "madderrudder.jar");
-  private static final Path OLD_JAR =
-      Path.of(System.getProperty("oldJar", NEW_JAR.toString())).toAbsolutePath();
-  private static final Path JAVA = Path.of(System.getProperty("java.home"), "bin", "java");
+  private static final ControllerJar NEW_JAR =
+      new ControllerJar(Path.of("target", "madderrudder.jar"));
+  private static final ControllerJar OLD_JAR =
+      new ControllerJar(Path.of(System.getProperty("oldJar", NEW_JAR.path().toString())));
 
   /** A long lease leaves time in which a follower answers on behalf of a suspended leader. */
   private static final String OPERATOR_SETTINGS =
       "(madderrudder (threshold-s 0.25) (poll-s 0.5) (budget 10) (idle-s 60) (spot always) (hold-s 8)"
           + " (deputies on) (learned-run-times on))";
 
+  /** Log lines of either build that show that it does not understand what the other has written. */
   private static final Pattern FAULT =
-      Pattern.compile("malformed|unreadable|rejects|event failed|ERROR|WARN|Exception");
+      Pattern.compile(
+          "malformed|unreadable|reject(s|ed)|event failed|task failed, the loop|ERROR|WARN|Exception");
 
   /** The leader stores one changed page of learned run times in this time. */
   private static final long PAGE_INTERVAL_S = 10;
@@ -248,10 +250,10 @@
         "",
         "\"member\":\"n-0\",",
         "\"lease_s\":14.0,",
-        "\"peer_addr\":\"127.0.0.1:8082\"",
+        ",\"peer_addr\":\"127.0.0.1:8082\"",
         "\"rps\":200.0,",
         "\"zones\":[\"east\",\"west\"],",
-        "\"clock_off_ms\":250.0"
+        ",\"clock_off_ms\":250.0"
       })
   void bothBuildsCheckSettingsAlike(String removed) throws Exception {
     Path settings =
@@ -273,21 +275,10 @@
    * The exit status of {@code check}, the number of lines that it prints, and the paths of fields
    * in them.
    */
-  private String check(Path jar, Path settings, String operator) throws Exception {
+  private String check(ControllerJar jar, Path settings, String operator) throws Exception {
     Path output = folder.resolve("output");
     Process process =
-        new ProcessBuilder(
-                JAVA.toString(),
-                "-jar",
-                jar.toString(),
-                "check",
-                "--operator",
-                operator,
-                "--config",
-                settings.toString())
-            .redirectErrorStream(true)
-            .redirectOutput(output.toFile())
-            .start();
+        jar.start(output, "check", "--operator", operator, "--config", settings.toString());
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     List<String> lines = Files.readAllLines(output);
     List<String> fields =
--- a/src/test/java/madderrudder/cli/PackagedProgramIT.java
+++ b/src/test/java/madderrudder/cli/PackagedProgramIT.java
@@ -4,18 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
-import java.net.URI;
 import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
-import java.nio.channels.AsynchronousChannelGroup;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -25,8 +17,6 @@
 import java.util.zip.ZipEntry;
 import madderrudder.config.SettingsTest;
 import madderrudder.sim.LoopbackServices;
-import madderrudder.transport.EventLoop;
-import madderrudder.transport.HttpServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -37,30 +27,14 @@
  */
 @Timeout(60)
 class PackagedProgramIT {
-  private static final Path JAR = Path.of("target", "madderrudder.jar");
-  private static final Path JAVA = Path.of(System.getProperty("java.home"), "bin", "java");
+  private static final ControllerJar JAR = new ControllerJar(Path.of("target", "madderrudder.jar"));
 
   @TempDir Path directory;
 
-  private static Process startController(Path output, String... arguments) throws IOException {
-    List<String> command = new ArrayList<>(List.of(JAVA.toString(), "-jar", JAR.toString()));
-    command.addAll(List.of(arguments));
-    return new ProcessBuilder(command)
-        .redirectError(output.toFile())
-        .redirectOutput(output.toFile())
-        .start();
-  }
-
-  private static int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return socket.getLocalPort();
-    }
-  }
-
   /** The controller has to start on a third of a core, so its jar holds none of the tools. */
   @Test
   void toolsArePackagedSeparatelyFromController() throws Exception {
-    try (JarFile jar = new JarFile(JAR.toFile())) {
+    try (JarFile jar = new JarFile(JAR.path().toFile())) {
       List<String> unexpected =
           jar.stream()
               .map(ZipEntry::getName)
@@ -139,7 +113,7 @@
             directory.resolve("bad.json"),
             SettingsTest.VALID_PLATFORM_SETTINGS.replace("\"member\":\"n-0\",", ""));
     Path errors = directory.resolve("errors");
-    Process process = startController(errors, "serve", "--config", settings.toString());
+    Process process = JAR.start(errors, "serve", "--config", settings.toString());
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
     assertEquals(1, process.exitValue());
     assertTrue(
@@ -149,31 +123,17 @@
 
   @Test
   void servesUsersAndWorkersOverRealSockets() throws Exception {
-    EventLoop loop = new EventLoop();
-    AsynchronousChannelGroup group = AsynchronousChannelGroup.withThreadPool(loop);
-    LoopbackServices services = new LoopbackServices(loop);
-    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    HttpServer store = new HttpServer(loop, group, anyPort, 64, services.storeHandler());
-    HttpServer cloud = new HttpServer(loop, group, anyPort, 64, services.cloudHandler());
-    loop.execute(
-        () -> {
-          store.start();
-          cloud.start();
-        });
-    Thread servicesThread = new Thread(loop::run, "simulated-services");
-    servicesThread.setDaemon(true);
-    servicesThread.start();
-    int port = freePort();
+    LoopbackServers servers = new LoopbackServers(LoopbackServices::cloudHandler);
+    int port = LoopbackServers.freePort();
     Path settings =
         Files.writeString(
             directory.resolve("good.json"),
             SettingsTest.VALID_PLATFORM_SETTINGS
                 .replace("127.0.0.1:8080", "127.0.0.1:" + port)
-                .replace("127.0.0.1:8081", "127.0.0.1:" + freePort())
-                .replace("127.0.0.1:8443", "127.0.0.1:" + cloud.port())
-                .replace("127.0.0.1:2379", "127.0.0.1:" + store.port()));
-    Process process =
-        startController(directory.resolve("log"), "serve", "--config", settings.toString());
+                .replace("127.0.0.1:8081", "127.0.0.1:" + LoopbackServers.freePort())
+                .replace("127.0.0.1:8443", servers.cloudAddress())
+                .replace("127.0.0.1:2379", servers.storeAddress()));
+    Process process = JAR.start(directory.resolve("log"), "serve", "--config", settings.toString());
     try {
       String baseUrl = "http://127.0.0.1:" + port;
       awaitHealthy(baseUrl);
@@ -268,8 +228,7 @@
           Files.readString(output));
     } finally {
       process.destroyForcibly().waitFor();
-      loop.shutdown();
-      group.shutdownNow();
+      servers.close();
     }
   }
 
@@ -335,12 +294,6 @@
 
   private static HttpResponse<String> call(String method, String uri, String body)
       throws Exception {
-    HttpRequest request =
-        HttpRequest.newBuilder(URI.create(uri))
-            .timeout(Duration.ofSeconds(5))
-            .version(HttpClient.Version.HTTP_1_1)
-            .method(method, HttpRequest.BodyPublishers.ofString(body, StandardCharsets.UTF_8))
-            .build();
-    return HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString());
+    return LoopbackServers.call(HttpClient.newHttpClient(), method, uri, body);
   }
 }
